--- a/packages/puffinturn-edge/src/__tests__/unit/TokensInRegions.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/TokensInRegions.test.ts
@@ -37,18 +37,18 @@
     for (const team of ['t', 'u', 'v']) {
       const halls = (boxes: readonly string[]) =>
         boxes.map((box) => box.slice(0, 1)).join('');
-      expect(halls(holders.elsewhere(team))).toMatch(/^a+b[xy]+$/);
+      expect(halls(holders.lendersFor(team))).toMatch(/^a+b[xy]+$/);
       expect(halls(holders.successors(team))).toMatch(/^a+b+[xy]+$/);
     }
-    expect(holders.isAway('x1')).toBe(true);
-    expect(holders.isAway('b1')).toBe(false);
+    expect(holders.isInOtherRegion('x1')).toBe(true);
+    expect(holders.isInOtherRegion('b1')).toBe(false);
   });
 
   test('are in the order of before where there is one region', () => {
     const holders = holdersOf('a1', new Regions());
-    const halls = holders.elsewhere('t').map((box) => box.slice(0, 1));
+    const halls = holders.lendersFor('t').map((box) => box.slice(0, 1));
     expect(halls.filter((hall) => hall !== 'a')).toEqual(['x', 'y', 'b']);
-    expect(holders.isAway('x1')).toBe(false);
+    expect(holders.isInOtherRegion('x1')).toBe(false);
   });
 });
 
--- a/packages/puffinturn-edge/src/tokens/Allowances.ts
+++ b/packages/puffinturn-edge/src/tokens/Allowances.ts
@@ -5,14 +5,6 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Prepaid tokens in the hands of the edges. A request reserves the most that it
- * can cost and is settled at what it did cost. In each hall one edge holds a
- * team's tokens for all edges of the hall: some seconds of their demand, so that
- * a cut from the core stops no request. What an edge holds is lost as it dies, so
- * it holds little before there is demand, and less the less of a budget is left.
- * The others ask it for what a request lacks and hand back what is over.
- */
 import type {DecisionLog, TeamTokens, TokenFacts} from 'puffinturn-decisions';
 import type {
   BorrowReply,
@@ -33,91 +25,98 @@
 } from '../EdgeConstants';
 import {CoreExchange} from './CoreExchange';
 import type {TokenAccount} from './TokenAccount';
-import {TokenBook} from './TokenBook';
+import {TokenAccounts} from './TokenBook';
 import {TokenGifts} from './TokenGifts';
 import {TokenHolders} from './TokenHolders';
-import type {BorrowedElsewhere} from './TokenLoans';
+import type {BorrowResult} from './TokenLoans';
 import {TokenLoans} from './TokenLoans';
 
-/** What came of asking for tokens. */
+/** Outcomes of a reservation. */
 export const RESERVE = {
-  /** The tokens are set aside. */
+  /** The tokens are reserved. */
   held: 'held',
-  /** The request does not fit into what is left of the budget. */
+  /** The remaining budget is too small for the request. */
   exhausted: 'exhausted',
-  /** Who could tell can't be reached. */
+  /** Too few tokens were found, and not all boxes that may hold some answered. */
   unavailable: 'unavailable',
 } as const;
 
 /** One of RESERVE. */
 export type ReserveOutcome = (typeof RESERVE)[keyof typeof RESERVE];
 
-/** What Allowances is made of. */
+/** Dependencies of {@link Allowances}. */
 export interface AllowancesParts {
   readonly box: string;
   readonly hall: string;
-  /** One life of this edge. */
+  /** Identifies this run of the edge process; a restart changes it. */
   readonly life: string;
   readonly clock: Clock;
   readonly link: Link;
   readonly log: DecisionLog;
-  /** Control boxes, the one to ask first at the front. */
+  /** Control boxes in the order in which they are asked. */
   readonly controls: () => readonly string[];
-  /** The other edges; a new array where the list has changed. */
+  /** The other edges; returns a new array after each change. */
   readonly peers: () => readonly BoxRecord[];
-  /** The region of each hall; without them all halls are together. */
+  /** The region of each hall; by default all halls are in one region. */
   readonly regions?: Regions | undefined;
 }
 
-/** How often surplus is looked for where no request has ended, ms. */
-const SURPLUS_TICK_MS = 4_000;
+/** Interval of checks for surplus when no request ends, ms. */
+const SURPLUS_CHECK_INTERVAL_MS = 4_000;
 
 /**
- * Edges of the hall that are asked before this one acts as the holder. In a hall
- * of forty a request must not wait for each one that has lost power.
+ * Edges of the hall that are asked before this one acts as the holder. The limit
+ * keeps requests from waiting for every crashed edge of a large hall.
  */
-const HOLDERS_ASKED = 2;
+const MAX_HOLDERS_ASKED = 2;
 
-/** Longest sleep of a waiting request between looks, ms. */
-const LOOK_MS = 40;
+/** Longest interval between two attempts of a waiting request, ms. */
+const RESERVE_POLL_INTERVAL_MS = 40;
 
 /**
- * The part of a team's demand that is more urgent than its least urgent requests.
- * Where these are a third of the requests, all others are served in a cut under
- * twice the usual load, and 85 to 94 in 100 if all are treated alike (TokenUrgency
- * test, virtual time, three seeds).
+ * Fraction of the target balance that the least urgent requests may not use while
+ * the core can't refill it.
  */
-const URGENT_PART = 0.75;
+const URGENT_WITHHELD_FRACTION = 0.75;
 
-/** Tokens that a request, or another edge, wants from an account. */
-interface Demand {
+/** A claim of a request or of another edge on the tokens of an account. */
+interface PendingClaim {
   readonly account: TokenAccount;
   readonly tokens: number;
-  /** The part of what should be held that is left to more urgent requests. */
-  readonly keepPart: number;
-  /** Tries to take them, leaving such a part here; true when it has them. */
-  readonly claim: (kept: number) => boolean;
+  /** Fraction of the target balance withheld for more urgent requests. */
+  readonly withheldFraction: number;
+  /** Takes the tokens if they are free beyond the withheld fraction. */
+  readonly tryClaim: (withheldFraction: number) => boolean;
 }
 
-/** See the module comment. */
+/**
+ * The prepaid tokens that one edge holds for its teams. A request reserves its
+ * maximum cost and settles the actual cost at its end.
+ *
+ * The core (the control boxes) grants tokens from the budgets of the teams. In each
+ * hall one edge, the holder, keeps some seconds of a team's demand for all edges of
+ * the hall, so that requests are still served while the core is unreachable. The
+ * other edges borrow from the holder and give surplus back. Tokens held by an edge
+ * are lost if it crashes, so the amount is kept small.
+ */
 export class Allowances implements AsyncDisposable {
-  private readonly book: TokenBook;
+  private readonly accounts: TokenAccounts;
   private readonly holders: TokenHolders;
   private readonly core: CoreExchange;
   private readonly loans: TokenLoans;
   private readonly gifts: TokenGifts;
   private readonly tasks = new TaskGroup();
-  private closing = false;
+  private isClosing = false;
 
   constructor(private readonly parts: AllowancesParts) {
     const {clock, link, log, peers} = parts;
     this.holders = new TokenHolders(parts, clock, peers, parts.regions);
-    this.book = new TokenBook(clock, log, this.holders);
+    this.accounts = new TokenAccounts(clock, log, this.holders);
     const shared = {
-      book: this.book,
+      accounts: this.accounts,
       clock,
       holders: this.holders,
-      life: parts.life,
+      incarnationId: parts.life,
       link,
     };
     this.core = new CoreExchange({...parts, ...shared});
@@ -125,23 +124,23 @@
       ...shared,
       lend: (request) => this.lend(request),
     });
-    this.gifts = new TokenGifts({...shared, refuses: () => this.closing});
+    this.gifts = new TokenGifts({...shared, isClosing: () => this.isClosing});
     this.tasks.start((signal) => this.core.run(signal));
-    this.tasks.start((signal) => this.handSurplusOn(signal));
+    this.tasks.start((signal) => this.giveSurplusOnRelease(signal));
   }
 
-  /** Takes over what a configuration says of budgets. */
+  /** Applies the budgets of a configuration. */
   configure(teams: readonly Team[]): void {
     for (const {name, prepaidTokens = 0} of teams) {
-      this.book.accountOf(name).budget(prepaidTokens);
+      this.accounts.getOrCreate(name).setBudget(prepaidTokens);
     }
-    this.book.wanted.notify();
-    this.book.freed.notify();
+    this.accounts.refillNeeded.notify();
+    this.accounts.surplusPossible.notify();
   }
 
-  /** Figures for metrics and totals. */
+  /** Token counts per team, for metrics and periodic totals. */
   status(): readonly TeamTokens[] {
-    return this.book.all().map(({charged, held, reserved, team}) => ({
+    return this.accounts.all().map(({charged, held, reserved, team}) => ({
       charged,
       held,
       reserved,
@@ -149,102 +148,110 @@
     }));
   }
 
-  /** What is known here of a team's tokens, for the line of a refusal. */
+  /** State of a team's tokens, for the log line of a rejected request. */
   factsOf(team: string): TokenFacts {
-    const {held, left, leftAt, reserved} = this.book.accountOf(team);
+    const {held, coreRemaining, coreRemainingAt, reserved} =
+      this.accounts.getOrCreate(team);
     const age =
-      leftAt === undefined ? undefined : this.parts.clock.now() - leftAt;
+      coreRemainingAt === undefined
+        ? undefined
+        : this.parts.clock.now() - coreRemainingAt;
     return {
-      coreAnswers: this.core.answers,
+      coreAnswers: this.core.isCoreReachable,
       held,
-      holder: this.holders.ahead(team)[0] ?? this.parts.box,
-      left,
+      holder: this.holders.preferredHolders(team)[0] ?? this.parts.box,
+      left: coreRemaining,
       leftAgeMs: age === undefined ? undefined : Math.round(age),
       reserved,
     };
   }
 
   /**
-   * Sets tokens aside; waits a moment for more where there are too few. A request
-   * that gives way leaves tokens for others while no more are to be had.
+   * Reserves tokens; waits briefly for more if too few are free. The least urgent
+   * requests leave a fraction for others while the core can't refill the account.
    */
   async reserve(
     team: string,
     tokens: number,
     isLeastUrgent = false,
   ): Promise<ReserveOutcome> {
-    const account = this.book.accountOf(team);
-    account.largest = Math.max(account.largest, tokens);
-    const demand: Demand = {
+    const account = this.accounts.getOrCreate(team);
+    account.largestRequest = Math.max(account.largestRequest, tokens);
+    const claim: PendingClaim = {
       account,
-      claim: (kept) => this.book.take(account, tokens, kept),
-      keepPart: isLeastUrgent ? URGENT_PART : 0,
+      tryClaim: (withheld) =>
+        this.accounts.tryReserve(account, tokens, withheld),
+      withheldFraction: isLeastUrgent ? URGENT_WITHHELD_FRACTION : 0,
       tokens,
     };
-    return this.secure(demand, () => this.obtain(demand));
+    return this.claimOrAcquire(claim, () => this.acquireFromHolders(claim));
   }
 
-  /** Ends a reservation; the rest is free again. */
+  /** Ends a reservation: charges the spent tokens and releases the others. */
   settle(team: string, reserved: number, spent: number): void {
-    const account = this.book.accountOf(team);
+    const account = this.accounts.getOrCreate(team);
     account.settle(reserved, spent, this.parts.clock.now());
-    this.book.moved.notify();
-    this.book.freed.notify();
+    this.accounts.tokensAdded.notify();
+    this.accounts.surplusPossible.notify();
   }
 
   /**
-   * Hands all free tokens on, as this edge stops: the float to the holders of
-   * the hall, and what is held for the hall to the core, or to the next holder
-   * while the core does not answer. What is taken by none is lost.
+   * Gives all free tokens away when this edge stops: its own to the holder of the
+   * hall, those held for the hall to the core, or to the next holder if the core is
+   * unreachable. Tokens that no one accepts are lost.
    */
   async close(): Promise<void> {
-    this.closing = true;
-    await this.gifts.handOn(({team}) => !this.holders.isHolder(team));
-    if (this.core.answers) {
+    this.isClosing = true;
+    await this.gifts.giveFree(({team}) => !this.holders.isHolder(team));
+    if (this.core.isCoreReachable) {
       await this.core.close();
     }
-    await this.gifts.handOn(() => true);
+    await this.gifts.giveFree(() => true);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     this.gifts[Symbol.dispose]();
     await this.loans[Symbol.asyncDispose]();
     this.tasks.abort();
-    this.book.wanted.notify();
-    this.book.moved.notify();
+    this.accounts.refillNeeded.notify();
+    this.accounts.tokensAdded.notify();
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  /** Claims tokens, or finds some first where that is not known to be vain. */
-  private async secure(
-    demand: Demand,
-    find: () => Promise<ReserveOutcome>,
+  /** Claims tokens; acquires more if needed, unless known to be exhausted. */
+  private async claimOrAcquire(
+    claim: PendingClaim,
+    acquire: () => Promise<ReserveOutcome>,
   ): Promise<ReserveOutcome> {
-    const {account, tokens} = demand;
+    const {account, tokens} = claim;
     const {clock} = this.parts;
-    if (this.claims(demand)) {
+    if (this.tryClaim(claim)) {
       return RESERVE.held;
     }
-    if (account.knownExhausted(tokens, clock.now())) {
+    if (account.isKnownExhausted(tokens, clock.now())) {
       return RESERVE.exhausted;
     }
-    const outcome = await find();
+    const outcome = await acquire();
     if (outcome === RESERVE.exhausted) {
-      account.exhausted(tokens, clock.now());
+      account.markExhausted(tokens, clock.now());
     }
     return outcome;
   }
 
-  /** Asks the holder of the hall; without one that answers, acts as one. */
-  private async obtain(demand: Demand): Promise<ReserveOutcome> {
-    const {account, keepPart, tokens} = demand;
-    const ahead = this.holders.ahead(account.team).slice(0, HOLDERS_ASKED);
-    for (const box of ahead) {
+  /** Asks the holder of the hall; acts as the holder if none answers. */
+  private async acquireFromHolders(
+    claim: PendingClaim,
+  ): Promise<ReserveOutcome> {
+    const {account, withheldFraction, tokens} = claim;
+    const holders = this.holders
+      .preferredHolders(account.team)
+      .slice(0, MAX_HOLDERS_ASKED);
+    for (const box of holders) {
       const reply = await this.loans.borrowFrom(box, account, tokens, {
         gather: true,
-        keepPart,
+        withheldFraction,
       });
-      if (this.claims(demand)) {
+      if (this.tryClaim(claim)) {
         return RESERVE.held;
       }
       if (reply !== undefined && reply.outcome !== LOAN.lent) {
@@ -253,138 +260,169 @@
           : RESERVE.unavailable;
       }
     }
-    return this.gather(demand);
+    return this.acquireFromCoreOrLenders(claim);
   }
 
-  /** Takes what is wanted, leaving what must stay here. */
-  private claims(demand: Demand): boolean {
-    return demand.claim(this.keptHere(demand.account, demand.keepPart));
+  /** Takes the tokens unless too few are free beyond the withheld ones. */
+  private tryClaim(claim: PendingClaim): boolean {
+    return claim.tryClaim(
+      this.withheldFractionFor(claim.account, claim.withheldFraction),
+    );
   }
 
   /**
-   * The part of what should be held here that a request must leave: what urgent
-   * ones will need for the rest of the time that it should last. None while the
-   * core can grant as much again, and none at an edge that is no holder.
+   * Fraction of the target balance that a claim must leave. It falls to 0 over the
+   * time that the balance should last. It is 0 while the core can grant another
+   * target balance, and on an edge that isn't the holder.
    */
-  private keptHere(account: TokenAccount, keepPart: number): number {
-    if (keepPart === 0 || !this.holders.isHolder(account.team)) {
+  private withheldFractionFor(
+    account: TokenAccount,
+    withheldFraction: number,
+  ): number {
+    if (withheldFraction === 0 || !this.holders.isHolder(account.team)) {
       return 0;
     }
-    const left = account.left ?? Infinity;
-    if (this.core.answers && left > this.book.wantOf(account)) {
+    const coreRemaining = account.coreRemaining ?? Infinity;
+    if (
+      this.core.isCoreReachable &&
+      coreRemaining > this.accounts.targetBalance(account)
+    ) {
       return 0;
     }
-    const passed = this.core.silentMs / (ALLOWANCE_SECONDS * 1_000);
-    return keepPart * Math.max(0, 1 - passed);
+    const elapsedFraction =
+      this.core.unreachableMs / (ALLOWANCE_SECONDS * 1_000);
+    return withheldFraction * Math.max(0, 1 - elapsedFraction);
   }
 
   /**
-   * What is here is kept for more urgent requests, and the core can't grant more;
-   * but other halls may have more than they keep.
+   * Borrows the tokens from other edges while the local ones are withheld and the
+   * core is unreachable.
    */
-  private async claimFromPlenty({
+  private async claimFromLenders({
     account,
-    claim,
-    keepPart,
+    tryClaim,
+    withheldFraction,
     tokens,
-  }: Demand): Promise<ReserveOutcome> {
-    const {borrowed} = await this.loans.borrowElsewhere(
+  }: PendingClaim): Promise<ReserveOutcome> {
+    const {borrowed} = await this.loans.borrowFromLenders(
       account,
       account.free + tokens,
-      keepPart,
+      withheldFraction,
     );
-    const claimed = borrowed >= tokens && claim(0);
-    return claimed ? RESERVE.held : RESERVE.unavailable;
+    const isClaimed = borrowed >= tokens && tryClaim(0);
+    return isClaimed ? RESERVE.held : RESERVE.unavailable;
   }
 
-  /** Waits for the core, and asks the holders of the other halls. */
-  private async gather(demand: Demand): Promise<ReserveOutcome> {
-    const {account, keepPart, tokens} = demand;
+  /** Waits for a grant of the core and borrows from other edges. */
+  private async acquireFromCoreOrLenders(
+    claim: PendingClaim,
+  ): Promise<ReserveOutcome> {
+    const {account, withheldFraction, tokens} = claim;
     const {clock} = this.parts;
-    if (!this.core.answers && account.free >= tokens) {
-      return this.claimFromPlenty(demand);
+    if (!this.core.isCoreReachable && account.free >= tokens) {
+      return this.claimFromLenders(claim);
     }
-    using _waiting = account.waitFor(tokens);
-    // Another region is asked for nothing once the request has its tokens.
-    let waits = true;
-    using _ended = {[Symbol.dispose]: () => void (waits = false)};
-    const borrow = (): Promise<BorrowedElsewhere> =>
-      this.loans.borrowElsewhere(account, tokens, keepPart, () => waits);
-    const mark = this.core.mark;
-    const until = clock.now() + ALLOWANCE_WAIT_MS;
-    this.book.wanted.notify();
-    let borrowing = this.core.answers ? undefined : borrow();
-    while (clock.now() < until && !this.tasks.ended) {
+    using _waiting = account.addWaitingRequest(tokens);
+    // Stops borrowing from other regions when this request ends.
+    let isWaiting = true;
+    using _ended = {[Symbol.dispose]: () => void (isWaiting = false)};
+    const borrow = (): Promise<BorrowResult> =>
+      this.loans.borrowFromLenders(
+        account,
+        tokens,
+        withheldFraction,
+        () => isWaiting,
+      );
+    const startSequence = this.core.lastSequence;
+    const deadline = clock.now() + ALLOWANCE_WAIT_MS;
+    this.accounts.refillNeeded.notify();
+    let borrowing = this.core.isCoreReachable ? undefined : borrow();
+    while (clock.now() < deadline && !this.tasks.ended) {
       await sleepUnlessNotified(
         clock,
-        this.book.moved,
-        LOOK_MS,
+        this.accounts.tokensAdded,
+        RESERVE_POLL_INTERVAL_MS,
         this.tasks.signal,
       );
-      if (this.claims(demand)) {
+      if (this.tryClaim(claim)) {
         return RESERVE.held;
       }
-      const answered = this.core.answeredSince(mark);
-      if (answered && this.lacksMore(account, tokens)) {
+      const hasAnswered = this.core.hasAnsweredSince(startSequence);
+      if (hasAnswered && this.exceedsCoreRemaining(account, tokens)) {
         break;
       }
-      borrowing ??= answered ? undefined : borrow();
+      borrowing ??= hasAnswered ? undefined : borrow();
     }
-    const coreAnswered = this.core.answeredSince(mark);
+    const hasCoreAnswered = this.core.hasAnsweredSince(startSequence);
     const {allAnswered} = await (borrowing ?? borrow());
-    if (this.claims(demand)) {
+    if (this.tryClaim(claim)) {
       return RESERVE.held;
     }
-    const certain =
-      coreAnswered && allAnswered && this.lacksMore(account, tokens);
-    return certain ? RESERVE.exhausted : RESERVE.unavailable;
+    const isExhausted =
+      hasCoreAnswered &&
+      allAnswered &&
+      this.exceedsCoreRemaining(account, tokens);
+    return isExhausted ? RESERVE.exhausted : RESERVE.unavailable;
   }
 
-  /** Whether what is missing is more than the core had left. */
-  private lacksMore(account: TokenAccount, tokens: number): boolean {
-    return (account.left ?? 0) < tokens - account.free;
+  /** Whether the missing tokens exceed what the core can still grant. */
+  private exceedsCoreRemaining(account: TokenAccount, tokens: number): boolean {
+    return (account.coreRemaining ?? 0) < tokens - account.free;
   }
 
   private async lend(request: BorrowRequest): Promise<BorrowReply> {
-    const {gather, keepPart = 0, need, team, want} = request;
-    if (this.closing) {
+    const {gather, keepPart: withheldFraction = 0, need, team, want} = request;
+    if (this.isClosing) {
       return {given: 0, outcome: LOAN.closing};
     }
-    const account = this.book.accountOf(team);
-    account.largest = Math.max(account.largest, need);
+    const account = this.accounts.getOrCreate(team);
+    account.largestRequest = Math.max(account.largestRequest, need);
     if (!gather) {
-      const kept = this.keptHere(account, keepPart);
-      const beyond = Math.floor(this.book.freeBeyond(account, kept));
-      const spare = Math.max(0, Math.min(account.spare, beyond));
-      const amount = Math.max(0, Math.min(need, spare));
-      const given = this.book.lend(account, amount, Math.min(want, spare));
+      const withheld = this.withheldFractionFor(account, withheldFraction);
+      const aboveWithheld = Math.floor(
+        this.accounts.freeAboveWithheld(account, withheld),
+      );
+      const lendable = Math.max(0, Math.min(account.lendable, aboveWithheld));
+      const amount = Math.max(0, Math.min(need, lendable));
+      const given = this.accounts.lend(
+        account,
+        amount,
+        Math.min(want, lendable),
+      );
       return {given, outcome: LOAN.lent};
     }
     let given = 0;
-    const demand: Demand = {
+    const claim: PendingClaim = {
       account,
-      claim: (kept) => {
-        given = this.book.lend(account, need, want, kept);
+      tryClaim: (withheld) => {
+        given = this.accounts.lend(account, need, want, withheld);
         return given > 0 || need === 0;
       },
-      keepPart,
+      withheldFraction,
       tokens: need,
     };
-    const outcome = await this.secure(demand, () => this.gather(demand));
+    const outcome = await this.claimOrAcquire(claim, () =>
+      this.acquireFromCoreOrLenders(claim),
+    );
     return {
       given,
       outcome: outcome === RESERVE.held ? LOAN.lent : LOAN[outcome],
     };
   }
 
-  private async handSurplusOn(signal: AbortSignal): Promise<void> {
+  private async giveSurplusOnRelease(signal: AbortSignal): Promise<void> {
     const {clock} = this.parts;
-    while (!signal.aborted && !this.closing) {
-      const {freed} = this.book;
-      await sleepUnlessNotified(clock, freed, SURPLUS_TICK_MS, signal);
+    while (!signal.aborted && !this.isClosing) {
+      const {surplusPossible} = this.accounts;
+      await sleepUnlessNotified(
+        clock,
+        surplusPossible,
+        SURPLUS_CHECK_INTERVAL_MS,
+        signal,
+      );
       await clock.sleep(HAND_ON_AFTER_MS, signal);
-      if (!signal.aborted && !this.closing) {
-        await this.gifts.handSurplusOn();
+      if (!signal.aborted && !this.isClosing) {
+        await this.gifts.giveSurplus();
       }
     }
   }
--- a/packages/puffinturn-edge/src/tokens/CoreExchange.ts
+++ b/packages/puffinturn-edge/src/tokens/CoreExchange.ts
@@ -5,11 +5,6 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Exchanges of one edge with the core, which counts tokens as spent from the
- * moment it grants them. An exchange has a number in this edge's life and is
- * done once however often it is sent.
- */
 import type {
   AllowanceAsk,
   AllowanceGrant,
@@ -30,84 +25,88 @@
   RETURN_ABOVE,
 } from '../EdgeConstants';
 import type {TokenAccount} from './TokenAccount';
-import type {TokenBook} from './TokenBook';
+import type {TokenAccounts} from './TokenBook';
 import type {TokenHolders} from './TokenHolders';
 
-/** Spending is told to the core above this part of what is to be held. */
-const REPORT_ABOVE = 0.25;
+/** A holder reports its spending above this fraction of its target balance. */
+const REPORT_TARGET_FRACTION = 0.25;
 
-/** The same for an edge that is no holder, as a part of the whole budget. */
-const REPORT_ABOVE_BUDGET = 0.01;
+/** Other edges report their spending above this fraction of the budget. */
+const REPORT_BUDGET_FRACTION = 0.01;
 
-/** Less than this part of the whole budget is not worth handing back. */
-const LEAST_RETURNED = 0.002;
+/** Smallest surplus that is returned to the core, as a fraction of the budget. */
+const MIN_RETURN_BUDGET_FRACTION = 0.002;
 
-/** What a CoreExchange is made of. */
+/** Dependencies of {@link CoreExchange}. */
 export interface CoreExchangeParts {
   readonly box: string;
-  /** One life of this edge. */
-  readonly life: string;
+  /** Identifies this run of the edge process; a restart changes it. */
+  readonly incarnationId: string;
   readonly clock: Clock;
   readonly link: Link;
-  /** Control boxes, the one to ask first at the front. */
+  /** Control boxes in the order in which they are asked. */
   readonly controls: () => readonly string[];
-  readonly book: TokenBook;
+  readonly accounts: TokenAccounts;
   readonly holders: TokenHolders;
 }
 
-/** See the module comment. */
+/**
+ * Exchanges tokens between one edge and the core: the control boxes, which grant
+ * tokens from the budgets and count them as spent from then on. Each exchange has a
+ * sequence number, so that one that is sent more than once is applied once.
+ */
 export class CoreExchange {
   private readonly startedAt: number;
   private sequence = 0;
-  private answeredSequence = 0;
-  private answering = true;
-  private closing = false;
-  private running: Promise<void> = Promise.resolve();
-  private measuredAt: number;
+  private lastAnsweredSequence = 0;
+  private isReachable = true;
+  private isClosing = false;
+  private runCompleted: Promise<void> = Promise.resolve();
+  private lastDecayAt: number;
   private lastAnswerAt: number;
 
   constructor(private readonly parts: CoreExchangeParts) {
     this.startedAt = parts.clock.now();
-    this.measuredAt = this.startedAt;
+    this.lastDecayAt = this.startedAt;
     this.lastAnswerAt = this.startedAt;
   }
 
-  /** Whether the last exchange was answered. */
-  get answers(): boolean {
-    return this.answering;
+  /** Whether the core answered the last attempt. */
+  get isCoreReachable(): boolean {
+    return this.isReachable;
   }
 
-  /** How long the core has not answered, ms; 0 while it does. */
-  get silentMs(): number {
-    return this.answering ? 0 : this.parts.clock.now() - this.lastAnswerAt;
+  /** Time since the last answer of an unreachable core, ms; 0 if it is reachable. */
+  get unreachableMs(): number {
+    return this.isReachable ? 0 : this.parts.clock.now() - this.lastAnswerAt;
   }
 
-  /** A mark for `answeredSince`: an exchange under way began before it. */
-  get mark(): number {
+  /** Number of the last exchange that was started. */
+  get lastSequence(): number {
     return this.sequence;
   }
 
-  /** Whether an exchange that began after a mark was answered. */
-  answeredSince(mark: number): boolean {
-    return this.answeredSequence > mark;
+  /** Whether an exchange with a higher number was answered. */
+  hasAnsweredSince(afterSequence: number): boolean {
+    return this.lastAnsweredSequence > afterSequence;
   }
 
-  /** Fills accounts up and reports what they spent, until the signal. */
+  /** Refills accounts and reports their spending until aborted. */
   run(signal: AbortSignal): Promise<void> {
-    this.running = this.runExchanges(signal);
-    return this.running;
+    this.runCompleted = this.runExchanges(signal);
+    return this.runCompleted;
   }
 
-  /** Hands all that is free back; an exchange under way may still bring some. */
+  /** Returns all free tokens, after the pending exchange has ended. */
   async close(): Promise<void> {
-    const {book} = this.parts;
-    this.closing = true;
-    book.wanted.notify();
-    await this.running;
-    const asks = book
+    const {accounts} = this.parts;
+    this.isClosing = true;
+    accounts.refillNeeded.notify();
+    await this.runCompleted;
+    const asks = accounts
       .all()
       .filter(({free}) => free > 0)
-      .map((account) => this.askFor(account, 0, 0, account.free));
+      .map((account) => this.createAsk(account, 0, 0, account.free));
     if (asks.length > 0) {
       this.sequence += 1;
       await this.exchange(asks);
@@ -115,21 +114,21 @@
   }
 
   private async runExchanges(signal: AbortSignal): Promise<void> {
-    const {book, clock} = this.parts;
-    while (!signal.aborted && !this.closing) {
-      if (!this.someoneWaits()) {
+    const {accounts, clock} = this.parts;
+    while (!signal.aborted && !this.isClosing) {
+      if (!this.hasWaitingRequests()) {
         await sleepUnlessNotified(
           clock,
-          book.wanted,
+          accounts.refillNeeded,
           ALLOWANCE_TICK_MS,
           signal,
         );
       }
-      if (this.closing) {
+      if (this.isClosing) {
         return;
       }
-      this.fade();
-      const asks = this.compose();
+      this.decayDemand();
+      const asks = this.buildAsks();
       if (asks.length > 0 && !signal.aborted) {
         this.sequence += 1;
         await this.exchangeUntilAnswered(asks, signal);
@@ -137,23 +136,23 @@
     }
   }
 
-  /** Whether a request came to wait while an exchange was under way. */
-  private someoneWaits(): boolean {
-    return this.parts.book.all().some(({need}) => need > 0);
+  /** Whether requests started to wait for tokens during the last exchange. */
+  private hasWaitingRequests(): boolean {
+    return this.parts.accounts.all().some(({shortfall}) => shortfall > 0);
   }
 
-  private fade(): void {
+  private decayDemand(): void {
     const now = this.parts.clock.now();
-    for (const account of this.parts.book.all()) {
-      account.fade(now - this.measuredAt);
+    for (const account of this.parts.accounts.all()) {
+      account.decayDemand(now - this.lastDecayAt);
     }
-    this.measuredAt = now;
+    this.lastDecayAt = now;
   }
 
-  private compose(): AllowanceAsk[] {
+  private buildAsks(): AllowanceAsk[] {
     const asks: AllowanceAsk[] = [];
-    for (const account of this.parts.book.all()) {
-      const ask = this.composeFor(account);
+    for (const account of this.parts.accounts.all()) {
+      const ask = this.buildAsk(account);
       if (ask !== undefined) {
         asks.push(ask);
       }
@@ -161,36 +160,49 @@
     return asks;
   }
 
-  private composeFor(account: TokenAccount): AllowanceAsk | undefined {
-    const {book, clock, holders} = this.parts;
-    const {free, need, prepaid} = account;
-    const want = book.wantOf(account);
+  private buildAsk(account: TokenAccount): AllowanceAsk | undefined {
+    const {accounts, clock, holders} = this.parts;
+    const {free, shortfall, prepaid} = account;
+    const target = accounts.targetBalance(account);
     const isHolder = holders.isHolder(account.team);
-    if (account.recalled && isHolder) {
-      account.recalled = false;
-      return this.askFor(account, need, want, Math.max(0, free));
+    if (account.isRecalled && isHolder) {
+      account.isRecalled = false;
+      return this.createAsk(account, shortfall, target, Math.max(0, free));
     }
-    const dry = account.left !== undefined && account.left <= 0;
-    // The first list of boxes names only some; the holders settle after it.
-    const settled = clock.now() - this.startedAt > HOLD_AFTER_MS;
-    const fills = isHolder && settled && free < want * REFILL_BELOW && !dry;
-    if (need > 0 || fills) {
-      const missing = isHolder ? Math.ceil(want - free) : 0;
-      return this.askFor(account, need, Math.max(need, missing), 0);
+    const isCoreEmpty =
+      account.coreRemaining !== undefined && account.coreRemaining <= 0;
+    // After a start the list of edges is incomplete, so the holders still change.
+    const isSettled = clock.now() - this.startedAt > HOLD_AFTER_MS;
+    const shouldRefill =
+      isHolder && isSettled && free < target * REFILL_BELOW && !isCoreEmpty;
+    if (shortfall > 0 || shouldRefill) {
+      const missing = isHolder ? Math.ceil(target - free) : 0;
+      return this.createAsk(
+        account,
+        shortfall,
+        Math.max(shortfall, missing),
+        0,
+      );
     }
-    const surplus = Math.floor(free - want);
-    const much = free > want * RETURN_ABOVE;
-    if (isHolder && much && surplus > prepaid * LEAST_RETURNED) {
-      return this.askFor(account, 0, 0, surplus);
+    const surplus = Math.floor(free - target);
+    const isAboveThreshold = free > target * RETURN_ABOVE;
+    if (
+      isHolder &&
+      isAboveThreshold &&
+      surplus > prepaid * MIN_RETURN_BUDGET_FRACTION
+    ) {
+      return this.createAsk(account, 0, 0, surplus);
     }
-    const budgetPart = prepaid * REPORT_ABOVE_BUDGET;
-    const quiet = isHolder ? want * REPORT_ABOVE : budgetPart;
-    return Math.abs(account.unreported) > quiet
-      ? this.askFor(account, 0, 0, 0)
+    const budgetThreshold = prepaid * REPORT_BUDGET_FRACTION;
+    const reportThreshold = isHolder
+      ? target * REPORT_TARGET_FRACTION
+      : budgetThreshold;
+    return Math.abs(account.unreportedTotal) > reportThreshold
+      ? this.createAsk(account, 0, 0, 0)
       : undefined;
   }
 
-  private askFor(
+  private createAsk(
     account: TokenAccount,
     need: number,
     want: number,
@@ -198,25 +210,33 @@
   ): AllowanceAsk {
     account.held -= back;
     if (back > 0) {
-      this.parts.book.noteMove(account, 'returned', -back);
+      this.parts.accounts.logMovement(account, 'returned', -back);
     }
-    const {lent, spent, team} = account;
-    const {share} = this.parts.holders;
-    account.lent = 0;
-    account.spent = 0;
-    return {back, lent, need, share, spent, team, want};
+    const {team, unreportedLent, unreportedSpent} = account;
+    const {ownHallShare} = this.parts.holders;
+    account.unreportedLent = 0;
+    account.unreportedSpent = 0;
+    return {
+      back,
+      lent: unreportedLent,
+      need,
+      share: ownHallShare,
+      spent: unreportedSpent,
+      team,
+      want,
+    };
   }
 
-  /** An exchange whose answer was lost is sent again under its number. */
+  /** Retries an exchange with the same sequence number until it is answered. */
   private async exchangeUntilAnswered(
     asks: readonly AllowanceAsk[],
     signal: AbortSignal,
   ): Promise<void> {
     while (!signal.aborted) {
       const grants = await this.exchange(asks);
-      this.answering = grants !== undefined;
+      this.isReachable = grants !== undefined;
       if (grants !== undefined) {
-        this.credit(grants);
+        this.applyGrants(grants);
         return;
       }
       await this.parts.clock.sleep(EXCHANGE_AGAIN_MS, signal);
@@ -226,31 +246,36 @@
   private async exchange(
     asks: readonly AllowanceAsk[],
   ): Promise<readonly AllowanceGrant[] | undefined> {
-    const {box, controls, life, link} = this.parts;
+    const {box, controls, incarnationId, link} = this.parts;
     const {sequence} = this;
-    const request: AllowanceRequest = {asks, box, holder: life, sequence};
+    const request: AllowanceRequest = {
+      asks,
+      box,
+      holder: incarnationId,
+      sequence,
+    };
     return askForGrants<readonly AllowanceGrant[]>(link, controls(), {
       answerMs: EXCHANGE_MS,
-      onSilent: () => (this.answering = false),
+      onSilent: () => (this.isReachable = false),
       request,
       service: FLEET_SERVICE.allowance,
     });
   }
 
-  private credit(grants: readonly AllowanceGrant[]): void {
-    const {book, clock} = this.parts;
-    this.answeredSequence = this.sequence;
+  private applyGrants(grants: readonly AllowanceGrant[]): void {
+    const {accounts, clock} = this.parts;
+    this.lastAnsweredSequence = this.sequence;
     this.lastAnswerAt = clock.now();
     for (const {granted, left, mostHeld, team} of grants) {
-      const account = book.accountOf(team);
+      const account = accounts.getOrCreate(team);
       account.held += granted;
-      account.left = left;
-      account.leftAt = clock.now();
-      account.mostHeld = mostHeld;
+      account.coreRemaining = left;
+      account.coreRemainingAt = clock.now();
+      account.maxHeld = mostHeld;
       if (granted > 0) {
-        book.noteMove(account, 'core', granted);
+        accounts.logMovement(account, 'core', granted);
       }
     }
-    book.moved.notify();
+    accounts.tokensAdded.notify();
   }
 }
--- a/packages/puffinturn-edge/src/tokens/RequestTokens.ts
+++ b/packages/puffinturn-edge/src/tokens/RequestTokens.ts
@@ -5,94 +5,92 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * The prepaid tokens of one request: set aside at its most before it is sent
- * anywhere, and settled at its cost as it ends.
- */
 import type {TokenFacts} from 'puffinturn-decisions';
 
 import type {Plan} from '../requests/RequestPlan';
 import type {Allowances, ReserveOutcome} from './Allowances';
 import {RESERVE} from './Allowances';
 
-/** What is known of a request's cost as it ends. */
+/** What a request is charged for at its end. */
 export interface RequestCost {
-  /** Whether any part of an upstream's answer went on to the caller. */
+  /** Whether any part of an upstream's response was sent to the caller. */
   readonly passedOn: boolean;
-  /** Whether the whole answer was passed on. */
+  /** Whether the whole response was sent to the caller. */
   readonly whole: boolean;
-  /** Events passed on. */
+  /** Events sent to the caller. */
   readonly events: number;
 }
 
-/** Events an upstream may have made that did not arrive before a break. */
-const UNSEEN_EVENTS = 2;
+/** Events charged beyond those received when a response breaks off. */
+const UNDELIVERED_EVENTS_CHARGED = 2;
 
-/** See the module comment. */
+/**
+ * The prepaid tokens of one request: reserves its maximum cost before it is sent
+ * to an upstream, and settles the actual cost at its end.
+ */
 export class RequestTokens {
-  private reserved = 0;
-  private refused = false;
+  private reservedTokens = 0;
+  private isRefused = false;
 
   constructor(
     private readonly allowances: Allowances,
     private readonly plan: Plan,
-    /** Whether it is among the least urgent requests that need tokens. */
+    /** Whether it belongs to the lowest priority class that uses tokens. */
     private readonly isLeastUrgent = false,
   ) {}
 
-  /** What a refusal for tokens rested on; undefined without one. */
+  /** Token state behind a refused reservation; undefined if none was refused. */
   get facts(): TokenFacts | undefined {
     const {team} = this.plan;
-    return this.refused && team !== undefined
+    return this.isRefused && team !== undefined
       ? this.allowances.factsOf(team.name)
       : undefined;
   }
 
-  /** Sets the most aside that the request can cost, if it is to be paid for. */
+  /** Reserves the maximum cost of the request if it is charged to a budget. */
   async reserve(): Promise<ReserveOutcome> {
     const {service, team, tokens} = this.plan;
-    const counted =
+    const isMetered =
       service.engine !== undefined && team?.prepaidTokens !== undefined;
-    if (!counted || tokens === undefined) {
+    if (!isMetered || tokens === undefined) {
       return RESERVE.held;
     }
-    const most = tokens.prompt + tokens.most;
+    const maxTokens = tokens.prompt + tokens.most;
     const outcome = await this.allowances.reserve(
       team.name,
-      most,
+      maxTokens,
       this.isLeastUrgent,
     );
     if (outcome === RESERVE.held) {
-      this.reserved = most;
+      this.reservedTokens = maxTokens;
     } else {
-      this.refused = true;
+      this.isRefused = true;
     }
     return outcome;
   }
 
-  /** Ends the reservation; returns the tokens charged. */
+  /** Ends the reservation and returns the tokens charged. */
   settle(cost: RequestCost): number {
     const {team} = this.plan;
-    if (this.reserved === 0 || team === undefined) {
+    if (this.reservedTokens === 0 || team === undefined) {
       return 0;
     }
-    const charged = Math.min(this.reserved, this.charge(cost));
-    this.allowances.settle(team.name, this.reserved, charged);
+    const charged = Math.min(this.reservedTokens, this.computeCharge(cost));
+    this.allowances.settle(team.name, this.reservedTokens, charged);
     return charged;
   }
 
   /**
-   * A team pays for what its callers receive. Where an answer was lost or the
-   * caller left before its first word, nothing was received: charged all the same,
-   * such requests would use a budget up early and turn later callers away.
+   * The cost in tokens. A request whose caller received nothing costs nothing;
+   * otherwise lost responses would exhaust the budget early.
    */
-  private charge({events, passedOn, whole}: RequestCost): number {
+  private computeCharge({events, passedOn, whole}: RequestCost): number {
     const {service, tokens} = this.plan;
     if (!passedOn || tokens === undefined) {
       return 0;
     }
-    const made = events + (whole ? 0 : UNSEEN_EVENTS);
-    const out = made * (service.engine?.tokensPerEvent ?? 1);
-    return tokens.prompt + Math.min(tokens.most, out);
+    const producedEvents = events + (whole ? 0 : UNDELIVERED_EVENTS_CHARGED);
+    const outputTokens = producedEvents * (service.engine?.tokensPerEvent ?? 1);
+    return tokens.prompt + Math.min(tokens.most, outputTokens);
   }
 }
--- a/packages/puffinturn-edge/src/tokens/TokenAccount.ts
+++ b/packages/puffinturn-edge/src/tokens/TokenAccount.ts
@@ -5,156 +5,160 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The prepaid tokens of one team at one edge: what is held and how fast it goes. */
 import {DEMAND_WINDOW_MS, EXHAUSTED_MS} from '../EdgeConstants';
 
-/** Least part of the window that a demand must have been measured for. */
-const LEAST_MEASURED = 0.3;
+/** Lower bound of the measured fraction of the demand window. */
+const MIN_WINDOW_FRACTION = 0.3;
 
-/** See the module comment. Times are those of the edge's steady clock, ms. */
+/**
+ * The prepaid tokens of one team on one edge, and the rate at which they are used.
+ * Times are in ms of the monotonic clock.
+ */
 export class TokenAccount {
-  /** Tokens here, reserved ones included. */
+  /** Tokens on this edge, including the reserved ones. */
   held = 0;
   reserved = 0;
   prepaid = 0;
-  /** The most that one request has asked for, tokens. */
-  largest = 0;
-  /** Tokens spent since the edge started. */
+  /** Size of the largest request so far, tokens. */
+  largestRequest = 0;
+  /** Tokens charged since the edge started. */
   charged = 0;
   /**
-   * Tokens set aside since the last exchange with the core, less those that
-   * came back unspent.
+   * Tokens reserved since the last exchange with the core, minus those released
+   * unspent.
    */
-  spent = 0;
-  /** Tokens lent, less those borrowed, since the last exchange with the core. */
-  lent = 0;
-  /** What the core had left at the last exchange. */
-  left: number | undefined;
-  /** When that exchange was answered. */
-  leftAt: number | undefined;
-  /** The most that the core wants held here, besides reserved tokens. */
-  mostHeld = Infinity;
-  /** Whether all that is free must go back to the core. */
-  recalled = false;
-  private readonly waiting = new Set<{readonly tokens: number}>();
-  /** Decaying sum of the tokens taken, as tokens a second. */
-  private demand = 0;
-  private demandSince = Infinity;
+  unreportedSpent = 0;
+  /** Tokens lent minus tokens borrowed since the last exchange with the core. */
+  unreportedLent = 0;
+  /** Tokens that the core could still grant at the last exchange. */
+  coreRemaining: number | undefined;
+  /** Time of the answer to that exchange. */
+  coreRemainingAt: number | undefined;
+  /** Limit of the core for the tokens held here, without the reserved ones. */
+  maxHeld = Infinity;
+  /** Whether all free tokens must be returned to the core. */
+  isRecalled = false;
+  private readonly waitingRequests = new Set<{readonly tokens: number}>();
+  /** Exponentially decaying rate of the tokens taken, per second. */
+  private demandPerSecond = 0;
+  private firstDemandAt = Infinity;
   private exhaustedUntil = -Infinity;
-  private exhaustedNeed = Infinity;
+  private minExhaustedTokens = Infinity;
 
   constructor(readonly team: string) {}
 
-  /** Tokens that a request may reserve. */
+  /** Tokens that are held and not reserved. */
   get free(): number {
     return this.held - this.reserved;
   }
 
-  /** Tokens that waiting requests lack. */
-  get need(): number {
+  /** Tokens that waiting requests need beyond the free ones. */
+  get shortfall(): number {
     let sum = 0;
-    for (const {tokens} of this.waiting) {
+    for (const {tokens} of this.waitingRequests) {
       sum += tokens;
     }
     return sum === 0 ? 0 : Math.max(0, sum - this.free);
   }
 
-  /** Tokens that another edge may have: nothing while own requests wait. */
-  get spare(): number {
-    return this.waiting.size > 0 ? 0 : Math.max(0, this.free);
+  /** Tokens that may be lent; 0 while requests of this edge wait. */
+  get lendable(): number {
+    return this.waitingRequests.size > 0 ? 0 : Math.max(0, this.free);
   }
 
-  /** Tokens that left this account unknown to the core. */
-  get unreported(): number {
-    return this.spent + this.lent;
+  /** Change of the balance that the core has not been told of. */
+  get unreportedTotal(): number {
+    return this.unreportedSpent + this.unreportedLent;
   }
 
-  /** Counts a request among those that wait, until the result is disposed. */
-  waitFor(tokens: number): Disposable {
+  /** Registers a waiting request until the result is disposed. */
+  addWaitingRequest(tokens: number): Disposable {
     const request = {tokens};
-    this.waiting.add(request);
-    return {[Symbol.dispose]: () => void this.waiting.delete(request)};
+    this.waitingRequests.add(request);
+    return {[Symbol.dispose]: () => void this.waitingRequests.delete(request)};
   }
 
-  /** Takes over the budget that a configuration names. */
-  budget(prepaid: number): void {
+  /** Applies the budget of a configuration. */
+  setBudget(prepaid: number): void {
     if (prepaid === this.prepaid) {
       return;
     }
-    // What is free goes back first where the budget was lowered.
-    this.recalled ||= prepaid < this.prepaid;
+    // A lowered budget may be below what was granted, so free tokens go back first.
+    this.isRecalled ||= prepaid < this.prepaid;
     this.exhaustedUntil = -Infinity;
-    this.left = undefined;
-    this.mostHeld = Infinity;
+    this.coreRemaining = undefined;
+    this.maxHeld = Infinity;
     this.prepaid = prepaid;
   }
 
-  /** Sets tokens aside for a request. */
+  /** Reserves tokens for a request. */
   reserve(tokens: number, now: number): void {
     this.reserved += tokens;
-    this.spent += tokens;
-    this.drawn(tokens, now);
+    this.unreportedSpent += tokens;
+    this.recordDemand(tokens, now);
   }
 
-  /** Ends a reservation of which a part was spent. */
+  /** Ends a reservation: charges `spent` and releases the others. */
   settle(reserved: number, spent: number, now: number): void {
     const unspent = reserved - spent;
     this.reserved -= reserved;
     this.held -= spent;
-    this.spent -= unspent;
+    this.unreportedSpent -= unspent;
     this.charged += spent;
-    this.drawn(-unspent, now);
+    this.recordDemand(-unspent, now);
   }
 
-  /** Tokens go to another edge that serves the same hall: a demand on this one. */
+  /** Removes tokens lent to another edge; they count as demand on this one. */
   lend(amount: number, now: number): void {
     this.held -= amount;
-    this.lent += amount;
-    this.drawn(amount, now);
+    this.unreportedLent += amount;
+    this.recordDemand(amount, now);
   }
 
-  /** Tokens lent come back, or another edge hands its own on. */
-  receive(amount: number, now: number): void {
+  /** Adds tokens given by another edge and subtracts them from the demand. */
+  receiveTransfer(amount: number, now: number): void {
     this.held += amount;
-    this.lent -= amount;
-    this.drawn(
-      -Math.min(amount, this.demand * (DEMAND_WINDOW_MS / 1_000)),
+    this.unreportedLent -= amount;
+    this.recordDemand(
+      -Math.min(amount, this.demandPerSecond * (DEMAND_WINDOW_MS / 1_000)),
       now,
     );
   }
 
-  /** Tokens that another edge has given up. */
-  borrow(amount: number): void {
+  /** Adds tokens borrowed from another edge, or a gift that was not accepted. */
+  credit(amount: number): void {
     this.held += amount;
-    this.lent -= amount;
+    this.unreportedLent -= amount;
   }
 
-  /** Lets the measured demand fade over a span of time, ms. */
-  fade(elapsedMs: number): void {
-    this.demand *= Math.exp(-elapsedMs / DEMAND_WINDOW_MS);
+  /** Applies the exponential decay of the demand. */
+  decayDemand(elapsedMs: number): void {
+    this.demandPerSecond *= Math.exp(-elapsedMs / DEMAND_WINDOW_MS);
   }
 
-  /** Tokens taken from here a second. */
-  rate(now: number): number {
-    const sinceMs = now - this.demandSince;
-    const measured = 1 - Math.exp(-sinceMs / DEMAND_WINDOW_MS);
-    return this.demand / Math.max(LEAST_MEASURED, measured);
+  /** Demand in tokens per second, corrected for a short measuring time. */
+  demandRate(now: number): number {
+    const measuredMs = now - this.firstDemandAt;
+    const measuredFraction = 1 - Math.exp(-measuredMs / DEMAND_WINDOW_MS);
+    return (
+      this.demandPerSecond / Math.max(MIN_WINDOW_FRACTION, measuredFraction)
+    );
   }
 
-  /** Notes that core and edges together have too few for such a request. */
-  exhausted(tokens: number, now: number): void {
+  /** Records that the core and all edges have too few tokens for a request. */
+  markExhausted(tokens: number, now: number): void {
     this.exhaustedUntil = now + EXHAUSTED_MS;
-    this.exhaustedNeed = tokens;
+    this.minExhaustedTokens = tokens;
   }
 
-  /** Whether a request this large was found not to fit a moment ago. */
-  knownExhausted(tokens: number, now: number): boolean {
-    return now < this.exhaustedUntil && tokens >= this.exhaustedNeed;
+  /** Whether a request of this size or smaller recently exceeded the budget. */
+  isKnownExhausted(tokens: number, now: number): boolean {
+    return now < this.exhaustedUntil && tokens >= this.minExhaustedTokens;
   }
 
-  private drawn(amount: number, now: number): void {
-    this.demandSince = Math.min(this.demandSince, now);
+  private recordDemand(amount: number, now: number): void {
+    this.firstDemandAt = Math.min(this.firstDemandAt, now);
     const change = (amount * 1_000) / DEMAND_WINDOW_MS;
-    this.demand = Math.max(0, this.demand + change);
+    this.demandPerSecond = Math.max(0, this.demandPerSecond + change);
   }
 }
--- a/packages/puffinturn-edge/src/tokens/TokenBook.ts
+++ b/packages/puffinturn-edge/src/tokens/TokenBook.ts
@@ -5,7 +5,6 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** All token accounts of one edge, and how much each of them should hold. */
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {Clock} from 'shared';
 import {Condition} from 'shared';
@@ -20,20 +19,20 @@
 import type {TokenHolders} from './TokenHolders';
 
 /**
- * Part of what is free that is lent beyond what was needed, so that the next
- * request of the borrower finds some; several edges draw on one holder.
+ * Fraction of the free tokens up to which a loan may exceed the need, for later
+ * requests of the borrower. The rest stays available to other edges.
  */
-const MOST_LENT_UNASKED = 0.25;
+const MAX_EXTRA_LENT_FRACTION = 0.25;
 
-/** See the module comment. */
-export class TokenBook {
-  /** Notified when an account may have to be filled up. */
-  readonly wanted = new Condition();
-  /** Notified when tokens have come in or have become free. */
-  readonly moved = new Condition();
-  /** Notified when an account may hold more than is wanted. */
-  readonly freed = new Condition();
-  private readonly accounts = new Map<string, TokenAccount>();
+/** All token accounts of one edge, and the target balance of each. */
+export class TokenAccounts {
+  /** Notified when an account may need a refill. */
+  readonly refillNeeded = new Condition();
+  /** Notified when tokens were received or released. */
+  readonly tokensAdded = new Condition();
+  /** Notified when an account may exceed its target balance. */
+  readonly surplusPossible = new Condition();
+  private readonly byTeam = new Map<string, TokenAccount>();
 
   constructor(
     private readonly clock: Clock,
@@ -41,79 +40,85 @@
     private readonly holders: TokenHolders,
   ) {}
 
-  /** Every account. */
   all(): TokenAccount[] {
-    return [...this.accounts.values()];
+    return [...this.byTeam.values()];
   }
 
-  /** The account of a team, a new one if there is none. */
-  accountOf(team: string): TokenAccount {
-    const known = this.accounts.get(team);
-    if (known !== undefined) {
-      return known;
+  /** The account of a team; created on first use. */
+  getOrCreate(team: string): TokenAccount {
+    const existing = this.byTeam.get(team);
+    if (existing !== undefined) {
+      return existing;
     }
     const account = new TokenAccount(team);
-    this.accounts.set(team, account);
+    this.byTeam.set(team, account);
     return account;
   }
 
-  /** Tokens free for a request that must leave a part of what is wanted. */
-  freeBeyond(account: TokenAccount, keepPart: number): number {
-    const kept = keepPart === 0 ? 0 : this.wantOf(account) * keepPart;
-    return account.free - kept;
+  /** Free tokens beyond the withheld fraction of the target balance. */
+  freeAboveWithheld(account: TokenAccount, withheldFraction: number): number {
+    const withheld =
+      withheldFraction === 0
+        ? 0
+        : this.targetBalance(account) * withheldFraction;
+    return account.free - withheld;
   }
 
-  /** Sets tokens aside where enough are free. */
-  take(account: TokenAccount, tokens: number, keepPart = 0): boolean {
-    if (this.freeBeyond(account, keepPart) < tokens) {
+  /** Reserves tokens; returns false if too few are free. */
+  tryReserve(
+    account: TokenAccount,
+    tokens: number,
+    withheldFraction = 0,
+  ): boolean {
+    if (this.freeAboveWithheld(account, withheldFraction) < tokens) {
       return false;
     }
     account.reserve(tokens, this.clock.now());
-    this.lookAfter(account);
+    this.notifyIfLow(account);
     return true;
   }
 
-  /** Lends tokens where enough are free; 0 where they are not. */
+  /** Lends tokens and returns the amount; 0 if too few are free. */
   lend(
     account: TokenAccount,
     need: number,
     want: number,
-    keepPart = 0,
+    withheldFraction = 0,
   ): number {
-    if (this.freeBeyond(account, keepPart) < need || need < 0) {
+    if (this.freeAboveWithheld(account, withheldFraction) < need || need < 0) {
       return 0;
     }
-    const spare = Math.floor(account.free * MOST_LENT_UNASKED);
-    const given = Math.max(need, Math.min(want, spare));
+    const maxExtra = Math.floor(account.free * MAX_EXTRA_LENT_FRACTION);
+    const given = Math.max(need, Math.min(want, maxExtra));
     account.lend(given, this.clock.now());
     if (given > 0) {
-      this.noteMove(account, 'lent', -given);
+      this.logMovement(account, 'lent', -given);
     }
-    this.lookAfter(account);
+    this.notifyIfLow(account);
     return given;
   }
 
   /**
-   * Tokens to hold: at the holder of a hall some seconds of the hall's demand,
-   * elsewhere only a float for this edge's own next requests.
+   * Tokens that this edge should hold: some seconds of the hall's demand on its
+   * holder, and a small reserve for its own requests on any other edge.
    */
-  wantOf(account: TokenAccount): number {
-    const rate = account.rate(this.clock.now());
+  targetBalance(account: TokenAccount): number {
+    const demandRate = account.demandRate(this.clock.now());
     if (!this.holders.isHolder(account.team)) {
-      return Math.ceil(rate * FLOAT_SECONDS);
+      return Math.ceil(demandRate * FLOAT_SECONDS);
     }
-    const {hallCount, share} = this.holders;
-    const floor = account.prepaid * ALLOWANCE_FLOOR_SHARE * share;
-    // Halls lend to each other, so together they hold the largest request.
-    const largest = account.largest / Math.max(1, hallCount);
-    const demand = rate * ALLOWANCE_SECONDS;
-    const want = Math.max(floor, largest, demand);
-    return Math.ceil(Math.min(want, account.mostHeld));
+    const {hallCount, ownHallShare} = this.holders;
+    const minimum = account.prepaid * ALLOWANCE_FLOOR_SHARE * ownHallShare;
+    // Halls can borrow from each other, so they share the largest request.
+    const largest = account.largestRequest / Math.max(1, hallCount);
+    const demand = demandRate * ALLOWANCE_SECONDS;
+    const target = Math.max(minimum, largest, demand);
+    return Math.ceil(Math.min(target, account.maxHeld));
   }
 
-  /** Writes a movement of tokens down. */
-  noteMove(
-    {held, left, reserved, team}: TokenAccount,
+  /** Logs a transfer of tokens to or from this edge. */
+  logMovement(
+    {held, coreRemaining, reserved, team}: TokenAccount,
     source: string,
     amount: number,
     peer?: string,
@@ -122,7 +127,7 @@
       amount,
       event: 'allowance-moved',
       held,
-      left,
+      left: coreRemaining,
       peer,
       reserved,
       source,
@@ -130,9 +135,9 @@
     });
   }
 
-  private lookAfter(account: TokenAccount): void {
-    if (account.free < this.wantOf(account) * REFILL_BELOW) {
-      this.wanted.notify();
+  private notifyIfLow(account: TokenAccount): void {
+    if (account.free < this.targetBalance(account) * REFILL_BELOW) {
+      this.refillNeeded.notify();
     }
   }
 }
--- a/packages/puffinturn-edge/src/tokens/TokenGifts.ts
+++ b/packages/puffinturn-edge/src/tokens/TokenGifts.ts
@@ -5,13 +5,6 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Tokens that an edge hands on: what it does not need to the holders of its
- * hall, and all of it as it stops. Gifts of one edge to another are numbered
- * and sent one after the other, each until it is answered; the receiver takes
- * each number once, so that a gift sent again does not count twice. A gift is for
- * one life of its receiver: the next one can't know what that took, and spent.
- */
 import {LRUCache} from 'lru-cache';
 import type {Gift, GiveReply, GiveRequest} from 'puffinturn-fleet';
 import {FLEET_SERVICE} from 'puffinturn-fleet';
@@ -20,110 +13,120 @@
 
 import {BORROW_MS} from '../EdgeConstants';
 import type {TokenAccount} from './TokenAccount';
-import type {TokenBook} from './TokenBook';
+import type {TokenAccounts} from './TokenBook';
 import type {TokenHolders} from './TokenHolders';
 
-/** Less than this is not worth handing on, tokens. */
-const LEAST_HANDED_ON = 64;
+/** Smallest surplus that is given to a holder, tokens. */
+const MIN_GIFT_TOKENS = 64;
 
-/** Tokens stay while no more than this multiple of what is wanted is free. */
-const HAND_ON_ABOVE = 1.5;
+/** Surplus is given above this multiple of the target balance. */
+const SURPLUS_THRESHOLD_RATIO = 1.5;
 
-/** Edges that tokens are offered to one after the other. */
-const MOST_OFFERED = 4;
+/** Edges that are offered a gift, one after the other. */
+const MAX_RECEIVERS_TRIED = 4;
 
-/** Pause before an unanswered gift is sent again, ms. */
-const AGAIN_EVERY_MS = 200;
+/** Delay before an unanswered gift is sent again, ms. */
+const GIFT_RETRY_INTERVAL_MS = 200;
 
-/** How often a gift is sent; a receiver that is silent for longer is dead. */
-const MOST_SENT = 15;
+/** Attempts to send a gift before the receiver is considered dead. */
+const MAX_GIFT_ATTEMPTS = 15;
 
 /**
- * Givers whose last number is remembered: far more than ever give within the
- * seconds in which a gift is sent again.
+ * Givers whose last gift number is stored. It must exceed the number of givers
+ * within the seconds in which a gift is retried.
  */
-const MAX_GIVERS = 10_000;
+const MAX_TRACKED_GIVERS = 10_000;
 
-/** What became of a gift offered to one life of an edge. */
-const OFFER = {
+/** Outcomes of a gift offered to one run of an edge. */
+const OFFER_OUTCOME = {
   taken: 'taken',
   refused: 'refused',
-  /** That life is over, and the gift has not reached it. */
+  /** The receiver was restarted before any copy of the gift could arrive. */
   restarted: 'restarted',
-  /** It may have been taken; nobody will say. */
+  /** No answer arrived; the gift may have been accepted. */
   unknown: 'unknown',
 } as const;
 
-interface Offer {
-  readonly outcome: (typeof OFFER)[keyof typeof OFFER];
-  /** The life that has answered. */
+interface OfferResult {
+  readonly outcome: (typeof OFFER_OUTCOME)[keyof typeof OFFER_OUTCOME];
+  /** The incarnation ID of the process that answered. */
   readonly receiver?: string | undefined;
 }
 
-/** What TokenGifts are made of. */
+/** Dependencies of {@link TokenGifts}. */
 export interface TokenGiftsParts {
-  /** One life of this edge. */
-  readonly life: string;
+  /** Identifies this run of the edge process; a restart changes it. */
+  readonly incarnationId: string;
   readonly clock: Clock;
   readonly link: Link;
-  readonly book: TokenBook;
+  readonly accounts: TokenAccounts;
   readonly holders: TokenHolders;
-  /** Whether this edge takes no gifts any more. */
-  readonly refuses: () => boolean;
+  /** Whether this edge is stopping and refuses gifts. */
+  readonly isClosing: () => boolean;
 }
 
-/** See the module comment. */
+/**
+ * Gives tokens to other edges: surplus to the holders of the hall, and all free
+ * tokens when this edge stops.
+ *
+ * Each gift has a number that grows per giver, and is retried until it is answered.
+ * Gifts to one edge are sent one at a time, so the receiver detects a retry by its
+ * number. A gift is addressed to one run of the receiver, because a restarted
+ * process can't know what the former one accepted and spent.
+ */
 export class TokenGifts implements Disposable {
-  private readonly lastNumbers = new LRUCache<string, number>({
-    max: MAX_GIVERS,
+  private readonly lastNumberByGiver = new LRUCache<string, number>({
+    max: MAX_TRACKED_GIVERS,
   });
-  /** Edges that a gift is under way to. */
-  private readonly receivers = new Set<string>();
+  /** Edges with an unanswered gift. */
+  private readonly pendingReceivers = new Set<string>();
   private readonly registration: Disposable;
-  private number = 0;
+  private lastNumber = 0;
 
   constructor(private readonly parts: TokenGiftsParts) {
     this.registration = parts.link.register(
       FLEET_SERVICE.give,
       async (body): Promise<GiveReply> => ({
-        receiver: parts.life,
-        taken: this.receive(body as GiveRequest),
+        receiver: parts.incarnationId,
+        taken: this.handleGive(body as GiveRequest),
       }),
     );
   }
 
-  /** Hands what this edge does not need to the holders of its hall. */
-  async handSurplusOn(): Promise<void> {
-    const {book, holders} = this.parts;
+  /** Gives the surplus of each account to the holder of the hall. */
+  async giveSurplus(): Promise<void> {
+    const {accounts, holders} = this.parts;
     const gifts = new Map<string, Gift[]>();
-    for (const account of book.all()) {
-      const [holder] = holders.ahead(account.team);
-      if (holder === undefined || this.receivers.has(holder)) {
+    for (const account of accounts.all()) {
+      const [holder] = holders.preferredHolders(account.team);
+      if (holder === undefined || this.pendingReceivers.has(holder)) {
         continue;
       }
-      const amount = surplusOf(account, book.wantOf(account));
+      const amount = takeSurplus(account, accounts.targetBalance(account));
       if (amount > 0) {
         const some = gifts.get(holder) ?? [];
-        gifts.set(holder, [...some, this.takeOut(account, amount)]);
+        gifts.set(holder, [...some, this.withdraw(account, amount)]);
       }
     }
     await Promise.all(
-      [...gifts].map(([holder, some]) => this.give([holder], some)),
+      [...gifts].map(([holder, some]) => this.offerInOrder([holder], some)),
     );
   }
 
-  /** Hands all that is free in some accounts to the next edge that takes it. */
-  async handOn(isHandedOn: (account: TokenAccount) => boolean): Promise<void> {
-    const {book, holders} = this.parts;
-    const accounts = book
+  /** Gives the free tokens of selected accounts to the first edge that accepts. */
+  async giveFree(
+    isSelected: (account: TokenAccount) => boolean,
+  ): Promise<void> {
+    const {accounts, holders} = this.parts;
+    const selected = accounts
       .all()
-      .filter((account) => account.free > 0 && isHandedOn(account));
-    for (const account of accounts) {
+      .filter((account) => account.free > 0 && isSelected(account));
+    for (const account of selected) {
       const boxes = holders
         .successors(account.team)
-        .filter((box) => !this.receivers.has(box))
-        .slice(0, MOST_OFFERED);
-      await this.give(boxes, [this.takeOut(account, account.free)]);
+        .filter((box) => !this.pendingReceivers.has(box))
+        .slice(0, MAX_RECEIVERS_TRIED);
+      await this.offerInOrder(boxes, [this.withdraw(account, account.free)]);
     }
   }
 
@@ -131,58 +134,67 @@
     this.registration[Symbol.dispose]();
   }
 
-  /** Offers a gift to one edge after the other; keeps what none has taken. */
-  private async give(
+  /** Offers gifts to one edge after the other; takes them back if none accepts. */
+  private async offerInOrder(
     boxes: readonly string[],
     gifts: readonly Gift[],
   ): Promise<void> {
     for (const box of boxes) {
       const outcome = await this.offer(box, gifts);
-      if (outcome === OFFER.unknown) {
-        this.noteLost(box, gifts);
+      if (outcome === OFFER_OUTCOME.unknown) {
+        this.logLost(box, gifts);
       }
-      if (outcome === OFFER.taken || outcome === OFFER.unknown) {
+      if (
+        outcome === OFFER_OUTCOME.taken ||
+        outcome === OFFER_OUTCOME.unknown
+      ) {
         return;
       }
-      this.parts.holders.suspect(box);
+      this.parts.holders.markSuspect(box);
     }
     for (const {amount, team} of gifts) {
-      const account = this.parts.book.accountOf(team);
-      account.borrow(amount);
-      this.parts.book.noteMove(account, 'kept', amount);
+      const account = this.parts.accounts.getOrCreate(team);
+      account.credit(amount);
+      this.parts.accounts.logMovement(account, 'kept', amount);
     }
   }
 
-  /** Offers a gift to an edge; to its next life if it was restarted unnoticed. */
+  /** Offers gifts to an edge; once more if it was restarted in the meantime. */
   private async offer(
     box: string,
     gifts: readonly Gift[],
-  ): Promise<Offer['outcome']> {
-    this.receivers.add(box);
-    using _done = {[Symbol.dispose]: () => void this.receivers.delete(box)};
-    const known = this.parts.holders.lifeOf(box);
-    const {outcome, receiver} = await this.offerTo(box, known ?? '', gifts);
-    if (outcome !== OFFER.restarted || receiver === undefined) {
+  ): Promise<OfferResult['outcome']> {
+    this.pendingReceivers.add(box);
+    using _done = {
+      [Symbol.dispose]: () => void this.pendingReceivers.delete(box),
+    };
+    const knownIncarnationId = this.parts.holders.incarnationIdOf(box);
+    const {outcome, receiver} = await this.sendOffer(
+      box,
+      knownIncarnationId ?? '',
+      gifts,
+    );
+    if (outcome !== OFFER_OUTCOME.restarted || receiver === undefined) {
       return outcome;
     }
-    return (await this.offerTo(box, receiver, gifts)).outcome;
+    return (await this.sendOffer(box, receiver, gifts)).outcome;
   }
 
-  private async offerTo(
+  private async sendOffer(
     box: string,
     receiver: string,
     gifts: readonly Gift[],
-  ): Promise<Offer> {
-    const {clock, life, link} = this.parts;
-    this.number += 1;
+  ): Promise<OfferResult> {
+    const {clock, incarnationId, link} = this.parts;
+    this.lastNumber += 1;
     const request: GiveRequest = {
       gifts,
-      giver: life,
-      number: this.number,
+      giver: incarnationId,
+      number: this.lastNumber,
       receiver,
     };
     let mayHaveArrived = false;
-    for (let sent = 0; sent < MOST_SENT; sent += 1) {
+    for (let attempt = 0; attempt < MAX_GIFT_ATTEMPTS; attempt += 1) {
       const answer = await link.call(
         box,
         FLEET_SERVICE.give,
@@ -190,84 +202,85 @@
         BORROW_MS,
       );
       if (answer.isOk()) {
-        return offerAnswered(
-          request,
-          answer.value as GiveReply,
-          mayHaveArrived,
-        );
+        return offerResult(request, answer.value as GiveReply, mayHaveArrived);
       }
       mayHaveArrived ||= answer.error.kind !== 'not-sent';
       if (!mayHaveArrived) {
-        return {outcome: OFFER.refused};
+        return {outcome: OFFER_OUTCOME.refused};
       }
-      await clock.sleep(AGAIN_EVERY_MS);
+      await clock.sleep(GIFT_RETRY_INTERVAL_MS);
     }
-    return {outcome: OFFER.unknown};
+    return {outcome: OFFER_OUTCOME.unknown};
   }
 
-  private noteLost(box: string, gifts: readonly Gift[]): void {
-    const {book} = this.parts;
+  private logLost(box: string, gifts: readonly Gift[]): void {
+    const {accounts} = this.parts;
     for (const {amount, team} of gifts) {
-      book.noteMove(book.accountOf(team), 'gift-unknown', amount, box);
+      accounts.logMovement(
+        accounts.getOrCreate(team),
+        'gift-unknown',
+        amount,
+        box,
+      );
     }
   }
 
-  private receive({gifts, giver, number, receiver}: GiveRequest): boolean {
-    const {book, clock, life, refuses} = this.parts;
-    if (receiver !== undefined && receiver !== life) {
+  private handleGive({gifts, giver, number, receiver}: GiveRequest): boolean {
+    const {accounts, clock, incarnationId, isClosing} = this.parts;
+    if (receiver !== undefined && receiver !== incarnationId) {
       return false;
     }
-    if (number <= (this.lastNumbers.get(giver) ?? 0)) {
+    if (number <= (this.lastNumberByGiver.get(giver) ?? 0)) {
       return true;
     }
-    if (refuses()) {
+    if (isClosing()) {
       return false;
     }
-    this.lastNumbers.set(giver, number);
+    this.lastNumberByGiver.set(giver, number);
     for (const {amount, team} of gifts) {
-      const account = book.accountOf(team);
-      account.receive(amount, clock.now());
-      book.noteMove(account, 'gift', amount, giver);
+      const account = accounts.getOrCreate(team);
+      account.receiveTransfer(amount, clock.now());
+      accounts.logMovement(account, 'gift', amount, giver);
     }
-    book.moved.notify();
+    accounts.tokensAdded.notify();
     return true;
   }
 
-  private takeOut(account: TokenAccount, amount: number): Gift {
+  private withdraw(account: TokenAccount, amount: number): Gift {
     account.held -= amount;
-    account.lent += amount;
-    this.parts.book.noteMove(account, 'given', -amount);
+    account.unreportedLent += amount;
+    this.parts.accounts.logMovement(account, 'given', -amount);
     return {amount, team: account.team};
   }
 }
 
-function offerAnswered(
-  {receiver: addressed}: GiveRequest,
+function offerResult(
+  {receiver: expectedReceiver}: GiveRequest,
   {receiver, taken}: GiveReply,
   mayHaveArrived: boolean,
-): Offer {
+): OfferResult {
   if (taken) {
-    return {outcome: OFFER.taken};
+    return {outcome: OFFER_OUTCOME.taken};
   }
-  if (receiver === addressed) {
-    return {outcome: OFFER.refused};
+  if (receiver === expectedReceiver) {
+    return {outcome: OFFER_OUTCOME.refused};
   }
-  // The life that it was for may have taken an earlier copy, and spent it: kept
-  // here as well, tokens would count twice.
+  // The former process may have accepted and spent an earlier copy. Keeping the gift
+  // here would then count its tokens twice.
   return mayHaveArrived
-    ? {outcome: OFFER.unknown}
-    : {outcome: OFFER.restarted, receiver};
+    ? {outcome: OFFER_OUTCOME.unknown}
+    : {outcome: OFFER_OUTCOME.restarted, receiver};
 }
 
-function surplusOf(account: TokenAccount, want: number): number {
-  if (account.need > 0) {
+function takeSurplus(account: TokenAccount, target: number): number {
+  if (account.shortfall > 0) {
     return 0;
   }
-  if (account.recalled) {
-    account.recalled = false;
+  if (account.isRecalled) {
+    account.isRecalled = false;
     return Math.max(0, account.free);
   }
-  const surplus = Math.floor(account.free - want);
-  const much = account.free > want * HAND_ON_ABOVE;
-  return much && surplus >= LEAST_HANDED_ON ? surplus : 0;
+  const surplus = Math.floor(account.free - target);
+  const isAboveThreshold = account.free > target * SURPLUS_THRESHOLD_RATIO;
+  return isAboveThreshold && surplus >= MIN_GIFT_TOKENS ? surplus : 0;
 }
--- a/packages/puffinturn-edge/src/tokens/TokenHolders.ts
+++ b/packages/puffinturn-edge/src/tokens/TokenHolders.ts
@@ -5,159 +5,163 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Which edge of a hall holds a team's tokens for all edges of that hall: the
- * first by rendezvous among those that answer. Edges that know the same boxes
- * agree; where they don't, tokens are lent by whoever has some. Edges of other halls
- * are named the own region first: the way to the others is long and thin.
- */
 import type {BoxRecord} from 'puffinturn-fleet';
 import {lifeOf, Regions} from 'puffinturn-fleet';
 import type {Clock} from 'shared';
 import {hashOf, rendezvousWeight} from 'shared';
 
-/** How long an edge that did not answer is passed over, ms. */
-const SUSPECT_MS = 1_500;
+/** Time for which an edge that did not answer is skipped, ms. */
+const SUSPECT_TIMEOUT_MS = 1_500;
 
 interface Candidate {
   readonly box: string;
   readonly hash: number;
 }
 
-/** See the module comment. */
+/**
+ * Selects the edge of each hall that holds a team's tokens, by rendezvous hashing
+ * among the edges that answer. Edges with the same list of boxes agree on it; while
+ * lists differ, any edge that has tokens can lend them. Halls of the own region are
+ * listed first, because links between regions are slow.
+ */
 export class TokenHolders {
-  private halls = new Map<string, Candidate[]>();
-  private readonly ranks = new Map<string, readonly string[]>();
-  private readonly suspects = new Map<string, number>();
-  private others: readonly BoxRecord[] | undefined;
+  private edgesByHall = new Map<string, Candidate[]>();
+  private readonly rankingCache = new Map<string, readonly string[]>();
+  private readonly suspectedUntil = new Map<string, number>();
+  private otherEdges: readonly BoxRecord[] | undefined;
 
   constructor(
     private readonly self: {readonly box: string; readonly hall: string},
     private readonly clock: Clock,
-    /** The other edges; a new list is a new array. */
-    private readonly edges: () => readonly BoxRecord[],
+    /** The other edges; returns a new array after each change. */
+    private readonly listOtherEdges: () => readonly BoxRecord[],
     private readonly regions = new Regions(),
   ) {}
 
-  /** How many halls have edges. */
+  /** Number of halls that have edges. */
   get hallCount(): number {
     this.refresh();
-    return this.halls.size;
+    return this.edgesByHall.size;
   }
 
-  /** The part of all edges that the own hall has: what it should hold for. */
-  get share(): number {
+  /** Fraction of all edges that are in the hall of this edge. */
+  get ownHallShare(): number {
     this.refresh();
-    const own = this.halls.get(this.self.hall)?.length ?? 1;
-    const all = 1 + (this.others?.length ?? 0);
+    const own = this.edgesByHall.get(this.self.hall)?.length ?? 1;
+    const all = 1 + (this.otherEdges?.length ?? 0);
     return own / all;
   }
 
   /** Whether this edge holds the tokens of a team for its hall. */
   isHolder(team: string): boolean {
-    return this.ranked(team, this.self.hall)[0] === this.self.box;
+    return this.rankedEdges(team, this.self.hall)[0] === this.self.box;
   }
 
-  /** Edges of the own hall to ask before this one, the holder first. */
-  ahead(team: string): readonly string[] {
-    const ranked = this.ranked(team, this.self.hall);
+  /** Edges of this hall that rank above this one, the holder first. */
+  preferredHolders(team: string): readonly string[] {
+    const ranked = this.rankedEdges(team, this.self.hall);
     return ranked.slice(0, ranked.indexOf(this.self.box));
   }
 
-  /** The edge that holds the tokens once this one is gone, then all others. */
+  /** All other edges in the order in which they take over from this one. */
   successors(team: string): readonly string[] {
-    const own = this.ranked(team, this.self.hall);
-    const away = this.otherHalls().flatMap((hall) => this.ranked(team, hall));
-    return [...own, ...away].filter((box) => box !== this.self.box);
+    const own = this.rankedEdges(team, this.self.hall);
+    const remote = this.otherHalls().flatMap((hall) =>
+      this.rankedEdges(team, hall),
+    );
+    return [...own, ...remote].filter((box) => box !== this.self.box);
   }
 
-  /** The life of another edge, as the list of boxes has it. */
-  lifeOf(box: string): string | undefined {
+  /** The incarnation ID of another edge according to the list of boxes. */
+  incarnationIdOf(box: string): string | undefined {
     this.refresh();
-    const found = this.others?.find((other) => other.box === box);
+    const found = this.otherEdges?.find((other) => other.box === box);
     return found === undefined ? undefined : lifeOf(found);
   }
 
-  /** The holders in all other halls, and the next ones in the own hall. */
-  elsewhere(team: string): readonly string[] {
-    const own = this.ranked(team, this.self.hall).slice(0, 2);
-    const away = this.otherHalls().flatMap((hall) =>
-      this.ranked(team, hall).slice(0, 1),
+  /** Edges to borrow from: the first ones of this hall, then the other holders. */
+  lendersFor(team: string): readonly string[] {
+    const own = this.rankedEdges(team, this.self.hall).slice(0, 2);
+    const remote = this.otherHalls().flatMap((hall) =>
+      this.rankedEdges(team, hall).slice(0, 1),
     );
-    return [...own, ...away].filter((box) => box !== this.self.box);
+    return [...own, ...remote].filter((box) => box !== this.self.box);
   }
 
-  /** Whether an edge is in another region than this one. */
-  isAway(box: string): boolean {
+  /** Whether an edge is known to be in another region. */
+  isInOtherRegion(box: string): boolean {
     this.refresh();
-    const found = this.others?.find((other) => other.box === box);
-    return found !== undefined && this.isFar(found.hall);
+    const found = this.otherEdges?.find((other) => other.box === box);
+    return found !== undefined && this.isHallInOtherRegion(found.hall);
   }
 
-  /** Passes over an edge that did not answer, for a while. */
-  suspect(box: string): void {
+  /** Skips an edge that did not answer for the duration of the timeout. */
+  markSuspect(box: string): void {
     const now = this.clock.now();
-    for (const [other, until] of this.suspects) {
+    for (const [other, until] of this.suspectedUntil) {
       if (until <= now) {
-        this.suspects.delete(other);
+        this.suspectedUntil.delete(other);
       }
     }
-    this.suspects.set(box, now + SUSPECT_MS);
+    this.suspectedUntil.set(box, now + SUSPECT_TIMEOUT_MS);
   }
 
   private otherHalls(): string[] {
     this.refresh();
-    const others = [...this.halls.keys()].filter(
+    const others = [...this.edgesByHall.keys()].filter(
       (hall) => hall !== this.self.hall,
     );
-    const near = others.filter((hall) => !this.isFar(hall));
-    return [...near, ...others.filter((hall) => this.isFar(hall))];
+    const sameRegion = others.filter((hall) => !this.isHallInOtherRegion(hall));
+    return [
+      ...sameRegion,
+      ...others.filter((hall) => this.isHallInOtherRegion(hall)),
+    ];
   }
 
-  private isFar(hall: string): boolean {
+  private isHallInOtherRegion(hall: string): boolean {
     return !this.regions.areTogether(this.self.hall, hall);
   }
 
-  /** Edges of a hall, the holder first, without those that did not answer. */
-  private ranked(team: string, hall: string): readonly string[] {
+  /** Edges of a hall, the holder first, without suspected ones. */
+  private rankedEdges(team: string, hall: string): readonly string[] {
     this.refresh();
     const key = `${hall} ${team}`;
-    let boxes = this.ranks.get(key);
+    let boxes = this.rankingCache.get(key);
     if (boxes === undefined) {
-      boxes = this.rank(team, hall);
-      this.ranks.set(key, boxes);
+      boxes = this.rankEdges(team, hall);
+      this.rankingCache.set(key, boxes);
     }
-    return this.suspects.size === 0
+    return this.suspectedUntil.size === 0
       ? boxes
-      : boxes.filter((box) => !this.isSuspect(box));
+      : boxes.filter((box) => !this.isSuspected(box));
   }
 
-  private rank(team: string, hall: string): readonly string[] {
+  private rankEdges(team: string, hall: string): readonly string[] {
     const teamHash = hashOf(team);
-    const candidates = [...(this.halls.get(hall) ?? [])];
+    const candidates = [...(this.edgesByHall.get(hall) ?? [])];
     const weight = ({hash}: Candidate): number =>
       rendezvousWeight(hash, teamHash);
     candidates.sort((a, b) => weight(b) - weight(a));
     return candidates.map(({box}) => box);
   }
 
-  private isSuspect(box: string): boolean {
-    return (this.suspects.get(box) ?? -Infinity) > this.clock.now();
+  private isSuspected(box: string): boolean {
+    return (this.suspectedUntil.get(box) ?? -Infinity) > this.clock.now();
   }
 
-  /** Groups the edges by hall again where the list has changed. */
+  /** Rebuilds the index by hall if the list of edges has changed. */
   private refresh(): void {
-    const others = this.edges();
-    if (others === this.others) {
+    const others = this.listOtherEdges();
+    if (others === this.otherEdges) {
       return;
     }
-    this.others = others;
-    this.ranks.clear();
-    this.halls = new Map();
+    this.otherEdges = others;
+    this.rankingCache.clear();
+    this.edgesByHall = new Map();
     for (const {box, hall} of [this.self, ...others]) {
-      const candidates = this.halls.get(hall) ?? [];
+      const candidates = this.edgesByHall.get(hall) ?? [];
       candidates.push({box, hash: hashOf(box)});
-      this.halls.set(hall, candidates);
+      this.edgesByHall.set(hall, candidates);
     }
   }
 }
--- a/packages/puffinturn-edge/src/tokens/TokenLoans.ts
+++ b/packages/puffinturn-edge/src/tokens/TokenLoans.ts
@@ -5,12 +5,6 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Loans of tokens between edges. Each has a number in its borrower's life. One
- * whose answer does not come in time may have been granted, so the borrower
- * asks for its outcome until the lender tells it: nothing is lost on the way,
- * and since only the borrower credits it, nothing can count twice.
- */
 import {LRUCache} from 'lru-cache';
 import type {BorrowReply, BorrowRequest} from 'puffinturn-fleet';
 import {FLEET_SERVICE, LOAN} from 'puffinturn-fleet';
@@ -20,84 +14,90 @@
 
 import {BORROW_MS, GATHER_MS} from '../EdgeConstants';
 import type {TokenAccount} from './TokenAccount';
-import type {TokenBook} from './TokenBook';
+import type {TokenAccounts} from './TokenBook';
 import type {TokenHolders} from './TokenHolders';
 
-/** Edges asked for tokens at the same time. */
-const BORROW_AT_ONCE = 3;
+/** Edges that are asked for tokens at the same time. */
+const MAX_CONCURRENT_LOANS = 3;
 
-/** Outcomes of loans that a lender remembers; some seconds' worth of them. */
-const MAX_OUTCOMES = 2_000;
+/** Outcomes that a lender caches; enough for several seconds of loans. */
+const MAX_CACHED_OUTCOMES = 2_000;
 
-/** Pause before the outcome of a loan is asked for again, ms. */
-const OUTCOME_EVERY_MS = 400;
+/** Delay before each request for the outcome of a loan, ms. */
+const OUTCOME_RETRY_INTERVAL_MS = 400;
 
-/** How often it is asked for; a lender that is silent for longer is dead. */
-const OUTCOME_TRIES = 12;
+/** Requests for an outcome before the lender is considered dead. */
+const MAX_OUTCOME_ATTEMPTS = 12;
 
-/** How an edge is asked for tokens; see BorrowRequest. */
-export interface LoanTerms extends Pick<BorrowRequest, 'gather'> {
-  readonly keepPart: number;
+/** Options of a loan; see {@link BorrowRequest}. */
+export interface LoanOptions extends Pick<BorrowRequest, 'gather'> {
+  /** Fraction of its target balance that the lender withholds. */
+  readonly withheldFraction: number;
 }
 
-/** What came of asking the holders elsewhere. */
-export interface BorrowedElsewhere {
+/** Result of borrowing from several edges. */
+export interface BorrowResult {
   readonly allAnswered: boolean;
-  /** Tokens that they gave. */
+  /** Tokens that were lent. */
   readonly borrowed: number;
 }
 
-/** Decides on a loan at the lender. */
-export type Lend = (request: BorrowRequest) => Promise<BorrowReply>;
+/** Handles a loan request on the lender. */
+export type LendHandler = (request: BorrowRequest) => Promise<BorrowReply>;
 
-/** What TokenLoans are made of. */
+/** Dependencies of {@link TokenLoans}. */
 export interface TokenLoansParts {
-  /** One life of this edge. */
-  readonly life: string;
+  /** Identifies this run of the edge process; a restart changes it. */
+  readonly incarnationId: string;
   readonly clock: Clock;
   readonly link: Link;
-  readonly book: TokenBook;
+  readonly accounts: TokenAccounts;
   readonly holders: TokenHolders;
-  readonly lend: Lend;
+  readonly lend: LendHandler;
 }
 
-/** See the module comment. */
+/**
+ * Loans of tokens between edges. Each loan has a number that is unique per
+ * borrower. A loan whose answer is late may have been granted, so the borrower polls
+ * its outcome. Only the borrower credits a loan, and only once: no token is lost or
+ * counted twice.
+ */
 export class TokenLoans implements AsyncDisposable {
   private readonly outcomes = new LRUCache<string, Promise<BorrowReply>>({
-    max: MAX_OUTCOMES,
+    max: MAX_CACHED_OUTCOMES,
   });
   private readonly tasks = new TaskGroup();
   private readonly registration: Disposable;
-  private number = 0;
+  private lastNumber = 0;
 
   constructor(private readonly parts: TokenLoansParts) {
     this.registration = parts.link.register(FLEET_SERVICE.borrow, (body) =>
-      this.answer(body as BorrowRequest),
+      this.handleBorrow(body as BorrowRequest),
     );
   }
 
   /**
-   * Asks one edge for tokens that a request lacks; undefined when it does not
-   * answer. With `gather`, that edge may ask the core and the other halls.
+   * Borrows missing tokens from one edge; returns undefined if it does not answer.
+   * With `gather`, that edge may ask the core and other edges first.
    */
   async borrowFrom(
     lender: string,
     account: TokenAccount,
     tokens: number,
-    {gather, keepPart}: LoanTerms,
+    {gather, withheldFraction}: LoanOptions,
   ): Promise<BorrowReply | undefined> {
-    const {book, holders, life, link} = this.parts;
+    const {accounts, holders, incarnationId, link} = this.parts;
     const need = Math.max(0, tokens - account.free);
-    this.number += 1;
+    this.lastNumber += 1;
     const request: BorrowRequest = {
-      borrower: life,
+      borrower: incarnationId,
       gather,
-      keepPart,
+      keepPart: withheldFraction,
       need,
-      number: this.number,
+      number: this.lastNumber,
       outcomeOnly: false,
       team: account.team,
-      want: need + book.wantOf(account),
+      want: need + accounts.targetBalance(account),
     };
     const timeoutMs = gather ? GATHER_MS : BORROW_MS;
     const answer = await link.call(
@@ -107,45 +107,47 @@
       timeoutMs,
     );
     if (answer.isErr()) {
-      holders.suspect(lender);
+      holders.markSuspect(lender);
       if (answer.error.kind !== 'not-sent') {
         this.tasks.start((signal) =>
-          this.askForOutcome(lender, account, request, signal),
+          this.pollOutcome(lender, account, request, signal),
         );
       }
       return undefined;
     }
     const reply = answer.value as BorrowReply;
-    this.credit(lender, account, reply);
+    this.creditLoan(lender, account, reply);
     if (reply.outcome === LOAN.closing) {
-      holders.suspect(lender);
+      holders.markSuspect(lender);
       return undefined;
     }
     return reply;
   }
 
   /**
-   * Asks the holders elsewhere, a few at a time, until enough is free here; those of
-   * other regions only once the own region has none, and while they are wanted.
+   * Borrows from other edges, a batch at a time, until enough tokens are free. Other
+   * regions are asked last, and only while `isStillNeeded` returns true.
    */
-  async borrowElsewhere(
+  async borrowFromLenders(
     account: TokenAccount,
     tokens: number,
-    keepPart: number,
-    isWanted: () => boolean = () => true,
-  ): Promise<BorrowedElsewhere> {
+    withheldFraction: number,
+    isStillNeeded: () => boolean = () => true,
+  ): Promise<BorrowResult> {
     let allAnswered = true;
     let borrowed = 0;
-    const terms: LoanTerms = {gather: false, keepPart};
-    const lenders = [...this.parts.holders.elsewhere(account.team)];
+    const options: LoanOptions = {gather: false, withheldFraction};
+    const lenders = [...this.parts.holders.lendersFor(account.team)];
     while (lenders.length > 0 && account.free < tokens) {
-      const round = this.nextRound(lenders);
-      const [first = ''] = round;
-      if (this.parts.holders.isAway(first) && !isWanted()) {
+      const batch = this.takeNextBatch(lenders);
+      const [first = ''] = batch;
+      if (this.parts.holders.isInOtherRegion(first) && !isStillNeeded()) {
         break;
       }
       const replies = await Promise.all(
-        round.map((lender) => this.borrowFrom(lender, account, tokens, terms)),
+        batch.map((lender) =>
+          this.borrowFrom(lender, account, tokens, options),
+        ),
       );
       allAnswered &&= replies.every((reply) => reply !== undefined);
       borrowed += replies.reduce((sum, reply) => sum + (reply?.given ?? 0), 0);
@@ -153,14 +155,16 @@
     return {allAnswered, borrowed};
   }
 
-  /** Takes the next lenders out of a list: a few, all of them near or all away. */
-  private nextRound(lenders: string[]): readonly string[] {
+  /** Removes the next batch from a list: in this region only, or in others only. */
+  private takeNextBatch(lenders: string[]): readonly string[] {
     const {holders} = this.parts;
     const [first = ''] = lenders;
-    const isAway = holders.isAway(first);
-    const change = lenders.findIndex((box) => holders.isAway(box) !== isAway);
-    const alike = change < 0 ? lenders.length : change;
-    return lenders.splice(0, Math.min(alike, BORROW_AT_ONCE));
+    const isFirstRemote = holders.isInOtherRegion(first);
+    const firstOtherIndex = lenders.findIndex(
+      (box) => holders.isInOtherRegion(box) !== isFirstRemote,
+    );
+    const sameCount = firstOtherIndex < 0 ? lenders.length : firstOtherIndex;
+    return lenders.splice(0, Math.min(sameCount, MAX_CONCURRENT_LOANS));
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -168,12 +172,12 @@
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  /** A loan that is asked for again has the outcome that it had. */
-  private answer(request: BorrowRequest): Promise<BorrowReply> {
+  /** Answers a repeated request with the outcome of the first one. */
+  private handleBorrow(request: BorrowRequest): Promise<BorrowReply> {
     const key = `${request.borrower} ${request.number}`;
-    const known = this.outcomes.get(key);
-    if (known !== undefined) {
-      return known;
+    const cached = this.outcomes.get(key);
+    if (cached !== undefined) {
+      return cached;
     }
     const outcome = request.outcomeOnly
       ? Promise.resolve<BorrowReply>({given: 0, outcome: LOAN.unavailable})
@@ -182,15 +186,15 @@
     return outcome;
   }
 
-  private async askForOutcome(
+  private async pollOutcome(
     lender: string,
     account: TokenAccount,
     request: BorrowRequest,
     signal: AbortSignal,
   ): Promise<void> {
     const {clock, link} = this.parts;
-    for (let tries = 0; tries < OUTCOME_TRIES; tries += 1) {
-      await clock.sleep(OUTCOME_EVERY_MS, signal);
+    for (let attempt = 0; attempt < MAX_OUTCOME_ATTEMPTS; attempt += 1) {
+      await clock.sleep(OUTCOME_RETRY_INTERVAL_MS, signal);
       if (signal.aborted) {
         return;
       }
@@ -201,22 +205,22 @@
         GATHER_MS,
       );
       if (answer.isOk()) {
-        this.credit(lender, account, answer.value as BorrowReply);
+        this.creditLoan(lender, account, answer.value as BorrowReply);
         return;
       }
     }
-    this.parts.book.noteMove(account, 'loan-unknown', 0);
+    this.parts.accounts.logMovement(account, 'loan-unknown', 0);
   }
 
-  private credit(
+  private creditLoan(
     lender: string,
     account: TokenAccount,
     {given}: BorrowReply,
   ): void {
     if (given > 0) {
-      account.borrow(given);
-      this.parts.book.noteMove(account, lender, given);
-      this.parts.book.moved.notify();
+      account.credit(given);
+      this.parts.accounts.logMovement(account, lender, given);
+      this.parts.accounts.tokensAdded.notify();
     }
   }
 }
