--- a/packages/puffinturn-edge/src/__tests__/unit/Allowances.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/Allowances.test.ts
@@ -135,12 +135,12 @@
     );
     // Lets the pending exchange complete.
     await fleet.clock.advance(20);
-    const before = edge.factsOf('t').leftAgeMs ?? NaN;
+    const before = edge.tokenStateOf('t').leftAgeMs ?? NaN;
     await fleet.clock.advance(100);
-    const facts = edge.factsOf('t');
-    expect(facts).toMatchObject({coreAnswers: true, holder: 'e', left: 0});
-    expect(facts.held).toBe(1_000);
-    expect(facts.leftAgeMs).toBe(before + 100);
+    const state = edge.tokenStateOf('t');
+    expect(state).toMatchObject({coreAnswers: true, holder: 'e', left: 0});
+    expect(state.held).toBe(1_000);
+    expect(state.leftAgeMs).toBe(before + 100);
   });
 
   test('apply a raised budget at once', async () => {
@@ -239,8 +239,11 @@
       edge.settle('t', 500, 100);
     }
     await fleet.clock.advance(1_000);
-    const totalFloat = others.reduce((sum, edge) => sum + heldTokens(edge), 0);
-    expect(totalFloat).toBeLessThan(500);
+    const heldByOthers = others.reduce(
+      (sum, edge) => sum + heldTokens(edge),
+      0,
+    );
+    expect(heldByOthers).toBeLessThan(500);
   });
 
   test('skip a holder that does not answer', async () => {
--- a/packages/puffinturn-edge/src/tokens/Allowances.ts
+++ b/packages/puffinturn-edge/src/tokens/Allowances.ts
@@ -41,7 +41,7 @@
   unavailable: 'unavailable',
 } as const;
 
-/** One of RESERVE. */
+/** A value of {@link RESERVE}. */
 export type ReserveOutcome = (typeof RESERVE)[keyof typeof RESERVE];
 
 /** Dependencies of {@link Allowances}. */
@@ -149,7 +149,7 @@
   }
 
   /** State of a team's tokens, for the log line of a rejected request. */
-  factsOf(team: string): TokenFacts {
+  tokenStateOf(team: string): TokenFacts {
     const {held, coreRemaining, coreRemainingAt, reserved} =
       this.accounts.getOrCreate(team);
     const age =
--- a/packages/puffinturn-edge/src/tokens/RequestTokens.ts
+++ b/packages/puffinturn-edge/src/tokens/RequestTokens.ts
@@ -43,7 +43,7 @@
   get facts(): TokenFacts | undefined {
     const {team} = this.plan;
     return this.isRefused && team !== undefined
-      ? this.allowances.factsOf(team.name)
+      ? this.allowances.tokenStateOf(team.name)
       : undefined;
   }
 
