--- a/packages/puffinturn-edge/src/__tests__/unit/CrossingEpisodes.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/CrossingEpisodes.test.ts
@@ -16,10 +16,10 @@
     const log = new KeptDecisionLog();
     await using episodes = new CrossingEpisodes(clock, log);
     for (let count = 0; count < 200; count += 1) {
-      episodes.sent('s');
+      episodes.recordRequest('s');
       await clock.advance(100);
     }
-    episodes.sent('other');
+    episodes.recordRequest('other');
     expect(log.lines).toEqual([
       {crossing: true, event: 'crossing-changed', requests: 1, service: 's'},
       {
@@ -39,7 +39,7 @@
         service: 'other',
       },
     ]);
-    episodes.sent('s');
+    episodes.recordRequest('s');
     expect(log.lines).toHaveLength(5);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/Exposures.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/Exposures.test.ts
@@ -141,7 +141,7 @@
     return [...new Set(sent)].sort();
   };
   const grant = (granted: number, number = 1) =>
-    exposures.grant([{granted, number, service: 's'}]);
+    exposures.applyGrants([{granted, number, service: 's'}]);
   return {clock, exposures, grant, log, pool, send, versions};
 }
 
@@ -275,7 +275,7 @@
     exposures.adopt(rolloutsOf(2, 'rolled-back'), 'c1');
     grant(80);
     expect(await versions(400)).toEqual(['v1']);
-    expect(exposures.active).toBe(false);
+    expect(exposures.hasActiveRollout).toBe(false);
     expect(exposures.reports()).toEqual([]);
   });
 
@@ -312,7 +312,7 @@
     });
     exposures.adopt(rolloutsOf(3, 'completed'), 'c1');
     expect(await versions(50)).toEqual(['v2']);
-    expect(exposures.active).toBe(false);
+    expect(exposures.hasActiveRollout).toBe(false);
   });
 
   test('while new upstreams bear few requests, the former ones serve the others', async () => {
@@ -418,7 +418,7 @@
       'c1',
     );
     serving.exposures.adopt(rolloutsOf(1, state), 'c1');
-    serving.exposures.grant([{granted: 1_000, number: 1, service: 's'}]);
+    serving.exposures.applyGrants([{granted: 1_000, number: 1, service: 's'}]);
     return new Served(former, next, serving);
   }
 
--- a/packages/puffinturn-edge/src/__tests__/unit/VersionGate.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/VersionGate.test.ts
@@ -8,8 +8,12 @@
 import type {Rollout, RolloutState, ServiceVersions} from 'puffinturn-fleet';
 import {ROLLOUT_STATE} from 'puffinturn-fleet';
 
-import type {VersionSource} from '../../rollouts/VersionGate';
-import {ofVersion, servedBy, useOfVersions} from '../../rollouts/VersionGate';
+import type {Versioned} from '../../rollouts/VersionGate';
+import {
+  primaryUpstreams,
+  upstreamsOfVersion,
+  versionRolesOf,
+} from '../../rollouts/VersionGate';
 
 function versionsOf(state?: RolloutState): ServiceVersions {
   const rollout: Rollout | undefined =
@@ -19,7 +23,7 @@
   return {rollout, service: 's', stableVersion: 'v1'};
 }
 
-function upstreams(...versions: (string | undefined)[]): VersionSource[] {
+function upstreams(...versions: (string | undefined)[]): Versioned[] {
   return versions.map((version) => ({record: {version}}));
 }
 
@@ -27,7 +31,7 @@
   const all = upstreams('v1', 'v2', 'v3', undefined);
 
   function served(versions: ServiceVersions | undefined, from = all) {
-    return servedBy(useOfVersions(versions), from).map(
+    return primaryUpstreams(versionRolesOf(versions), from).map(
       ({record}) => record.version,
     );
   }
@@ -50,7 +54,7 @@
 
   test('only while exposing there is one to try', () => {
     const tried = Object.values(ROLLOUT_STATE).filter(
-      (state) => useOfVersions(versionsOf(state)).trial !== undefined,
+      (state) => versionRolesOf(versionsOf(state)).canary !== undefined,
     );
     expect(tried).toEqual([ROLLOUT_STATE.exposing]);
   });
@@ -69,7 +73,7 @@
   );
 
   test('an upstream that names no version is of no named one', () => {
-    expect(ofVersion(upstreams(undefined, ''), 'v1')).toEqual([]);
+    expect(upstreamsOfVersion(upstreams(undefined, ''), 'v1')).toEqual([]);
   });
 
   test('an order that came as null is none', () => {
--- a/packages/puffinturn-edge/src/regions/CrossingEpisodes.ts
+++ b/packages/puffinturn-edge/src/regions/CrossingEpisodes.ts
@@ -5,24 +5,24 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Notes when requests of a service begin to go to another region, and when that has
- * ended: two lines for each time, however many requests go over.
- */
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {Clock} from 'shared';
 import {TaskGroup} from 'shared';
 
-import {CROSSING_QUIET_MS} from './RegionConstants';
+import {CROSSING_IDLE_TIMEOUT_MS} from './RegionConstants';
 
+/** A period during which requests of a service go to other regions. */
 interface Episode {
   requests: number;
-  lastAt: number;
+  lastRequestAt: number;
 }
 
-/** See the module comment. */
+/**
+ * Logs when requests of a service start to go to other regions and when they stop:
+ * two log lines per episode, regardless of the number of requests.
+ */
 export class CrossingEpisodes implements AsyncDisposable {
-  private readonly byService = new Map<string, Episode>();
+  private readonly episodes = new Map<string, Episode>();
   private readonly tasks = new TaskGroup();
 
   constructor(
@@ -30,40 +30,49 @@
     private readonly log: DecisionLog,
   ) {}
 
-  /** Notes one request that goes over. */
-  sent(service: string): void {
+  /** Records one request to another region. */
+  recordRequest(service: string): void {
     const now = this.clock.now();
-    const known = this.byService.get(service);
-    if (known !== undefined) {
-      known.requests += 1;
-      known.lastAt = now;
+    const existing = this.episodes.get(service);
+    if (existing !== undefined) {
+      existing.requests += 1;
+      existing.lastRequestAt = now;
       return;
     }
-    const episode: Episode = {lastAt: now, requests: 1};
-    this.byService.set(service, episode);
-    this.note(service, true, episode);
-    this.tasks.start((signal) => this.endLater(service, episode, signal));
+    const episode: Episode = {lastRequestAt: now, requests: 1};
+    this.episodes.set(service, episode);
+    this.logChange(service, true, episode);
+    this.tasks.start((signal) => this.endWhenIdle(service, episode, signal));
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  private async endLater(
+  private async endWhenIdle(
     service: string,
     episode: Episode,
     signal: AbortSignal,
   ): Promise<void> {
     const {clock} = this;
-    const quietMs = (): number => clock.now() - episode.lastAt;
-    while (!signal.aborted && quietMs() < CROSSING_QUIET_MS) {
-      await clock.sleep(CROSSING_QUIET_MS - quietMs(), signal);
+    const idleMs = (): number => clock.now() - episode.lastRequestAt;
+    while (!signal.aborted && idleMs() < CROSSING_IDLE_TIMEOUT_MS) {
+      await clock.sleep(CROSSING_IDLE_TIMEOUT_MS - idleMs(), signal);
     }
-    this.byService.delete(service);
-    this.note(service, false, episode);
+    this.episodes.delete(service);
+    this.logChange(service, false, episode);
   }
 
-  private note(service: string, crossing: boolean, {requests}: Episode): void {
-    this.log.note({crossing, event: 'crossing-changed', requests, service});
+  private logChange(
+    service: string,
+    isCrossing: boolean,
+    {requests}: Episode,
+  ): void {
+    this.log.note({
+      crossing: isCrossing,
+      event: 'crossing-changed',
+      requests,
+      service,
+    });
   }
 }
--- a/packages/puffinturn-edge/src/regions/RegionConstants.ts
+++ b/packages/puffinturn-edge/src/regions/RegionConstants.ts
@@ -5,50 +5,49 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Figures of the way between regions, with unit and reason. */
+/** Constants of the link between regions. */
 
-/** One way between two regions, ms: some 2,000 km of fibre. */
-export const LINK_DELAY_MS = 12;
+/** One-way delay between two regions, ms: about 2,000 km of fibre. */
+export const LINK_ONE_WAY_DELAY_MS = 12;
 
-/** What a link between regions carries, bytes a ms: 40 Mbit/s for all traffic. */
+/** Bandwidth of a link between regions, bytes per ms: 40 Mbit/s for all traffic. */
 export const LINK_BYTES_PER_MS = 5_000;
 
-/** Part of the link for requests; the log, news and tokens need the rest. */
-export const LINK_PART_FOR_REQUESTS = 0.5;
+/** Fraction of the link for requests; the rest carries replication and control traffic. */
+export const REQUEST_LINK_FRACTION = 0.5;
 
-/** Part of an edge's token bucket that its least urgent requests leave to the others. */
-export const LINK_PART_LEFT_BY_LEAST_URGENT = 0.5;
+/** Fraction of an edge's token bucket reserved for more urgent requests. */
+export const LEAST_URGENT_RESERVE_FRACTION = 0.5;
 
-/** Least part of the link's rate that a transfer is reckoned with, so that its time stays finite. */
-export const LEAST_LINK_LEFT = 0.1;
+/** Minimum fraction of the bandwidth assumed for a transfer; keeps its time finite. */
+export const MIN_AVAILABLE_FRACTION = 0.1;
 
-/** Depth of an edge's token bucket, as time at its rate, ms: requests come in bursts. */
+/** Capacity of an edge's token bucket, as time at its rate, ms. */
 export const LINK_BURST_MS = 2_000;
 
 /**
- * How often each edge tries an upstream that failed last while another region serves
- * its requests, ms. A try may hold a request up for CONNECT_MS; the return of a region
- * shows within this time.
+ * Interval between probes of failed upstreams in the local region while another region
+ * serves requests, ms. A probe delays a request by up to CONNECT_MS.
  */
 export const HOME_PROBE_EVERY_MS = 2_000;
 
-/** Without a request to another region for this long, that has ended, ms. */
-export const CROSSING_QUIET_MS = 5_000;
+/** Time without a request to another region after which an episode ends, ms. */
+export const CROSSING_IDLE_TIMEOUT_MS = 5_000;
 
-/** Bytes of an answer of a plain service, heads included. */
-export const ANSWER_BYTES = 1_200;
+/** Estimated size of an answer of a plain service, headers included, bytes. */
+export const PLAIN_ANSWER_BYTES = 1_200;
 
-/** Bytes of a stream of some forty events, each in a frame of its own. */
+/** Estimated size of a stream of about forty events with one frame each, bytes. */
 export const STREAM_ANSWER_BYTES = 5_000;
 
 /**
- * What an engine of another region is taken to read at most, tokens a ms: as one
- * under load does, as nothing tells of its load before the first answer.
+ * Maximum prompt reading speed assumed for an engine in another region, tokens per ms.
+ * Its load is unknown before the first answer, so a loaded engine is assumed.
  */
 export const MOST_SPEED_AWAY = 20;
 
 /**
- * What a plain upstream of another region that was not measured lately is taken
- * to need, ms: callers wait for some 300 ms, and ignorance alone sends nobody away.
+ * Minimum answer time assumed for a plain upstream in another region, ms. Without a
+ * recent measurement it must not look faster than the local region.
  */
 export const UNMEASURED_ANSWER_MS = 150;
--- a/packages/puffinturn-edge/src/regions/RegionCrossing.ts
+++ b/packages/puffinturn-edge/src/regions/RegionCrossing.ts
@@ -5,95 +5,97 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Requests that an edge sends to upstreams of other regions: what the way costs,
- * and how much of the link between regions this edge may use for them. Each edge
- * has its part of the link, so that all together leave room for calls between
- * boxes without asking each other.
- */
 import type {Regions} from 'puffinturn-fleet';
 import type {Clock} from 'shared';
 
 import type {Plan} from '../requests/RequestPlan';
 import type {CrossingEpisodes} from './CrossingEpisodes';
 import {
-  ANSWER_BYTES,
-  LEAST_LINK_LEFT,
+  LEAST_URGENT_RESERVE_FRACTION,
   LINK_BURST_MS,
   LINK_BYTES_PER_MS,
-  LINK_DELAY_MS,
-  LINK_PART_FOR_REQUESTS,
-  LINK_PART_LEFT_BY_LEAST_URGENT,
+  LINK_ONE_WAY_DELAY_MS,
+  MIN_AVAILABLE_FRACTION,
+  PLAIN_ANSWER_BYTES,
+  REQUEST_LINK_FRACTION,
   STREAM_ANSWER_BYTES,
 } from './RegionConstants';
 
-/** What RegionCrossing is made of. */
+/** Dependencies of a RegionCrossing. */
 export interface RegionCrossingParts {
   readonly hall: string;
   readonly regions: Regions;
   readonly clock: Clock;
   readonly episodes: CrossingEpisodes;
-  /** Edges of the own region, this one included. */
+  /** Number of edges in the local region, this one included. */
   readonly edges: () => number;
 }
 
-/** See the module comment. */
+/**
+ * Limits and estimates traffic to upstreams in other regions. Each edge has a token
+ * bucket with an equal share of the link, so no coordination between edges is needed.
+ */
 export class RegionCrossing {
-  /** Bytes sent beyond what has come free since; at most a store of it. */
-  private used = 0;
-  private usedAt: number;
+  /** Bytes taken from the token bucket and not refilled yet. */
+  private usedBytes = 0;
+  private updatedAt: number;
 
   constructor(private readonly parts: RegionCrossingParts) {
-    this.usedAt = parts.clock.now();
+    this.updatedAt = parts.clock.now();
   }
 
-  /** Whether a hall is in another region than this edge. */
+  /** Whether a hall is in a region other than that of this edge. */
   isAway(hall: string): boolean {
     return !this.parts.regions.areTogether(this.parts.hall, hall);
   }
 
-  /** Whether one more request fits; the least urgent leave a part to others. */
+  /** Whether the bucket admits a request; the least urgent must leave a reserve. */
   allows(isLeastUrgent: boolean): boolean {
-    const kept = isLeastUrgent ? LINK_PART_LEFT_BY_LEAST_URGENT : 0;
-    return this.left > kept;
+    const reserved = isLeastUrgent ? LEAST_URGENT_RESERVE_FRACTION : 0;
+    return this.availableFraction > reserved;
   }
 
-  /** What the way adds to the time of a request, ms. */
+  /** Estimates the round trip and transfer time on the link, ms. */
   transferMs(plan: Plan, bodyBytes: number): number {
-    const left = LINK_BYTES_PER_MS * Math.max(LEAST_LINK_LEFT, this.left);
-    return 2 * LINK_DELAY_MS + bytesOf(plan, bodyBytes) / left;
+    const availableBytesPerMs =
+      LINK_BYTES_PER_MS *
+      Math.max(MIN_AVAILABLE_FRACTION, this.availableFraction);
+    return (
+      2 * LINK_ONE_WAY_DELAY_MS +
+      estimateLinkBytes(plan, bodyBytes) / availableBytesPerMs
+    );
   }
 
-  /** Notes that a request goes over. */
+  /** Records a request sent to another region. */
   sent(plan: Plan, bodyBytes: number): void {
-    this.settle();
-    this.used += bytesOf(plan, bodyBytes);
-    this.parts.episodes.sent(plan.service.name);
+    this.refill();
+    this.usedBytes += estimateLinkBytes(plan, bodyBytes);
+    this.parts.episodes.recordRequest(plan.service.name);
   }
 
-  /** The part of this edge's store that is left; below 0 after a large request. */
-  private get left(): number {
-    this.settle();
-    return 1 - this.used / (this.bytesPerMs * LINK_BURST_MS);
+  /** Fraction of the token bucket that is left; negative after a large request. */
+  private get availableFraction(): number {
+    this.refill();
+    return 1 - this.usedBytes / (this.bytesPerMs * LINK_BURST_MS);
   }
 
   private get bytesPerMs(): number {
     const edges = Math.max(1, this.parts.edges());
-    return (LINK_BYTES_PER_MS * LINK_PART_FOR_REQUESTS) / edges;
+    return (LINK_BYTES_PER_MS * REQUEST_LINK_FRACTION) / edges;
   }
 
-  /** Takes off what has come free in the meantime. */
-  private settle(): void {
+  /** Refills the bucket for the time since the last update. */
+  private refill(): void {
     const now = this.parts.clock.now();
-    const freed = (now - this.usedAt) * this.bytesPerMs;
-    this.used = Math.max(0, this.used - freed);
-    this.usedAt = now;
+    const refilledBytes = (now - this.updatedAt) * this.bytesPerMs;
+    this.usedBytes = Math.max(0, this.usedBytes - refilledBytes);
+    this.updatedAt = now;
   }
 }
 
-/** Bytes that a request and its answer take on the link. */
-function bytesOf({service}: Plan, bodyBytes: number): number {
+/** Estimates the bytes that a request and its answer use on the link. */
+function estimateLinkBytes({service}: Plan, bodyBytes: number): number {
   const answer =
-    service.engine === undefined ? ANSWER_BYTES : STREAM_ANSWER_BYTES;
+    service.engine === undefined ? PLAIN_ANSWER_BYTES : STREAM_ANSWER_BYTES;
   return bodyBytes + answer;
 }
--- a/packages/puffinturn-edge/src/regions/RegionTraffic.ts
+++ b/packages/puffinturn-edge/src/regions/RegionTraffic.ts
@@ -5,10 +5,6 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Counts the bytes of requests to upstreams of other regions, and of their answers,
- * as their connections counted them: heads included, and no work for each piece.
- */
 import type {Socket} from 'node:net';
 
 import type {EdgeMetrics} from '../EdgeMetrics';
@@ -18,25 +14,28 @@
   readonly written: number;
 }
 
-const NOTHING: ByteCounts = {read: 0, written: 0};
+const ZERO_COUNTS: ByteCounts = {read: 0, written: 0};
 
-/** See the module comment. */
+/**
+ * Counts the bytes exchanged with upstreams in other regions, headers included. Reads
+ * the counters of the socket instead of summing chunks.
+ */
 export class RegionTraffic {
-  /** What was counted of connections that are used again. */
-  private readonly counted = new WeakMap<Socket, ByteCounts>();
+  /** Counts at the last update, for connections that are reused. */
+  private readonly lastCounts = new WeakMap<Socket, ByteCounts>();
 
   constructor(private readonly metrics: Pick<EdgeMetrics, 'regionBytes'>) {}
 
-  /** Counts what a connection has carried since it was counted last. */
+  /** Adds the bytes of a connection since its last count to the metrics. */
   count(socket: Socket): void {
     const {regionBytes} = this.metrics;
-    const before = this.counted.get(socket) ?? NOTHING;
-    const now: ByteCounts = {
+    const previous = this.lastCounts.get(socket) ?? ZERO_COUNTS;
+    const current: ByteCounts = {
       read: socket.bytesRead,
       written: socket.bytesWritten,
     };
-    this.counted.set(socket, now);
-    regionBytes.inc({cause: 'requests'}, now.written - before.written);
-    regionBytes.inc({cause: 'answers'}, now.read - before.read);
+    this.lastCounts.set(socket, current);
+    regionBytes.inc({cause: 'requests'}, current.written - previous.written);
+    regionBytes.inc({cause: 'answers'}, current.read - previous.read);
   }
 }
--- a/packages/puffinturn-edge/src/rollouts/ExposureAccount.ts
+++ b/packages/puffinturn-edge/src/rollouts/ExposureAccount.ts
@@ -5,78 +5,70 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * What this edge does in one roll-out: how many requests it may still send to the
- * new version, which ones, and how both versions answer. All counts are since the
- * order and only grow, so that a report that is late or comes twice does no harm.
- */
 import type {ExposureReport, Rollout, VersionTally} from 'puffinturn-fleet';
 import {tallyKey, TIME_RATIO_BOUNDS} from 'puffinturn-fleet';
 import type {Clock, Random} from 'shared';
 
-/** Why an edge stopped exposing by itself. */
-export const EXPOSURE_STOP = {
-  /** Only bad answers, one after the other. */
-  run: 'run',
-  /** Far more bad answers than the stable version gives. */
-  share: 'share',
+/** Causes for which an edge stops sending requests to the new version. */
+export const EXPOSURE_STOP_CAUSE = {
+  /** Too many consecutive bad answers. */
+  consecutiveBadAnswers: 'run',
+  /** A much higher ratio of bad answers than the stable version has. */
+  badAnswerRatio: 'share',
 } as const;
 
-/** One of EXPOSURE_STOP. */
-export type ExposureStop = (typeof EXPOSURE_STOP)[keyof typeof EXPOSURE_STOP];
+/** One of EXPOSURE_STOP_CAUSE. */
+export type ExposureStopCause =
+  (typeof EXPOSURE_STOP_CAUSE)[keyof typeof EXPOSURE_STOP_CAUSE];
 
-/**
- * Bad answers of the new version in a row after which this edge stops. Of a version
- * that fails one answer in ten, a run of six comes about once in a million answers.
- */
-const STOP_RUN = 6;
+/** Consecutive bad answers of the new version after which this edge stops. */
+const MAX_CONSECUTIVE_BAD_ANSWERS = 6;
 
-/** Bad answers before their share counts, so that no good version stops by chance. */
-const STOP_LEAST_BAD = 8;
+/** Bad answers needed before their ratio counts, so that chance stops no good version. */
+const MIN_BAD_ANSWERS = 8;
 
-/** The share of bad answers above which this edge stops. */
-const STOP_SHARE = 0.3;
+/** Ratio of bad answers allowed on top of the scaled ratio of the stable version. */
+const BAD_RATIO_MARGIN = 0.3;
 
-/** How many times the stable version's share that must be. */
-const STOP_FACTOR = 3;
+/** Factor applied to the bad answer ratio of the stable version. */
+const STABLE_BAD_RATIO_FACTOR = 3;
 
-/** An answer counts as bad here above this multiple of the expected time. */
-const SLOW_RATIO = 4;
+/** Multiple of the expected time above which an answer counts as bad. */
+const SLOW_LATENCY_RATIO = 4;
 
 /**
- * How long it stops at first, ms; twice as long each further time. The verdict comes
- * sooner where the version is bad, and a good one of which a single upstream broke
- * down is tried again.
+ * Duration of the first stop, ms; doubles with each further stop. A good version is
+ * tried again after a single upstream has failed.
  */
-const FIRST_STOP_MS = 2_000;
+const INITIAL_BACKOFF_MS = 2_000;
 
 /**
- * An edge has shifted once no request had to go to the former version for this time,
- * ms: some reports in a row, so that a gap between two requests is not taken for it.
+ * Time without requests to the previous version after which the shift is complete,
+ * ms. A short gap between two requests must not complete it.
  */
 const SHIFT_SETTLE_MS = 500;
 
-/** Time in which what is granted should be used, ms: two reports or so. */
-const USE_WITHIN_MS = 500;
+/** Time within which a grant should be used up, ms: two report intervals. */
+const GRANT_USE_WINDOW_MS = 500;
 
-/** Most by which a rare route is exposed more often than all are together. */
-const RARE_FACTOR = 4;
+/** Maximum factor by which a rare route is exposed more often than average. */
+const MAX_RARE_ROUTE_BOOST = 4;
 
-/** Exposure that a route may save up, requests. */
-const MOST_CREDIT = 2;
+/** Maximum credit that a route accumulates, requests. */
+const MAX_ROUTE_CREDIT = 2;
 
-/** What one answer was like. */
-export interface AnswerJudgement {
+/** Outcome of one answer. */
+export interface AnswerOutcome {
   readonly route: string;
   readonly version: string;
-  /** An error of the upstream's own, or a broken or lost answer. */
+  /** Whether the upstream returned an error, or the answer broke off or was lost. */
   readonly failed: boolean;
-  /** Its time over the expected one; undefined where that is not known. */
-  readonly ratio: number | undefined;
+  /** Measured time divided by the expected time; undefined if none is known. */
+  readonly latencyRatio: number | undefined;
 }
 
-/** Answers of one version to one route, while they are counted. */
-class Tally {
+/** Counts the answers of one version for one route. */
+class AnswerTally {
   answers = 0;
   failures = 0;
   readonly times = [...TIME_RATIO_BOUNDS, Infinity].map(() => 0);
@@ -86,83 +78,91 @@
     readonly version: string,
   ) {}
 
-  add({failed, ratio}: AnswerJudgement): void {
+  add({failed, latencyRatio}: AnswerOutcome): void {
     this.answers += 1;
     this.failures += failed ? 1 : 0;
-    if (!failed && ratio !== undefined) {
-      const above = TIME_RATIO_BOUNDS.findIndex((bound) => ratio <= bound);
-      const bucket = above === -1 ? TIME_RATIO_BOUNDS.length : above;
+    if (!failed && latencyRatio !== undefined) {
+      const index = TIME_RATIO_BOUNDS.findIndex(
+        (bound) => latencyRatio <= bound,
+      );
+      const bucket = index === -1 ? TIME_RATIO_BOUNDS.length : index;
       this.times[bucket] = (this.times[bucket] ?? 0) + 1;
     }
   }
 }
 
-/** Good and bad answers of one version. */
-class Quality {
+/** Counts good and bad answers of one version. */
+class AnswerQuality {
   answers = 0;
-  bad = 0;
-  badInRow = 0;
+  badAnswers = 0;
+  consecutiveBad = 0;
 
-  get badShare(): number {
-    return this.answers === 0 ? 0 : this.bad / this.answers;
+  get badRatio(): number {
+    return this.answers === 0 ? 0 : this.badAnswers / this.answers;
   }
 
   add(isBad: boolean): void {
     this.answers += 1;
-    this.bad += isBad ? 1 : 0;
-    this.badInRow = isBad ? this.badInRow + 1 : 0;
+    this.badAnswers += isBad ? 1 : 0;
+    this.consecutiveBad = isBad ? this.consecutiveBad + 1 : 0;
   }
 }
 
-/** Requests that came lately, in spans of USE_WITHIN_MS. */
-class RecentArrivals {
-  private spanAt = -Infinity;
-  private former = 0;
-  private current = 0;
+/** Counts arrivals in windows of GRANT_USE_WINDOW_MS to predict the next window. */
+class ArrivalWindow {
+  private windowStartedAt = -Infinity;
+  private previousCount = 0;
+  private currentCount = 0;
 
   constructor(private readonly clock: Clock) {}
 
-  count(): void {
-    const spans = Math.floor((this.clock.now() - this.spanAt) / USE_WITHIN_MS);
-    if (spans > 0) {
-      this.former = spans === 1 ? this.current : 0;
-      this.current = 0;
-      this.spanAt = this.clock.now();
+  recordArrival(): void {
+    const elapsedWindows = Math.floor(
+      (this.clock.now() - this.windowStartedAt) / GRANT_USE_WINDOW_MS,
+    );
+    if (elapsedWindows > 0) {
+      this.previousCount = elapsedWindows === 1 ? this.currentCount : 0;
+      this.currentCount = 0;
+      this.windowStartedAt = this.clock.now();
     }
-    this.current += 1;
+    this.currentCount += 1;
   }
 
-  /** Requests to expect in the next span; at least one. */
-  get expected(): number {
-    return Math.max(1, this.former, this.current);
+  /** Requests expected in the next window; at least one. */
+  get expectedInNextWindow(): number {
+    return Math.max(1, this.previousCount, this.currentCount);
   }
 }
 
-/** One route as exposure sees it. */
-interface ExposedRoute {
-  arrived: number;
-  /** Exposure saved up; a whole one lets a request try the new version. */
+/** Arrivals and exposure credit of one route. */
+interface RouteExposure {
+  arrivals: number;
+  /** Accumulated credit; one unit sends one request to the new version. */
   credit: number;
 }
 
-/** See the module comment. */
-export class ExposureAccount {
+/**
+ * Tracks one rollout on this edge: how many requests may still go to the new version,
+ * which ones, and how both versions answer. Counts start with the rollout and never
+ * decrease, so that late or repeated reports are harmless.
+ */
+export class ExposureTracker {
   readonly number: number;
   readonly targetVersion: string;
   private granted = 0;
   private exposed = 0;
   private requests = 0;
-  private arrived = 0;
-  private stopCause: ExposureStop | undefined;
-  private stops = 0;
-  private fallbackUsedAt: number | undefined;
-  private shifted = false;
+  private arrivals = 0;
+  private stopCause: ExposureStopCause | undefined;
+  private stopCount = 0;
+  private lastFallbackAt: number | undefined;
+  private isShiftComplete = false;
   private stoppedUntil = -Infinity;
-  private readonly routes = new Map<string, ExposedRoute>();
-  private readonly tallies = new Map<string, Tally>();
-  private readonly target = new Quality();
-  private readonly stable = new Quality();
-  private readonly recent: RecentArrivals;
+  private readonly routes = new Map<string, RouteExposure>();
+  private readonly tallies = new Map<string, AnswerTally>();
+  private readonly targetQuality = new AnswerQuality();
+  private readonly stableQuality = new AnswerQuality();
+  private readonly arrivalWindow: ArrivalWindow;
 
   constructor(
     private readonly service: string,
@@ -172,106 +172,115 @@
   ) {
     this.number = number;
     this.targetVersion = targetVersion;
-    this.recent = new RecentArrivals(clock);
+    this.arrivalWindow = new ArrivalWindow(clock);
   }
 
   /** Requests that may still be sent to the new version. */
-  get left(): number {
+  get remaining(): number {
     return this.isStopped ? 0 : Math.max(0, this.granted - this.exposed);
   }
 
   /** Requests sent to the new version. */
-  get used(): number {
+  get exposedCount(): number {
     return this.exposed;
   }
 
-  /** Why this edge last stopped; kept after it has resumed, undefined before. */
-  get lastStop(): ExposureStop | undefined {
+  /** Cause of the last stop, kept after resuming; undefined before the first stop. */
+  get lastStopCause(): ExposureStopCause | undefined {
     return this.stopCause;
   }
 
-  /** Takes a grant in; one that was overtaken changes nothing. */
-  grant(granted: number): void {
+  /** Raises the number of granted requests; ignores grants that arrive out of order. */
+  applyGrant(granted: number): void {
     this.granted = Math.max(this.granted, granted);
   }
 
   /**
-   * Counts a request that came, and decides whether it tries the new version: what
-   * is left is spread over the requests expected, and of a rare route relatively
-   * more try it, so that each route shows how it is served.
+   * Counts an arriving request and returns whether it should go to the new version.
+   * Spreads the remaining grant over the expected requests. Exposes rare routes more
+   * often, so that every route yields enough answers to compare.
    */
-  draws(route: string): boolean {
-    const seen = this.routeOf(route);
-    this.recent.count();
-    this.arrived += 1;
-    seen.arrived += 1;
-    if (this.left < 1) {
+  tryExpose(route: string): boolean {
+    const exposure = this.exposureOf(route);
+    this.arrivalWindow.recordArrival();
+    this.arrivals += 1;
+    exposure.arrivals += 1;
+    if (this.remaining < 1) {
       return false;
     }
-    const evenShare = 1 / this.routes.size;
-    const ownShare = seen.arrived / this.arrived;
-    const rarity = Math.min(RARE_FACTOR, Math.sqrt(evenShare / ownShare));
-    const part = (this.left / this.recent.expected) * rarity;
-    seen.credit = Math.min(MOST_CREDIT, seen.credit + Math.min(1, part));
-    if (seen.credit < 1) {
+    const uniformShare = 1 / this.routes.size;
+    const routeShare = exposure.arrivals / this.arrivals;
+    const boost = Math.min(
+      MAX_RARE_ROUTE_BOOST,
+      Math.sqrt(uniformShare / routeShare),
+    );
+    const earnedCredit =
+      (this.remaining / this.arrivalWindow.expectedInNextWindow) * boost;
+    exposure.credit = Math.min(
+      MAX_ROUTE_CREDIT,
+      exposure.credit + Math.min(1, earnedCredit),
+    );
+    if (exposure.credit < 1) {
       return false;
     }
-    seen.credit -= 1;
+    exposure.credit -= 1;
     return true;
   }
 
-  /** Counts a request as it is sent to the new version. */
-  sentToTarget(): void {
+  /** Counts a request sent to the new version. */
+  recordTargetRequest(): void {
     this.exposed += 1;
     this.requests += 1;
   }
 
-  /** Whether no new request goes to the former version as long as the new one serves. */
+  /** Whether requests use the previous version only if the new one has no upstreams. */
   get hasShifted(): boolean {
-    return this.shifted;
+    return this.isShiftComplete;
   }
 
-  /** Notes that while shifting a request had to go to the former version. */
-  sentToFallback(): void {
-    this.fallbackUsedAt = this.clock.now();
+  /** Records that a request had to fall back to the previous version. */
+  recordFallbackRequest(): void {
+    this.lastFallbackAt = this.clock.now();
   }
 
-  /** Shifts for good once the former version was not needed for a while. */
-  settleShift(): boolean {
-    this.fallbackUsedAt ??= this.clock.now();
-    this.shifted ||= this.clock.now() - this.fallbackUsedAt >= SHIFT_SETTLE_MS;
-    return this.shifted;
+  /** Returns whether the shift is complete: no request fell back for SHIFT_SETTLE_MS. */
+  updateShift(): boolean {
+    this.lastFallbackAt ??= this.clock.now();
+    this.isShiftComplete ||=
+      this.clock.now() - this.lastFallbackAt >= SHIFT_SETTLE_MS;
+    return this.isShiftComplete;
   }
 
-  /** Counts a request that reached another version. */
-  reachedOther(): void {
+  /** Counts a request that reached a version other than the target. */
+  recordOtherRequest(): void {
     this.requests += 1;
   }
 
-  /** Takes an answer in; true where this edge stops exposing because of it. */
-  judge(answer: AnswerJudgement): boolean {
-    const {failed, ratio = 0, route, version} = answer;
+  /** Records an answer; returns whether it makes this edge stop exposing requests. */
+  recordAnswer(answer: AnswerOutcome): boolean {
+    const {failed, latencyRatio = 0, route, version} = answer;
     const key = tallyKey(route, version);
-    const tally = this.tallies.get(key) ?? new Tally(route, version);
+    const tally = this.tallies.get(key) ?? new AnswerTally(route, version);
     this.tallies.set(key, tally);
     tally.add(answer);
     const isTarget = version === this.targetVersion;
-    const quality = isTarget ? this.target : this.stable;
-    quality.add(failed || ratio > SLOW_RATIO);
-    const reason = this.isStopped ? undefined : this.reasonToStop();
-    if (reason === undefined) {
+    const quality = isTarget ? this.targetQuality : this.stableQuality;
+    quality.add(failed || latencyRatio > SLOW_LATENCY_RATIO);
+    const cause = this.isStopped ? undefined : this.findStopCause();
+    if (cause === undefined) {
       return false;
     }
-    this.stopCause = reason;
-    this.stoppedUntil = this.clock.now() + FIRST_STOP_MS * 2 ** this.stops;
-    this.stops += 1;
-    this.target.badInRow = 0;
+    this.stopCause = cause;
+    this.stoppedUntil =
+      this.clock.now() + INITIAL_BACKOFF_MS * 2 ** this.stopCount;
+    this.stopCount += 1;
+    this.targetQuality.consecutiveBad = 0;
     return true;
   }
 
-  /** What the leader is told, apart from what the upstreams show. */
+  /** Builds the report to the leader from the counts and the given state of upstreams. */
   report(
-    shown: Pick<ExposureReport, 'openAtFormer' | 'shifted'>,
+    upstreamState: Pick<ExposureReport, 'openAtFormer' | 'shifted'>,
   ): ExposureReport {
     const {exposed, granted, number, requests, service} = this;
     const tallies = [...this.tallies.values()].map(
@@ -283,30 +292,42 @@
         version,
       }),
     );
-    return {exposed, granted, number, requests, service, tallies, ...shown};
+    return {
+      exposed,
+      granted,
+      number,
+      requests,
+      service,
+      tallies,
+      ...upstreamState,
+    };
   }
 
   private get isStopped(): boolean {
     return this.clock.now() < this.stoppedUntil;
   }
 
-  private reasonToStop(): ExposureStop | undefined {
-    const {badInRow, bad, badShare} = this.target;
-    if (badInRow >= STOP_RUN) {
-      return EXPOSURE_STOP.run;
+  private findStopCause(): ExposureStopCause | undefined {
+    const {consecutiveBad, badAnswers, badRatio} = this.targetQuality;
+    if (consecutiveBad >= MAX_CONSECUTIVE_BAD_ANSWERS) {
+      return EXPOSURE_STOP_CAUSE.consecutiveBadAnswers;
     }
-    const isFar = badShare > STOP_SHARE + STOP_FACTOR * this.stable.badShare;
-    return bad >= STOP_LEAST_BAD && isFar ? EXPOSURE_STOP.share : undefined;
+    const isFarWorse =
+      badRatio >
+      BAD_RATIO_MARGIN + STABLE_BAD_RATIO_FACTOR * this.stableQuality.badRatio;
+    return badAnswers >= MIN_BAD_ANSWERS && isFarWorse
+      ? EXPOSURE_STOP_CAUSE.badAnswerRatio
+      : undefined;
   }
 
-  private routeOf(route: string): ExposedRoute {
-    const known = this.routes.get(route);
-    if (known !== undefined) {
-      return known;
+  private exposureOf(route: string): RouteExposure {
+    const existing = this.routes.get(route);
+    if (existing !== undefined) {
+      return existing;
     }
-    // Edges begin at different points, so that they don't all expose at once.
-    const seen = {arrived: 0, credit: this.random.fraction()};
-    this.routes.set(route, seen);
-    return seen;
+    // A random initial credit keeps edges from exposing requests in lockstep.
+    const created = {arrivals: 0, credit: this.random.fraction()};
+    this.routes.set(route, created);
+    return created;
   }
 }
--- a/packages/puffinturn-edge/src/rollouts/Exposures.ts
+++ b/packages/puffinturn-edge/src/rollouts/Exposures.ts
@@ -5,10 +5,6 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * The roll-outs of all services as one edge carries them out: which upstreams a
- * request may go to, which requests try a new version, and what the leader is told.
- */
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {
   ExposureGrant,
@@ -25,13 +21,17 @@
 import type {Plan} from '../requests/RequestPlan';
 import type {EdgeUpstream} from '../upstreams/EdgeUpstream';
 import type {UpstreamPool} from '../upstreams/UpstreamPool';
-import {ExposureAccount} from './ExposureAccount';
+import {ExposureTracker} from './ExposureAccount';
 import type {Observation} from './Observation';
-import {SilentObservation, VersionObservation} from './Observation';
-import type {VersionUse} from './VersionGate';
-import {ofVersion, servedBy, useOfVersions} from './VersionGate';
+import {NoOpAttemptObserver, VersionAttemptObserver} from './Observation';
+import type {VersionRoles} from './VersionGate';
+import {
+  primaryUpstreams,
+  upstreamsOfVersion,
+  versionRolesOf,
+} from './VersionGate';
 
-/** What Exposures are made of. */
+/** Dependencies of Exposures. */
 export interface ExposuresParts {
   readonly clock: Clock;
   readonly log: DecisionLog;
@@ -41,144 +41,161 @@
 }
 
 /**
- * Part of the new upstreams that exposed requests are gathered on. About this part
- * of all requests is exposed, so those few are as busy as the stable ones, and a
- * version that is bad only under load shows.
+ * Fraction of the new version's upstreams that receive exposed requests. Concentrating
+ * them gives these upstreams a realistic load, which reveals failures under load.
  */
-const GATHERED_PART = 0.1;
+const EXPOSED_UPSTREAM_FRACTION = 0.1;
 
-/** Services that one line of the log names. */
-const MAX_LOGGED = 16;
+/** Maximum number of services listed in one log line. */
+const MAX_LOGGED_SERVICES = 16;
 
-/** One service that has versions. */
-interface ExposedService {
+/** Rollout state of one versioned service. */
+interface ServiceState {
   readonly versions: ServiceVersions;
-  readonly use: VersionUse;
+  readonly roles: VersionRoles;
   readonly expectations: AnswerExpectations;
-  /** While a roll-out is exposing or shifting. */
-  readonly account: ExposureAccount | undefined;
+  /** Defined while a rollout is exposing or shifting. */
+  readonly tracker: ExposureTracker | undefined;
 }
 
-const SILENT = new SilentObservation();
+const NO_OP_OBSERVER = new NoOpAttemptObserver();
 
-/** See the module comment. */
+/**
+ * Carries out the rollouts of all services on one edge. Selects the upstreams that a
+ * request may use and exposes granted requests, that is, sends them to a new version.
+ */
 export class Exposures {
-  /** Notified when there may be something to tell. */
+  /** Notified when rollouts change or exposure stops. */
   readonly changed = new Condition();
-  private held: Rollouts = NO_ROLLOUTS;
-  private services = new Map<string, ExposedService>();
+  private current: Rollouts = NO_ROLLOUTS;
+  private services = new Map<string, ServiceState>();
 
   constructor(private readonly parts: ExposuresParts) {}
 
-  /** The roll-outs in force here. */
+  /** The most recently adopted rollouts. */
   get rollouts(): Rollouts {
-    return this.held;
+    return this.current;
   }
 
-  /** Whether any roll-out is exposing or shifting. */
-  get active(): boolean {
+  /** Whether any rollout is exposing or shifting. */
+  get hasActiveRollout(): boolean {
     return [...this.services.values()].some(
-      ({account}) => account !== undefined,
+      ({tracker}) => tracker !== undefined,
     );
   }
 
-  /** Puts roll-outs in force, unless newer ones are. */
-  adopt(found: Rollouts, source: string): void {
-    const {revision: former} = this.held;
-    if (found.revision <= former) {
+  /** Adopts rollouts; ignores a revision that is not newer than the current one. */
+  adopt(rollouts: Rollouts, source: string): void {
+    const {revision: previousRevision} = this.current;
+    if (rollouts.revision <= previousRevision) {
       return;
     }
-    this.held = found;
+    this.current = rollouts;
     this.services = new Map(
-      found.services.map((versions) => [
+      rollouts.services.map((versions) => [
         versions.service,
-        this.serviceFor(versions),
+        this.createState(versions),
       ]),
     );
     this.parts.log.note({
       event: 'rollouts-adopted',
-      former,
-      revision: found.revision,
-      services: found.services.slice(-MAX_LOGGED).map(describe),
+      former: previousRevision,
+      revision: rollouts.revision,
+      services: rollouts.services
+        .slice(-MAX_LOGGED_SERVICES)
+        .map(describeRollout),
       source,
     });
     this.changed.notify();
   }
 
   /**
-   * The upstreams that a request may go to, the ones to prefer first. Its first try
-   * may go to a new version; what follows a failed try goes to the usual one.
+   * Returns groups of upstreams that a request may use, in order of preference. Only
+   * the first attempt may go to a new version; retries use the primary version.
    */
   groupsFor(
     {route, service}: Plan,
     serving: readonly EdgeUpstream[],
-    isFirst: boolean,
+    isFirstAttempt: boolean,
   ): readonly (readonly EdgeUpstream[])[] {
-    const exposed = this.services.get(service.name);
-    if (exposed === undefined) {
+    const state = this.services.get(service.name);
+    if (state === undefined) {
       return [serving];
     }
-    const {account, use} = exposed;
-    const usual = servedBy(use, serving);
-    if (use.fallback !== undefined && account?.hasShifted === false) {
-      // The former upstreams still run: better there than refused, as by cold ones.
-      return [usual, ofVersion(serving, use.fallback)];
+    const {tracker, roles} = state;
+    const regular = primaryUpstreams(roles, serving);
+    if (roles.fallback !== undefined && tracker?.hasShifted === false) {
+      // Falls back when cold upstreams of the new version have no capacity.
+      return [regular, upstreamsOfVersion(serving, roles.fallback)];
     }
-    if (use.trial === undefined || account === undefined || !isFirst) {
-      return [usual];
+    if (
+      roles.canary === undefined ||
+      tracker === undefined ||
+      !isFirstAttempt
+    ) {
+      return [regular];
     }
-    return account.draws(route.name)
-      ? [gathered(ofVersion(serving, use.trial), service.name), usual]
-      : [usual];
+    return tracker.tryExpose(route.name)
+      ? [
+          selectExposedUpstreams(
+            upstreamsOfVersion(serving, roles.canary),
+            service.name,
+          ),
+          regular,
+        ]
+      : [regular];
   }
 
-  /** Counts a request as it is sent, and follows what comes of it. */
+  /** Counts a sent request and returns the observer of its outcome. */
   sent(
     {route, service}: Plan,
-    {cold, record}: EdgeUpstream,
-    tokens: number,
+    {cold: isCold, record}: EdgeUpstream,
+    promptTokens: number,
   ): Observation {
-    const exposed = this.services.get(service.name);
+    const state = this.services.get(service.name);
     const version = record.version ?? UNNAMED_VERSION;
-    if (exposed === undefined) {
-      return SILENT;
+    if (state === undefined) {
+      return NO_OP_OBSERVER;
     }
-    const {account, expectations, use, versions} = exposed;
-    if (version === use.fallback) {
-      account?.sentToFallback();
+    const {tracker, expectations, roles, versions} = state;
+    if (version === roles.fallback) {
+      tracker?.recordFallbackRequest();
     }
-    if (account?.targetVersion === version) {
-      account.sentToTarget();
+    if (tracker?.targetVersion === version) {
+      tracker.recordTargetRequest();
       this.parts.metrics.exposed.inc({service: service.name});
     }
-    return new VersionObservation({
-      account,
+    return new VersionAttemptObserver({
+      tracker,
       clock: this.parts.clock,
-      cold,
+      isCold,
       expectations,
       isStable: version === versions.stableVersion,
       route: route.name,
-      stopped: (stopped) => this.noteStop(service.name, stopped),
-      tokens,
+      onStopped: (stopped) => this.logStop(service.name, stopped),
+      promptTokens,
       version,
     });
   }
 
-  /** What the leader is told of each roll-out under way. */
+  /** Builds a report to the leader for each active rollout. */
   reports(): ExposureReport[] {
     const reports: ExposureReport[] = [];
-    for (const [service, {account, use}] of this.services) {
-      if (account !== undefined) {
+    for (const [service, {tracker, roles}] of this.services) {
+      if (tracker !== undefined) {
         const {pool} = this.parts;
-        const target = ofVersion(pool.serving(service), account.targetVersion);
-        const shifts =
-          use.main === account.targetVersion &&
+        const target = upstreamsOfVersion(
+          pool.serving(service),
+          tracker.targetVersion,
+        );
+        const hasShifted =
+          roles.primary === tracker.targetVersion &&
           target.length > 0 &&
-          account.settleShift();
+          tracker.updateShift();
         reports.push(
-          account.report({
-            openAtFormer: pool.openBesides(service, account.targetVersion),
-            shifted: shifts,
+          tracker.report({
+            openAtFormer: pool.openBesides(service, tracker.targetVersion),
+            shifted: hasShifted,
           }),
         );
       }
@@ -186,40 +203,40 @@
     return reports;
   }
 
-  /** Takes grants in; one for another order is too late. */
-  grant(grants: readonly ExposureGrant[]): void {
+  /** Applies grants; ignores those for another rollout of the service. */
+  applyGrants(grants: readonly ExposureGrant[]): void {
     for (const {granted, number, service} of grants) {
-      const account = this.services.get(service)?.account;
-      if (account?.number === number) {
-        account.grant(granted);
+      const tracker = this.services.get(service)?.tracker;
+      if (tracker?.number === number) {
+        tracker.applyGrant(granted);
         this.parts.metrics.exposureGranted.set({service}, granted);
       }
     }
   }
 
-  private serviceFor(versions: ServiceVersions): ExposedService {
-    const known = this.services.get(versions.service);
+  private createState(versions: ServiceVersions): ServiceState {
+    const existing = this.services.get(versions.service);
     return {
-      account: this.accountFor(versions, known?.account),
-      expectations: this.expectationsFor(versions, known),
-      use: useOfVersions(versions),
+      tracker: this.trackerFor(versions, existing?.tracker),
+      expectations: this.expectationsFor(versions, existing),
+      roles: versionRolesOf(versions),
       versions,
     };
   }
 
-  private accountFor(
+  private trackerFor(
     {rollout, service}: ServiceVersions,
-    known: ExposureAccount | undefined,
-  ): ExposureAccount | undefined {
+    existing: ExposureTracker | undefined,
+  ): ExposureTracker | undefined {
     const isActive =
       rollout?.state === ROLLOUT_STATE.exposing ||
       rollout?.state === ROLLOUT_STATE.shifting;
     if (!isActive) {
       return undefined;
     }
-    return known?.number === rollout.number
-      ? known
-      : new ExposureAccount(
+    return existing?.number === rollout.number
+      ? existing
+      : new ExposureTracker(
           service,
           rollout,
           this.parts.clock,
@@ -227,45 +244,54 @@
         );
   }
 
-  /** What was expected of another version does not hold for this one. */
+  /** Discards learned answer times when the stable version changes. */
   private expectationsFor(
     {stableVersion}: ServiceVersions,
-    known: ExposedService | undefined,
+    existing: ServiceState | undefined,
   ): AnswerExpectations {
-    return known?.versions.stableVersion === stableVersion
-      ? known.expectations
+    return existing?.versions.stableVersion === stableVersion
+      ? existing.expectations
       : new AnswerExpectations();
   }
 
-  private noteStop(service: string, account: ExposureAccount): void {
+  private logStop(service: string, tracker: ExposureTracker): void {
     this.parts.log.note({
-      cause: account.lastStop,
+      cause: tracker.lastStopCause,
       event: 'exposure-stopped',
-      exposed: account.used,
-      number: account.number,
+      exposed: tracker.exposedCount,
+      number: tracker.number,
       service,
-      version: account.targetVersion,
+      version: tracker.targetVersion,
     });
     this.changed.notify();
   }
 }
 
-/** The few that all edges agree on, as long as these answer here. */
-function gathered(
+/** Selects by rendezvous hashing, so that all edges agree; skips paused upstreams. */
+function selectExposedUpstreams(
   upstreams: readonly EdgeUpstream[],
   service: string,
 ): readonly EdgeUpstream[] {
-  const key = hashOf(service);
-  const count = Math.max(1, Math.round(upstreams.length * GATHERED_PART));
+  const serviceHash = hashOf(service);
+  const count = Math.max(
+    1,
+    Math.round(upstreams.length * EXPOSED_UPSTREAM_FRACTION),
+  );
   return upstreams
     .filter(({paused}) => !paused)
     .sort(
-      (a, b) => rendezvousWeight(b.hash, key) - rendezvousWeight(a.hash, key),
+      (a, b) =>
+        rendezvousWeight(b.hash, serviceHash) -
+        rendezvousWeight(a.hash, serviceHash),
     )
     .slice(0, count);
 }
 
-function describe({rollout, service, stableVersion}: ServiceVersions): string {
+function describeRollout({
+  rollout,
+  service,
+  stableVersion,
+}: ServiceVersions): string {
   return rollout === undefined || rollout === null
     ? `${service} ${stableVersion}`
     : `${service} ${stableVersion} to ${rollout.targetVersion}: ${rollout.state}`;
--- a/packages/puffinturn-edge/src/rollouts/Observation.ts
+++ b/packages/puffinturn-edge/src/rollouts/Observation.ts
@@ -5,10 +5,6 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * One request at one upstream, as a roll-out of its service sees it: whether it was
- * answered, how, and how long that took.
- */
 import type {Clock} from 'shared';
 
 import type {RelayEnd} from '../callers/AnswerRelay';
@@ -19,57 +15,57 @@
 } from '../connections/AnswerExpectations';
 import type {ExchangeOutcome} from '../connections/Exchange';
 import {CALLER_LEFT, FIRST_ERROR_STATUS, MISDIRECTED} from '../EdgeConstants';
-import type {AnswerJudgement, ExposureAccount} from './ExposureAccount';
+import type {AnswerOutcome, ExposureTracker} from './ExposureAccount';
 
-/** How passing an answer on has ended. */
-export interface ObservedEnd {
+/** How relaying an answer ended. */
+export interface RelayResult {
   readonly end: RelayEnd;
   readonly status: number;
-  /** Events of this answer that were passed on. */
+  /** Stream events relayed to the caller. */
   readonly events: number;
-  /** Whether the time for the request was over. */
+  /** Whether the request reached its deadline. */
   readonly timedOut: boolean;
 }
 
-/** Follows one attempt. */
+/** Observes one attempt to send a request to an upstream. */
 export abstract class Observation {
-  /** It is known how the attempt began. */
+  /** Called when the upstream answers, rejects the request or fails. */
   abstract began(outcome: ExchangeOutcome): void;
 
-  /** The answer was passed on, or broke off. */
-  abstract ended(end: ObservedEnd): void;
+  /** Called when the answer was relayed or broke off. */
+  abstract ended(end: RelayResult): void;
 }
 
-/** Of a service without versions nothing is counted. */
-export class SilentObservation extends Observation {
+/** Records nothing; used for services without versions. */
+export class NoOpAttemptObserver extends Observation {
   override began(): void {}
 
   override ended(): void {}
 }
 
-/** What a VersionObservation is made of. */
-export interface VersionObservationParts {
+/** Dependencies of a VersionAttemptObserver. */
+export interface VersionAttemptObserverParts {
   readonly clock: Clock;
   readonly route: string;
   readonly version: string;
-  /** Whether it is an answer by which others are measured. */
+  /** Whether the upstream runs the stable version, whose times set expectations. */
   readonly isStable: boolean;
-  /** Prompt tokens to read before the first byte. */
-  readonly tokens: number;
-  /** Whether the upstream is cold: then its times say nothing of its version. */
-  readonly cold: boolean;
+  /** Prompt tokens that the upstream reads before the first byte. */
+  readonly promptTokens: number;
+  /** Whether the upstream is cold; its times are then not compared. */
+  readonly isCold: boolean;
   readonly expectations: AnswerExpectations;
-  /** The roll-out under way as the request was sent. */
-  readonly account: ExposureAccount | undefined;
-  readonly stopped: (account: ExposureAccount) => void;
+  /** Tracker of the rollout that was active when the request was sent. */
+  readonly tracker: ExposureTracker | undefined;
+  readonly onStopped: (tracker: ExposureTracker) => void;
 }
 
-/** See the module comment. */
-export class VersionObservation extends Observation {
+/** Reports the outcome and duration of one attempt to the tracker of a rollout. */
+export class VersionAttemptObserver extends Observation {
   private readonly startedAt: number;
   private firstMs = 0;
 
-  constructor(private readonly parts: VersionObservationParts) {
+  constructor(private readonly parts: VersionAttemptObserverParts) {
     super();
     this.startedAt = parts.clock.now();
   }
@@ -78,29 +74,29 @@
     this.firstMs = this.elapsedMs;
     switch (outcome.kind) {
       case 'answer':
-        this.reached();
+        this.recordOtherRequest();
         return;
       case 'broken':
-        this.reached();
+        this.recordOtherRequest();
         if (outcome.cause !== CALLER_LEFT) {
-          this.judge(true, undefined);
+          this.recordAnswer(true, undefined);
         }
         return;
       case 'rejected':
         if (outcome.answer.statusCode !== MISDIRECTED) {
-          this.reached();
+          this.recordOtherRequest();
         }
         return;
       case 'unsent':
     }
   }
 
-  override ended({end, events, status, timedOut}: ObservedEnd): void {
+  override ended({end, events, status, timedOut}: RelayResult): void {
     const isError = status >= FIRST_ERROR_STATUS;
     if (end === RELAY.broken || isError || timedOut) {
-      this.judge(true, undefined);
+      this.recordAnswer(true, undefined);
     } else if (end === RELAY.whole) {
-      this.measure(events);
+      this.recordCompleteAnswer(events);
     }
   }
 
@@ -108,30 +104,38 @@
     return this.parts.clock.now() - this.startedAt;
   }
 
-  private measure(events: number): void {
-    const {cold, expectations, isStable, route, tokens} = this.parts;
+  private recordCompleteAnswer(events: number): void {
+    const {isCold, expectations, isStable, route, promptTokens} = this.parts;
     const {elapsedMs: wholeMs, firstMs} = this;
-    const sample: AnswerSample = {events, firstMs, tokens, wholeMs};
-    const ratio = cold ? undefined : expectations.ratio(route, sample);
-    if (isStable && !cold) {
+    const sample: AnswerSample = {
+      events,
+      firstMs,
+      tokens: promptTokens,
+      wholeMs,
+    };
+    const latencyRatio = isCold ? undefined : expectations.ratio(route, sample);
+    if (isStable && !isCold) {
       expectations.learn(route, sample);
     }
-    this.judge(false, ratio);
+    this.recordAnswer(false, latencyRatio);
   }
 
-  /** A request to the new version was counted as it was sent. */
-  private reached(): void {
-    const {account, version} = this.parts;
-    if (account !== undefined && version !== account.targetVersion) {
-      account.reachedOther();
+  /** Counts requests to other versions; those to the target are counted when sent. */
+  private recordOtherRequest(): void {
+    const {tracker, version} = this.parts;
+    if (tracker !== undefined && version !== tracker.targetVersion) {
+      tracker.recordOtherRequest();
     }
   }
 
-  private judge(failed: boolean, ratio: number | undefined): void {
-    const {account, route, stopped, version} = this.parts;
-    const answer: AnswerJudgement = {failed, ratio, route, version};
-    if (account?.judge(answer) === true) {
-      stopped(account);
+  private recordAnswer(
+    failed: boolean,
+    latencyRatio: number | undefined,
+  ): void {
+    const {tracker, route, onStopped, version} = this.parts;
+    const outcome: AnswerOutcome = {failed, latencyRatio, route, version};
+    if (tracker?.recordAnswer(outcome) === true) {
+      onStopped(tracker);
     }
   }
 }
--- a/packages/puffinturn-edge/src/rollouts/VersionGate.ts
+++ b/packages/puffinturn-edge/src/rollouts/VersionGate.ts
@@ -5,52 +5,48 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Which versions of a service may get a request. It looks at the state of the
- * service's roll-out only; how many requests try a new version is decided elsewhere.
- */
 import type {ServiceVersions, UpstreamRecord} from 'puffinturn-fleet';
 import {ROLLOUT_STATE, UNNAMED_VERSION} from 'puffinturn-fleet';
 
-/** What has a version: an upstream. */
-export interface VersionSource {
+/** The part of an upstream that names its version. */
+export interface Versioned {
   readonly record: Pick<UpstreamRecord, 'version'>;
 }
 
-/** What the versions of one service are for. */
-export interface VersionUse {
-  /** Gets the requests; undefined where any version may. */
-  readonly main: string | undefined;
-  /** Gets requests out of granted exposure only. */
-  readonly trial: string | undefined;
-  /** Gets the requests only while no upstream of the main one serves. */
+/** Roles of the versions of one service. */
+export interface VersionRoles {
+  /** Receives regular requests; undefined if any version may. */
+  readonly primary: string | undefined;
+  /** Receives only requests granted by the leader. */
+  readonly canary: string | undefined;
+  /** Receives requests only while the primary version cannot serve them. */
   readonly fallback: string | undefined;
 }
 
-const ANY_VERSION: VersionUse = {
-  main: undefined,
+const ANY_VERSION: VersionRoles = {
+  primary: undefined,
   fallback: undefined,
-  trial: undefined,
+  canary: undefined,
 };
 
-/** What the versions are for; any version serves where none is known. */
-export function useOfVersions(
+/** Returns the roles of the versions; any version serves if none is known. */
+export function versionRolesOf(
   versions: ServiceVersions | undefined,
-): VersionUse {
+): VersionRoles {
   if (versions === undefined) {
     return ANY_VERSION;
   }
-  const stable = {...ANY_VERSION, main: versions.stableVersion};
+  const stable = {...ANY_VERSION, primary: versions.stableVersion};
   const rollout = versions.rollout ?? undefined;
   switch (rollout?.state) {
     case ROLLOUT_STATE.completed:
-      return {...ANY_VERSION, main: rollout.targetVersion};
+      return {...ANY_VERSION, primary: rollout.targetVersion};
     case ROLLOUT_STATE.exposing:
-      return {...stable, trial: rollout.targetVersion};
+      return {...stable, canary: rollout.targetVersion};
     case ROLLOUT_STATE.shifting:
       return {
         ...ANY_VERSION,
-        main: rollout.targetVersion,
+        primary: rollout.targetVersion,
         fallback: versions.stableVersion,
       };
     default:
@@ -59,25 +55,24 @@
 }
 
 /**
- * The upstreams that serve a request which tries no new version. While a service
- * shifts, the former version stands in where none of the new one serves: its
- * upstreams run on until all edges say that they have shifted.
+ * Returns the upstreams of the primary version, or of the fallback version if there
+ * are none. During a shift, fallback upstreams run until all edges have shifted.
  */
-export function servedBy<Upstream extends VersionSource>(
-  {main, fallback}: VersionUse,
+export function primaryUpstreams<Upstream extends Versioned>(
+  {primary, fallback}: VersionRoles,
   upstreams: readonly Upstream[],
 ): readonly Upstream[] {
-  if (main === undefined) {
+  if (primary === undefined) {
     return upstreams;
   }
-  const found = ofVersion(upstreams, main);
-  return found.length === 0 && fallback !== undefined
-    ? ofVersion(upstreams, fallback)
-    : found;
+  const matching = upstreamsOfVersion(upstreams, primary);
+  return matching.length === 0 && fallback !== undefined
+    ? upstreamsOfVersion(upstreams, fallback)
+    : matching;
 }
 
-/** The upstreams of one version; those that name none are one version too. */
-export function ofVersion<Upstream extends VersionSource>(
+/** Returns the upstreams of one version; those without a version count as UNNAMED_VERSION. */
+export function upstreamsOfVersion<Upstream extends Versioned>(
   upstreams: readonly Upstream[],
   version: string,
 ): readonly Upstream[] {
