--- a/packages/puffinturn-edge/src/regions/RegionConstants.ts
+++ b/packages/puffinturn-edge/src/regions/RegionConstants.ts
@@ -8,7 +8,7 @@
 /** Constants of the link between regions. */
 
 /** One-way delay between two regions, ms: about 2,000 km of fibre. */
-export const LINK_ONE_WAY_DELAY_MS = 12;
+export const LINK_DELAY_MS = 12;
 
 /** Bandwidth of a link between regions, bytes per ms: 40 Mbit/s for all traffic. */
 export const LINK_BYTES_PER_MS = 5_000;
--- a/packages/puffinturn-edge/src/regions/RegionCrossing.ts
+++ b/packages/puffinturn-edge/src/regions/RegionCrossing.ts
@@ -14,7 +14,7 @@
   LEAST_URGENT_RESERVE_FRACTION,
   LINK_BURST_MS,
   LINK_BYTES_PER_MS,
-  LINK_ONE_WAY_DELAY_MS,
+  LINK_DELAY_MS,
   MIN_AVAILABLE_FRACTION,
   PLAIN_ANSWER_BYTES,
   REQUEST_LINK_FRACTION,
@@ -57,19 +57,16 @@
 
   /** Estimates the round trip and transfer time on the link, ms. */
   transferMs(plan: Plan, bodyBytes: number): number {
-    const availableBytesPerMs =
+    const availableRate =
       LINK_BYTES_PER_MS *
       Math.max(MIN_AVAILABLE_FRACTION, this.availableFraction);
-    return (
-      2 * LINK_ONE_WAY_DELAY_MS +
-      estimateLinkBytes(plan, bodyBytes) / availableBytesPerMs
-    );
+    return 2 * LINK_DELAY_MS + estimateBytes(plan, bodyBytes) / availableRate;
   }
 
   /** Records a request sent to another region. */
   sent(plan: Plan, bodyBytes: number): void {
     this.refill();
-    this.usedBytes += estimateLinkBytes(plan, bodyBytes);
+    this.usedBytes += estimateBytes(plan, bodyBytes);
     this.parts.episodes.recordRequest(plan.service.name);
   }
 
@@ -94,7 +91,7 @@
 }
 
 /** Estimates the bytes that a request and its answer use on the link. */
-function estimateLinkBytes({service}: Plan, bodyBytes: number): number {
+function estimateBytes({service}: Plan, bodyBytes: number): number {
   const answer =
     service.engine === undefined ? PLAIN_ANSWER_BYTES : STREAM_ANSWER_BYTES;
   return bodyBytes + answer;
