--- a/packages/puffinturn-edge/src/__tests__/unit/AllowedRegions.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/AllowedRegions.test.ts
@@ -5,104 +5,122 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import {RegionEdge, routeIn, teamIn} from '../utils/RegionEdge';
+import {RegionEdge, routeAllowedIn, teamAllowedIn} from '../utils/RegionEdge';
 
 const PROMPT = [
   {id: 'aa', tokens: 5_000},
   {id: 'bb', tokens: 1_000},
 ];
 
-const ALL = ['e1-a', 'e2-a', 'e2-b', 'w1-a', 'w2-a', 'w2-b'];
+const ALL_UPSTREAMS = ['e1-a', 'e2-a', 'e2-b', 'w1-a', 'w2-a', 'w2-b'];
 
 function edgeWith(ids: readonly string[]): RegionEdge {
   const edge = new RegionEdge();
   for (const id of ids) {
-    edge.add(id);
+    edge.addUpstream(id);
   }
   return edge;
 }
 
+// Guards against requests and prompts that leave the regions where they are allowed.
 describe('Allowed regions', () => {
-  test('send requests only where they may be served', () => {
-    const edge = edgeWith(ALL);
-    const plan = edge.plan({allowedRegions: ['west']});
-    expect([...edge.drawn(plan, 60)].sort()).toEqual(['w1-a', 'w2-a', 'w2-b']);
+  test('limit requests to upstreams in these regions', () => {
+    const edge = edgeWith(ALL_UPSTREAMS);
+    const plan = edge.createPlan({allowedRegions: ['west']});
+    expect([...edge.selectedIds(plan, 60)].sort()).toEqual([
+      'w1-a',
+      'w2-a',
+      'w2-b',
+    ]);
   });
 
-  test('bind however busy or broken the allowed upstreams are', () => {
-    const edge = edgeWith(ALL);
+  test('apply even if the allowed upstreams are busy or have failed', () => {
+    const edge = edgeWith(ALL_UPSTREAMS);
     edge.upstream('e1-a').answerTime.measured(5_000);
     edge.upstream('e2-a').unreachable();
     edge.upstream('e2-b').unreachable();
-    const plan = edge.plan({allowedRegions: ['east']});
-    expect(edge.drawn(plan, 60)).toEqual(new Set(['e1-a']));
+    const plan = edge.createPlan({allowedRegions: ['east']});
+    expect(edge.selectedIds(plan, 60)).toEqual(new Set(['e1-a']));
   });
 
-  test('bind a retry', () => {
-    const edge = edgeWith(ALL);
-    const plan = edge.plan({allowedRegions: ['east']});
+  test('apply to retries', () => {
+    const edge = edgeWith(ALL_UPSTREAMS);
+    const plan = edge.createPlan({allowedRegions: ['east']});
     const tried = [edge.upstream('e1-a')];
-    expect(['e2-a', 'e2-b']).toContain(edge.place(plan, tried)?.upstream.id);
+    expect(['e2-a', 'e2-b']).toContain(edge.select(plan, tried)?.upstream.id);
     tried.push(edge.upstream('e2-a'), edge.upstream('e2-b'));
-    expect(edge.place(plan, tried)).toBeUndefined();
+    expect(edge.select(plan, tried)).toBeUndefined();
   });
 
-  test('bind the source of a copy of a prompt', () => {
-    const edge = edgeWith(ALL);
+  test('apply to the source of a prompt copy', () => {
+    const edge = edgeWith(ALL_UPSTREAMS);
     for (const id of ['e1-a', 'e2-a', 'e2-b']) {
       edge.upstream(id).prefixes.sent(PROMPT);
       edge.upstream(id).pendingTokens = 50_000;
     }
-    const plan = edge.enginePlan(PROMPT, {allowedRegions: ['west']});
-    const placed = edge.place(plan);
-    expect(placed?.upstream.record.hall.startsWith('w')).toBe(true);
-    expect(placed?.prefixSource?.record.hall.startsWith('e')).not.toBe(true);
+    const plan = edge.createEnginePlan(PROMPT, {allowedRegions: ['west']});
+    const placement = edge.select(plan);
+    expect(placement?.upstream.record.hall.startsWith('w')).toBe(true);
+    expect(placement?.prefixSource?.record.hall.startsWith('e')).not.toBe(true);
   });
 
-  test('bind also in a fleet of one region, or where none is known', () => {
-    const few: Record<string, string>[] = [{}, {e1: 'east', e2: 'east'}];
-    for (const byHall of few) {
-      const edge = new RegionEdge({byHall});
-      edge.add('e1-a');
-      expect(edge.place(edge.plan({allowedRegions: ['west']}))).toBeUndefined();
+  test('apply in a fleet with one region or without regions', () => {
+    const regionMaps: Record<string, string>[] = [{}, {e1: 'east', e2: 'east'}];
+    for (const regionByHall of regionMaps) {
+      const edge = new RegionEdge({regionByHall});
+      edge.addUpstream('e1-a');
+      expect(
+        edge.select(edge.createPlan({allowedRegions: ['west']})),
+      ).toBeUndefined();
     }
-    const edge = new RegionEdge({byHall: {e1: 'east', e2: 'east'}});
-    edge.add('e1-a');
-    const plan = edge.plan({allowedRegions: ['east']});
-    expect(edge.place(plan)?.upstream.id).toBe('e1-a');
+    const edge = new RegionEdge({regionByHall: {e1: 'east', e2: 'east'}});
+    edge.addUpstream('e1-a');
+    const plan = edge.createPlan({allowedRegions: ['east']});
+    expect(edge.select(plan)?.upstream.id).toBe('e1-a');
   });
 
-  test('are told apart from a lack of upstreams', () => {
+  test('cause a rejection distinct from that for missing upstreams', () => {
     const edge = edgeWith(['w1-a']);
-    const bound = edge.plan({allowedRegions: ['east']});
-    expect(edge.lack(bound)).toEqual({
+    const restricted = edge.createPlan({allowedRegions: ['east']});
+    expect(edge.rejection(restricted)).toEqual({
       cause: 'no-upstream-in-region',
       retryAfterS: 1,
     });
-    edge.add('e1-a');
-    expect(edge.lack(bound)).toEqual({
+    edge.addUpstream('e1-a');
+    expect(edge.rejection(restricted)).toEqual({
       cause: 'no-upstream-in-region',
       retryAfterS: 0.3,
     });
-    expect(edge.lack(edge.plan())).toEqual({
+    expect(edge.rejection(edge.createPlan())).toEqual({
       cause: 'no-upstream',
       retryAfterS: 0.3,
     });
   });
 
-  test('that the newest configuration takes away bind a request under way', () => {
-    const edge = edgeWith(ALL);
-    const plan = edge.plan({route: routeIn(), team: teamIn()});
-    edge.newest = ['west'];
-    expect([...edge.drawn(plan, 60)].sort()).toEqual(['w1-a', 'w2-a', 'w2-b']);
+  test('removed by a newer configuration apply to requests in flight', () => {
+    const edge = edgeWith(ALL_UPSTREAMS);
+    const plan = edge.createPlan({
+      route: routeAllowedIn(),
+      team: teamAllowedIn(),
+    });
+    edge.newestAllowedRegions = ['west'];
+    expect([...edge.selectedIds(plan, 60)].sort()).toEqual([
+      'w1-a',
+      'w2-a',
+      'w2-b',
+    ]);
   });
 
-  test('that the newest configuration adds do not widen its plan', () => {
-    const edge = edgeWith(ALL);
-    const plan = edge.plan({allowedRegions: ['east']});
-    edge.newest = undefined;
-    expect([...edge.drawn(plan, 60)].sort()).toEqual(['e1-a', 'e2-a', 'e2-b']);
-    edge.newest = ['west'];
-    expect(edge.place(plan)).toBeUndefined();
+  test('added by a newer configuration do not apply to requests in flight', () => {
+    const edge = edgeWith(ALL_UPSTREAMS);
+    const plan = edge.createPlan({allowedRegions: ['east']});
+    edge.newestAllowedRegions = undefined;
+    expect([...edge.selectedIds(plan, 60)].sort()).toEqual([
+      'e1-a',
+      'e2-a',
+      'e2-b',
+    ]);
+    edge.newestAllowedRegions = ['west'];
+    expect(edge.select(plan)).toBeUndefined();
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/CrossingEpisodes.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/CrossingEpisodes.test.ts
@@ -10,8 +10,9 @@
 
 import {CrossingEpisodes} from '../../regions/CrossingEpisodes';
 
+// Guards against a log line for each request to another region.
 describe('CrossingEpisodes', () => {
-  test('are noted as they begin and end, not for each request', async () => {
+  test('logs only the start and the end of an episode', async () => {
     const clock = new ManualClock();
     const log = new KeptDecisionLog();
     await using episodes = new CrossingEpisodes(clock, log);
--- a/packages/puffinturn-edge/src/__tests__/unit/EdgeRollouts.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/EdgeRollouts.test.ts
@@ -36,15 +36,15 @@
   ],
 };
 
-/** A control box that tells of one configuration and one state of roll-outs. */
+/** A control box that serves one configuration and the given rollouts. */
 function startControl(network: MemoryNetwork, clock: ManualClock) {
-  const asked: WatchRequest[] = [];
+  const watchRequests: WatchRequest[] = [];
   const reports: ExposureRequest[] = [];
-  const told: {rollouts: Rollouts | undefined} = {rollouts: ROLLOUTS};
+  const state: {rollouts: Rollouts | undefined} = {rollouts: ROLLOUTS};
   const link = network.connect('c1');
   link.register(FLEET_SERVICE.watch, async (body) => {
     const request = body as WatchRequest;
-    asked.push(request);
+    watchRequests.push(request);
     await clock.sleep(20);
     const reply: WatchReply = {
       boxes: undefined,
@@ -56,7 +56,7 @@
       heldVersion: 1,
       incarnation: '1',
       leader: 'c1',
-      rollouts: told.rollouts,
+      rollouts: state.rollouts,
       upstreams: [],
       upstreamsRevision: 0,
     };
@@ -66,7 +66,7 @@
     reports.push(body as ExposureRequest);
     return {grants: []};
   });
-  return {asked, reports, told};
+  return {watchRequests, reports, state};
 }
 
 async function openEdge(network: MemoryNetwork, clock: ManualClock) {
@@ -87,12 +87,12 @@
     seeds: () => ['c1'],
     self: {box: 'e1', hall: 'a', incarnation: '7', role: BOX_ROLE.edge},
   });
-  invariant(edge.isOk(), 'opens');
+  invariant(edge.isOk(), 'the edge opens its listeners');
   return {edge: edge.value, log};
 }
 
-/** Ends an edge while time goes on, as its calls take some. */
-class Owned implements AsyncDisposable {
+/** Disposes of an edge while advancing the clock, as pending calls need time to end. */
+class OwnedEdge implements AsyncDisposable {
   constructor(
     readonly edge: Edge,
     private readonly clock: ManualClock,
@@ -100,27 +100,29 @@
 
   async [Symbol.asyncDispose](): Promise<void> {
     const ended = this.edge[Symbol.asyncDispose]();
-    let isOver = false;
-    void ended.then(() => (isOver = true));
-    while (!isOver) {
+    let isDisposed = false;
+    void ended.then(() => (isDisposed = true));
+    while (!isDisposed) {
       await this.clock.advance(100);
       await new Promise((resolve) => setImmediate(resolve));
     }
   }
 }
 
-describe('An edge that hears of roll-outs', () => {
-  test('puts them in force, asks for newer ones and tells the leader', async () => {
+// Guards against an edge that misses rollouts, returns to older ones or does not pass
+// them on.
+describe('Distribution of rollouts to an edge', () => {
+  test('adopts rollouts, watches for newer revisions and reports to the leader', async () => {
     const clock = new ManualClock();
     const network = new MemoryNetwork(clock, new Random(2));
-    const {asked, reports} = startControl(network, clock);
+    const {watchRequests, reports} = startControl(network, clock);
     const {edge, log} = await openEdge(network, clock);
-    await using owned = new Owned(edge, clock);
-    expect(owned.edge).toBe(edge);
+    await using ownedEdge = new OwnedEdge(edge, clock);
+    expect(ownedEdge.edge).toBe(edge);
     await clock.advance(1_000);
     expect(edge.rolloutRevision).toBe(4);
-    expect(asked[0]?.rolloutRevision).toBe(0);
-    expect(asked.at(-1)?.rolloutRevision).toBe(4);
+    expect(watchRequests[0]?.rolloutRevision).toBe(0);
+    expect(watchRequests.at(-1)?.rolloutRevision).toBe(4);
     expect(reports[0]).toMatchObject({
       box: 'e1',
       life: 'e1 7',
@@ -135,39 +137,39 @@
     });
   });
 
-  test('never goes back, and passes over answers without any', async () => {
+  test('ignores older revisions and replies without rollouts', async () => {
     const clock = new ManualClock();
     const network = new MemoryNetwork(clock, new Random(2));
-    const {told} = startControl(network, clock);
+    const {state} = startControl(network, clock);
     const {edge} = await openEdge(network, clock);
-    await using owned = new Owned(edge, clock);
-    expect(owned.edge).toBe(edge);
+    await using ownedEdge = new OwnedEdge(edge, clock);
+    expect(ownedEdge.edge).toBe(edge);
     await clock.advance(1_000);
-    told.rollouts = {...ROLLOUTS, revision: 3, services: []};
+    state.rollouts = {...ROLLOUTS, revision: 3, services: []};
     await clock.advance(1_000);
-    told.rollouts = undefined;
+    state.rollouts = undefined;
     await clock.advance(1_000);
     expect(edge.rolloutRevision).toBe(4);
   });
 
-  test('hands them to an edge that can not reach the core', async () => {
+  test('hands rollouts over to an edge that cannot reach a control box', async () => {
     const clock = new ManualClock();
     const network = new MemoryNetwork(clock, new Random(2));
     startControl(network, clock);
     const {edge} = await openEdge(network, clock);
-    await using owned = new Owned(edge, clock);
-    expect(owned.edge).toBe(edge);
-    const handed: unknown[] = [];
+    await using ownedEdge = new OwnedEdge(edge, clock);
+    expect(ownedEdge.edge).toBe(edge);
+    const handOvers: unknown[] = [];
     const link = network.connect('e2');
     link.register(FLEET_SERVICE.greet, async () => ({needsState: true}));
     link.register(FLEET_SERVICE.handOver, async (body) => {
-      handed.push(body);
+      handOvers.push(body);
       return {};
     });
     await clock.advance(500);
     const record = {hall: 'a', incarnation: '1', role: BOX_ROLE.edge};
     edge.learnBoxes([{...record, box: 'e2'}]);
     await clock.advance(5_000);
-    expect(handed[0]).toMatchObject({rollouts: {revision: 4}});
+    expect(handOvers[0]).toMatchObject({rollouts: {revision: 4}});
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/ExposureAccount.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ExposureAccount.test.ts
@@ -13,116 +13,124 @@
   ExposureTracker,
 } from '../../rollouts/ExposureAccount';
 
-const ORDER = {
+const ROLLOUT = {
   durationMs: 12_000,
   number: 3,
   state: 'exposing',
   targetVersion: 'v2',
 } as const;
 
-const SHOWN = {openAtFormer: 0, shifted: false};
+const UPSTREAM_STATE = {openAtFormer: 0, shifted: false};
 
-function start(seed = 1) {
+function createTracker(seed = 1) {
   const clock = new ManualClock();
-  const account = new ExposureTracker('s', ORDER, clock, new Random(seed));
-  const answer = (fields: Partial<AnswerOutcome> = {}) =>
-    account.recordAnswer({
+  const tracker = new ExposureTracker('s', ROLLOUT, clock, new Random(seed));
+  const recordAnswer = (fields: Partial<AnswerOutcome> = {}) =>
+    tracker.recordAnswer({
       failed: false,
       latencyRatio: 1,
       route: 'r',
       version: 'v2',
       ...fields,
     });
-  /** Requests that come, of which those that are drawn are sent. */
+  /** Simulates arrivals at the given rates per route; returns the exposed ones by route. */
   const serve = async (seconds: number, routes: Record<string, number>) => {
-    const drawn = new Map<string, number>();
-    const all = Object.entries(routes).flatMap(([route, aSecond]) =>
-      Array.from({length: aSecond * seconds}, (_, at) => ({
-        at: ((at + 0.5) * 1_000) / aSecond,
-        route,
-      })),
+    const exposed = new Map<string, number>();
+    const arrivals = Object.entries(routes).flatMap(
+      ([route, requestsPerSecond]) =>
+        Array.from({length: requestsPerSecond * seconds}, (_, at) => ({
+          at: ((at + 0.5) * 1_000) / requestsPerSecond,
+          route,
+        })),
     );
-    all.sort((a, b) => a.at - b.at);
-    const began = clock.now();
-    for (const {at, route} of all) {
-      await clock.advance(Math.max(0, began + at - clock.now()));
-      if (account.tryExpose(route)) {
-        account.recordTargetRequest();
-        drawn.set(route, (drawn.get(route) ?? 0) + 1);
+    arrivals.sort((a, b) => a.at - b.at);
+    const startedAt = clock.now();
+    for (const {at, route} of arrivals) {
+      await clock.advance(Math.max(0, startedAt + at - clock.now()));
+      if (tracker.tryExpose(route)) {
+        tracker.recordTargetRequest();
+        exposed.set(route, (exposed.get(route) ?? 0) + 1);
       } else {
-        account.recordOtherRequest();
+        tracker.recordOtherRequest();
       }
     }
-    return drawn;
+    return exposed;
   };
-  return {account, answer, clock, serve};
+  return {tracker, recordAnswer, clock, serve};
 }
 
-describe('ExposureAccount', () => {
-  test('exposes nothing without a grant', async () => {
-    const {account, serve} = start();
+// Guards against exposing more requests than granted, and against sending further
+// requests to a version that fails.
+describe('ExposureTracker', () => {
+  test('exposes no request without a grant', async () => {
+    const {tracker, serve} = createTracker();
     await serve(3, {r: 50});
-    expect(account.exposedCount).toBe(0);
-    expect(account.report(SHOWN)).toMatchObject({exposed: 0, requests: 150});
+    expect(tracker.exposedCount).toBe(0);
+    expect(tracker.report(UPSTREAM_STATE)).toMatchObject({
+      exposed: 0,
+      requests: 150,
+    });
   });
 
-  test('uses what it was granted and no more, though no further grant comes', async () => {
-    const {account, serve} = start();
-    account.applyGrant(7);
+  test('exposes exactly the granted number of requests', async () => {
+    const {tracker, serve} = createTracker();
+    tracker.applyGrant(7);
     await serve(10, {r: 50});
-    expect(account.exposedCount).toBe(7);
+    expect(tracker.exposedCount).toBe(7);
     await serve(10, {r: 50});
-    expect(account.exposedCount).toBe(7);
+    expect(tracker.exposedCount).toBe(7);
   });
 
-  test('grants never shrink, and doubled ones count once', () => {
-    const {account} = start();
-    account.applyGrant(5);
-    account.applyGrant(3);
-    account.applyGrant(5);
-    expect(account.remaining).toBe(5);
-    expect(account.report(SHOWN).granted).toBe(5);
+  test('ignores smaller and repeated grants', () => {
+    const {tracker} = createTracker();
+    tracker.applyGrant(5);
+    tracker.applyGrant(3);
+    tracker.applyGrant(5);
+    expect(tracker.remaining).toBe(5);
+    expect(tracker.report(UPSTREAM_STATE).granted).toBe(5);
   });
 
-  test('spreads what it was granted over the requests to come', async () => {
-    const {account, serve} = start();
+  test('spreads a grant over the expected requests', async () => {
+    const {tracker, serve} = createTracker();
     await serve(1, {r: 100});
-    account.applyGrant(10);
+    tracker.applyGrant(10);
     await serve(0.1, {r: 100});
-    expect(account.exposedCount).toBeLessThanOrEqual(4);
+    expect(tracker.exposedCount).toBeLessThanOrEqual(4);
     await serve(2, {r: 100});
-    expect(account.exposedCount).toBeGreaterThanOrEqual(8);
+    expect(tracker.exposedCount).toBeGreaterThanOrEqual(8);
   });
 
   test.each([1, 2, 3])(
-    'exposes every route, rare ones relatively more often (%i)',
+    'exposes every route, rare routes at a higher rate (seed %i)',
     async (seed) => {
-      const {account, serve} = start(seed);
+      const {tracker, serve} = createTracker(seed);
       const rates = {frequent: 190, rare: 4, usual: 60};
       const totals: Record<string, number> = {};
       for (let second = 0; second < 10; second += 1) {
-        account.applyGrant((second + 1) * 25);
+        tracker.applyGrant((second + 1) * 25);
         for (const [route, count] of await serve(1, rates)) {
           totals[route] = (totals[route] ?? 0) + count;
         }
       }
-      const partOf = (route: keyof typeof rates) =>
+      const exposureRatio = (route: keyof typeof rates) =>
         (totals[route] ?? 0) / (10 * rates[route]);
-      expect(partOf('rare')).toBeGreaterThan(2 * partOf('frequent'));
-      expect(partOf('usual')).toBeGreaterThan(partOf('frequent'));
-      expect(account.exposedCount).toBeGreaterThan(200);
-      expect(account.exposedCount).toBeLessThanOrEqual(250);
+      expect(exposureRatio('rare')).toBeGreaterThan(
+        2 * exposureRatio('frequent'),
+      );
+      expect(exposureRatio('usual')).toBeGreaterThan(exposureRatio('frequent'));
+      expect(tracker.exposedCount).toBeGreaterThan(200);
+      expect(tracker.exposedCount).toBeLessThanOrEqual(250);
     },
   );
 
-  test('counts answers by route and version, in buckets of time', () => {
-    const {account, answer} = start();
-    answer({latencyRatio: 0.4});
-    answer({latencyRatio: 0.7});
-    answer({latencyRatio: 9});
-    answer({failed: true, latencyRatio: undefined});
-    answer({latencyRatio: undefined, route: 'q', version: 'v1'});
-    const {tallies} = account.report(SHOWN);
+  test('counts answers by route, version and latency bucket', () => {
+    const {tracker, recordAnswer} = createTracker();
+    recordAnswer({latencyRatio: 0.4});
+    recordAnswer({latencyRatio: 0.7});
+    recordAnswer({latencyRatio: 9});
+    recordAnswer({failed: true, latencyRatio: undefined});
+    recordAnswer({latencyRatio: undefined, route: 'q', version: 'v1'});
+    const {tallies} = tracker.report(UPSTREAM_STATE);
     expect(tallies).toEqual([
       {
         answers: 4,
@@ -142,66 +150,66 @@
   });
 
   test.each([
-    ['failures', {failed: true, ratio: undefined}],
-    ['answers that take far too long', {latencyRatio: 6}],
-  ])('stops by itself after a run of %s', (_, bad) => {
-    const {account, answer} = start();
-    account.applyGrant(100);
-    const stops = [1, 2, 3, 4, 5, 6].map(() => answer(bad));
+    ['failures', {failed: true, latencyRatio: undefined}],
+    ['slow answers', {latencyRatio: 6}],
+  ])('stops after consecutive %s', (_, bad) => {
+    const {tracker, recordAnswer} = createTracker();
+    tracker.applyGrant(100);
+    const stops = [1, 2, 3, 4, 5, 6].map(() => recordAnswer(bad));
     expect(stops).toEqual([false, false, false, false, false, true]);
-    expect(account.remaining).toBe(0);
-    expect(account.lastStopCause).toBe(
+    expect(tracker.remaining).toBe(0);
+    expect(tracker.lastStopCause).toBe(
       EXPOSURE_STOP_CAUSE.consecutiveBadAnswers,
     );
   });
 
-  test('stops where far more answers are bad than the stable version has', () => {
-    const {account, answer} = start();
-    account.applyGrant(100);
-    for (let count = 0; count < 30 && account.remaining > 0; count += 1) {
-      answer({failed: count % 2 === 0});
+  test('stops if the ratio of bad answers is far above that of the stable version', () => {
+    const {tracker, recordAnswer} = createTracker();
+    tracker.applyGrant(100);
+    for (let count = 0; count < 30 && tracker.remaining > 0; count += 1) {
+      recordAnswer({failed: count % 2 === 0});
     }
-    expect(account.lastStopCause).toBe(EXPOSURE_STOP_CAUSE.badAnswerRatio);
+    expect(tracker.lastStopCause).toBe(EXPOSURE_STOP_CAUSE.badAnswerRatio);
   });
 
-  test('goes on where the stable version answers alike', () => {
-    const {account, answer} = start();
-    account.applyGrant(100);
+  test('continues if the stable version fails at the same rate', () => {
+    const {tracker, recordAnswer} = createTracker();
+    tracker.applyGrant(100);
     for (let count = 0; count < 60; count += 1) {
-      answer({failed: count % 2 === 0, version: 'v1'});
-      answer({failed: count % 2 === 0});
+      recordAnswer({failed: count % 2 === 0, version: 'v1'});
+      recordAnswer({failed: count % 2 === 0});
     }
-    expect(account.lastStopCause).toBeUndefined();
+    expect(tracker.lastStopCause).toBeUndefined();
   });
 
-  test('goes on while a few answers of a good version fail', () => {
-    const {account, answer} = start();
-    account.applyGrant(1_000);
+  test('continues if only a few answers fail', () => {
+    const {tracker, recordAnswer} = createTracker();
+    tracker.applyGrant(1_000);
     const random = new Random(4);
     for (let count = 0; count < 1_000; count += 1) {
-      answer({
+      recordAnswer({
         failed: random.fraction() < 0.05,
         latencyRatio: 1 + random.fraction(),
       });
     }
-    expect(account.lastStopCause).toBeUndefined();
+    expect(tracker.lastStopCause).toBeUndefined();
   });
 
-  test('tries again after a while, and for longer and longer stops', async () => {
-    const {account, answer, clock} = start();
-    account.applyGrant(100);
-    const failSix = () => {
+  test('resumes after a stop and doubles the duration of each further stop', async () => {
+    const {tracker, recordAnswer, clock} = createTracker();
+    tracker.applyGrant(100);
+    const recordSixFailures = () => {
       for (let count = 0; count < 6; count += 1) {
-        answer({failed: true});
+        recordAnswer({failed: true});
       }
     };
-    failSix();
+    recordSixFailures();
     await clock.advance(2_001);
-    expect(account.remaining).toBe(100);
-    failSix();
+    expect(tracker.remaining).toBe(100);
+    recordSixFailures();
     await clock.advance(2_001);
-    expect(account.remaining).toBe(0);
+    expect(tracker.remaining).toBe(0);
     await clock.advance(2_001);
-    expect(account.remaining).toBe(100);
+    expect(tracker.remaining).toBe(100);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/ExposureExchange.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ExposureExchange.test.ts
@@ -20,8 +20,8 @@
 import {Exposures} from '../../rollouts/Exposures';
 import {UpstreamPool} from '../../upstreams/UpstreamPool';
 
-/** An edge, and two control boxes of which the first is asked first. */
-function start(life = 'e 1') {
+/** Starts an exchange with two control boxes; `c1` is preferred. */
+function startExchange(life = 'e 1') {
   const clock = new ManualClock();
   const network = new MemoryNetwork(clock, new Random(2));
   const log = new SilentDecisionLog();
@@ -33,11 +33,11 @@
     pool,
     random: new Random(3),
   });
-  const heard = new Map<string, ExposureRequest[]>();
+  const received = new Map<string, ExposureRequest[]>();
   const reply: {grants: ExposureReply['grants']} = {grants: []};
   for (const box of ['c1', 'c2']) {
     const requests: ExposureRequest[] = [];
-    heard.set(box, requests);
+    received.set(box, requests);
     network.connect(box).register(FLEET_SERVICE.exposure, async (body) => {
       requests.push(body as ExposureRequest);
       return reply;
@@ -51,7 +51,7 @@
     life,
     link: network.connect('e'),
   });
-  const order = (revision: number, state: RolloutState) =>
+  const adoptRollout = (revision: number, state: RolloutState) =>
     exposures.adopt(
       {
         revision,
@@ -70,43 +70,44 @@
       },
       'c1',
     );
-  const heardBy = (box: string) => heard.get(box) ?? [];
-  return {clock, exchange, exposures, heardBy, network, order, reply};
+  const requestsTo = (box: string) => received.get(box) ?? [];
+  return {clock, exchange, exposures, requestsTo, network, adoptRollout, reply};
 }
 
+// Guards against lost or stale reports and grants between an edge and the leader.
 describe('ExposureExchange', () => {
-  test('says nothing while no roll-out is under way', async () => {
-    const {clock, exchange, heardBy} = start();
+  test('sends no report without an active rollout', async () => {
+    const {clock, exchange, requestsTo} = startExchange();
     await using owned = exchange;
     await clock.advance(5_000);
-    expect(heardBy('c1')).toEqual([]);
+    expect(requestsTo('c1')).toEqual([]);
     expect(owned).toBe(exchange);
   });
 
-  test('tells at once, and once a second where nothing changes', async () => {
-    const {clock, exchange, heardBy, order} = start();
+  test('reports at once and repeats unchanged reports every second', async () => {
+    const {clock, exchange, requestsTo, adoptRollout} = startExchange();
     await using owned = exchange;
     await clock.advance(1_000);
-    order(1, 'exposing');
+    adoptRollout(1, 'exposing');
     await clock.advance(50);
-    expect(heardBy('c1')).toHaveLength(1);
-    expect(heardBy('c1')[0]).toMatchObject({box: 'e', life: 'e 1'});
+    expect(requestsTo('c1')).toHaveLength(1);
+    expect(requestsTo('c1')[0]).toMatchObject({box: 'e', life: 'e 1'});
     await clock.advance(4_000);
-    expect(heardBy('c1').length).toBeGreaterThanOrEqual(4);
-    expect(heardBy('c1').length).toBeLessThanOrEqual(6);
-    order(2, 'rolled-back');
+    expect(requestsTo('c1').length).toBeGreaterThanOrEqual(4);
+    expect(requestsTo('c1').length).toBeLessThanOrEqual(6);
+    adoptRollout(2, 'rolled-back');
     await clock.advance(300);
-    const {length} = heardBy('c1');
+    const {length} = requestsTo('c1');
     await clock.advance(5_000);
-    expect(heardBy('c1')).toHaveLength(length);
+    expect(requestsTo('c1')).toHaveLength(length);
     expect(owned).toBe(exchange);
   });
 
-  test('takes grants in, whichever come late', async () => {
-    const {clock, exchange, exposures, order, reply} = start();
+  test('applies grants and ignores late or unknown ones', async () => {
+    const {clock, exchange, exposures, adoptRollout, reply} = startExchange();
     await using owned = exchange;
     reply.grants = [{granted: 9, number: 1, service: 's'}];
-    order(1, 'exposing');
+    adoptRollout(1, 'exposing');
     await clock.advance(100);
     expect(exposures.reports()[0]?.granted).toBe(9);
     reply.grants = [
@@ -119,16 +120,17 @@
     expect(owned).toBe(exchange);
   });
 
-  test('asks the next control box where one fails or can not tell', async () => {
-    const {clock, exchange, heardBy, network, order, reply} = start();
+  test('asks the next control box if one is unreachable, and repeats the report', async () => {
+    const {clock, exchange, requestsTo, network, adoptRollout, reply} =
+      startExchange();
     await using owned = exchange;
     network.disconnect('c1');
     reply.grants = undefined;
-    order(1, 'exposing');
+    adoptRollout(1, 'exposing');
     await clock.advance(2_000);
-    expect(heardBy('c1')).toEqual([]);
-    // Without an answer the same is told again, some times a second.
-    expect(heardBy('c2').length).toBeGreaterThanOrEqual(2);
+    expect(requestsTo('c1')).toEqual([]);
+    // A reply without grants does not acknowledge the report, so it is sent again.
+    expect(requestsTo('c2').length).toBeGreaterThanOrEqual(2);
     expect(owned).toBe(exchange);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/NeighboursInRegions.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/NeighboursInRegions.test.ts
@@ -5,7 +5,8 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The ring of edges over two regions whose halls take turns in the alphabet. */
+// Guards against neighbours that greet across regions without need, and against a
+// region that cannot recover its state. Hall names alternate between the regions.
 import type {BoxRecord, HandOver} from 'puffinturn-fleet';
 import {
   BOX_ROLE,
@@ -39,66 +40,66 @@
   readonly clock = new ManualClock();
   readonly network = new MemoryNetwork(this.clock, new Random(5));
   readonly regions = new Regions(HALLS);
-  /** Who greeted whom, each pair once. */
+  /** Distinct `sender>receiver` pairs. */
   readonly greetings = new Set<string>();
-  private readonly held = new Map<string, HandOver>();
+  private readonly states = new Map<string, HandOver>();
 
   start(self: BoxRecord, state: HandOver | undefined): void {
     const {box} = self;
     const link = this.network.connect(box);
     const others = EDGES.filter((other) => other.box !== box);
     if (state !== undefined) {
-      this.held.set(box, state);
+      this.states.set(box, state);
     }
     new Neighbours({
       clock: this.clock,
-      edges: () => (this.knows(box) ? others : []),
+      edges: () => (this.hasState(box) ? others : []),
       inTouch: () => false,
       link,
-      needsState: () => !this.knows(box),
+      needsState: () => !this.hasState(box),
       regions: this.regions,
       self,
-      state: () => this.held.get(box),
-      take: (handed) => void this.held.set(box, handed),
+      state: () => this.states.get(box),
+      take: (handOver) => void this.states.set(box, handOver),
     });
     link.register(FLEET_SERVICE.greet, async (_, from) => {
       this.greetings.add(`${from}>${box}`);
-      return {needsState: !this.knows(box)};
+      return {needsState: !this.hasState(box)};
     });
   }
 
-  knows(box: string): boolean {
-    return this.held.has(box);
+  hasState(box: string): boolean {
+    return this.states.has(box);
   }
 
-  /** Greetings from one region to the other. */
-  get crossings(): number {
-    const crossing = [...this.greetings].filter((pair) => {
+  /** Number of pairs in different regions. */
+  get crossRegionGreetings(): number {
+    const pairs = [...this.greetings].filter((pair) => {
       const [from = '', to = ''] = pair.split('>');
       return !this.regions.areTogether(from.slice(0, 1), to.slice(0, 1));
     });
-    return crossing.length;
+    return pairs.length;
   }
 }
 
 describe('Neighbours in two regions', () => {
-  test('greet within their region but for the ends of the ring', async () => {
+  test('greet across regions only where the ring changes region', async () => {
     const ring = new RegionRing();
     for (const edge of EDGES) {
       ring.start(edge, STATE);
     }
     await ring.clock.advance(6_000);
     expect(ring.greetings.size).toBe(2 * EDGES.length);
-    expect(ring.crossings).toBe(6);
+    expect(ring.crossRegionGreetings).toBe(6);
   });
 
-  test('bring a region that knows nothing back, over the link', async () => {
+  test('restore the state of a region that has lost it', async () => {
     const ring = new RegionRing();
     for (const edge of EDGES) {
       const isWest = ring.regions.regionOf(edge.hall) === 'west';
       ring.start(edge, isWest ? undefined : STATE);
     }
     await ring.clock.advance(6_000);
-    expect(EDGES.every(({box}) => ring.knows(box))).toBe(true);
+    expect(EDGES.every(({box}) => ring.hasState(box))).toBe(true);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/PlainRegionLoad.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/PlainRegionLoad.test.ts
@@ -5,11 +5,8 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Load: two regions of three plain upstreams of six slots; 120 requests a second and
- * region over twenty edges each, 43 ms of work, to be answered within 200 ms. Then the
- * western upstreams go dark, all or all but one, or take eight times as long.
- */
+// Guards against late answers when upstreams of one region fail or slow down: the other
+// region must take over. Load: 120 requests per second and region over 20 edges each.
 import {ManualClock, Random} from 'shared';
 
 import type {EdgeUpstream} from '../../upstreams/EdgeUpstream';
@@ -17,27 +14,27 @@
 import {RegionEdge, TWO_REGIONS} from '../utils/RegionEdge';
 
 const HALLS = Object.keys(TWO_REGIONS);
-const EDGES_A_HALL = 10;
-const UPSTREAMS = ['e1-a', 'e1-b', 'e2-a', 'w1-a', 'w1-b', 'w2-a'];
+const EDGES_PER_HALL = 10;
+const UPSTREAM_IDS = ['e1-a', 'e1-b', 'e2-a', 'w1-a', 'w1-b', 'w2-a'];
 const WORK_MS = 43;
 const OBJECTIVE_MS = 200;
 const ARRIVALS_PER_S = 240;
 const CONNECT_MS = 400;
-const MOST_TRIES = 4;
+const MAX_ATTEMPTS = 4;
 const STEP_MS = 4;
-const TROUBLE_FROM_MS = 5_000;
-const TROUBLE_UNTIL_MS = 12_000;
-const DAY_MS = 18_000;
+const FAULT_START_MS = 5_000;
+const FAULT_END_MS = 12_000;
+const RUN_DURATION_MS = 18_000;
 
 interface Tally {
-  all: number;
-  inTime: number;
-  crossed: number;
+  total: number;
+  onTime: number;
+  crossRegion: number;
 }
 
-type Trouble = (west: readonly PlainUpstream[]) => void;
+type Fault = (west: readonly PlainUpstream[]) => void;
 
-/** Requests of the western edges, and of all others, by stretch of time. */
+/** Requests of western edges before, during and after the fault, and of eastern edges. */
 interface Outcome {
   readonly before: Tally;
   readonly during: Tally;
@@ -45,46 +42,46 @@
   readonly east: Tally;
 }
 
-function noTally(): Tally {
-  return {all: 0, crossed: 0, inTime: 0};
+function emptyTally(): Tally {
+  return {total: 0, crossRegion: 0, onTime: 0};
 }
 
-async function play(trouble: Trouble, seed: number): Promise<Outcome> {
+async function simulate(injectFault: Fault, seed: number): Promise<Outcome> {
   const clock = new ManualClock();
   const random = new Random(seed);
   const servers = new Map(
-    UPSTREAMS.map((id) => [id, new PlainUpstream(clock)]),
+    UPSTREAM_IDS.map((id) => [id, new PlainUpstream(clock)]),
   );
-  const west = UPSTREAMS.filter(isWest).map((id) => servers.get(id)!);
+  const west = UPSTREAM_IDS.filter(isWest).map((id) => servers.get(id)!);
   const edges = HALLS.flatMap((hall) =>
-    Array.from({length: EDGES_A_HALL}, () => {
-      const fields = {clock, edges: 2 * EDGES_A_HALL, hall, random};
-      const edge = new RegionEdge(fields);
-      UPSTREAMS.forEach((id) => edge.add(id));
+    Array.from({length: EDGES_PER_HALL}, () => {
+      const options = {clock, edgeCount: 2 * EDGES_PER_HALL, hall, random};
+      const edge = new RegionEdge(options);
+      UPSTREAM_IDS.forEach((id) => edge.addUpstream(id));
       return {edge, hall};
     }),
   );
   const outcome = {
-    after: noTally(),
-    before: noTally(),
-    during: noTally(),
-    east: noTally(),
+    after: emptyTally(),
+    before: emptyTally(),
+    during: emptyTally(),
+    east: emptyTally(),
   };
   const tallyFor = (hall: string, now: number): Tally => {
     if (!isWest(hall)) {
       return outcome.east;
     }
-    if (now < TROUBLE_FROM_MS) {
+    if (now < FAULT_START_MS) {
       return outcome.before;
     }
-    if (now < TROUBLE_UNTIL_MS) {
-      return now < TROUBLE_FROM_MS + 1_500 ? noTally() : outcome.during;
+    if (now < FAULT_END_MS) {
+      return now < FAULT_START_MS + 1_500 ? emptyTally() : outcome.during;
     }
-    return now < TROUBLE_UNTIL_MS + 3_000 ? noTally() : outcome.after;
+    return now < FAULT_END_MS + 3_000 ? emptyTally() : outcome.after;
   };
   const serve = async (
     upstream: EdgeUpstream,
-    isAway: boolean,
+    isRemote: boolean,
   ): Promise<boolean> => {
     const server = servers.get(upstream.id)!;
     const sentAt = clock.now();
@@ -95,10 +92,10 @@
       upstream.unreachable();
       return false;
     }
-    await clock.sleep(isAway ? 12 : 1);
-    const done = await server.serve(WORK_MS * (0.5 + random.fraction()));
-    await clock.sleep(isAway ? 12 : 1);
-    if (!done) {
+    await clock.sleep(isRemote ? 12 : 1);
+    const isServed = await server.serve(WORK_MS * (0.5 + random.fraction()));
+    await clock.sleep(isRemote ? 12 : 1);
+    if (!isServed) {
       upstream.full();
       return false;
     }
@@ -106,31 +103,31 @@
     upstream.succeeded();
     return true;
   };
-  const ask = async (): Promise<void> => {
+  const sendRequest = async (): Promise<void> => {
     const {edge, hall} = random.pick(edges)!;
-    const plan = edge.plan();
-    const began = clock.now();
-    const tally = tallyFor(hall, began);
-    tally.all += 1;
+    const plan = edge.createPlan();
+    const startedAt = clock.now();
+    const tally = tallyFor(hall, startedAt);
+    tally.total += 1;
     const tried: EdgeUpstream[] = [];
-    while (tried.length < MOST_TRIES) {
-      const placed = edge.place(plan, tried);
-      if (placed === undefined) {
+    while (tried.length < MAX_ATTEMPTS) {
+      const placement = edge.select(plan, tried);
+      if (placement === undefined) {
         return;
       }
-      const {upstream} = placed;
+      const {upstream} = placement;
       const {doubtful} = upstream;
-      const isAway = isWest(hall) !== isWest(upstream.id);
+      const isRemote = isWest(hall) !== isWest(upstream.id);
       tried.push(upstream);
-      tally.crossed += isAway ? 1 : 0;
-      if (isAway) {
+      tally.crossRegion += isRemote ? 1 : 0;
+      if (isRemote) {
         edge.crossing.sent(plan, 600);
       }
       if (doubtful) {
         edge.homeProbes.sent();
       }
-      if (await serve(upstream, isAway)) {
-        tally.inTime += clock.now() - began <= OBJECTIVE_MS ? 1 : 0;
+      if (await serve(upstream, isRemote)) {
+        tally.onTime += clock.now() - startedAt <= OBJECTIVE_MS ? 1 : 0;
         if (doubtful) {
           edge.homeProbes.answered();
         }
@@ -138,21 +135,21 @@
       }
     }
   };
-  for (let at = 0; at < DAY_MS; at += STEP_MS) {
-    if (at === TROUBLE_FROM_MS) {
-      trouble(west);
+  for (let at = 0; at < RUN_DURATION_MS; at += STEP_MS) {
+    if (at === FAULT_START_MS) {
+      injectFault(west);
     }
-    if (at === TROUBLE_UNTIL_MS) {
+    if (at === FAULT_END_MS) {
       west.forEach((server) => {
         server.isDark = false;
         server.slowTimes = 1;
       });
     }
-    // Callers come three at a time.
+    // Requests arrive in batches of three.
     if (random.fraction() < (ARRIVALS_PER_S * STEP_MS) / 3_000) {
-      void ask();
-      void ask();
-      void ask();
+      void sendRequest();
+      void sendRequest();
+      void sendRequest();
     }
     await clock.advance(STEP_MS);
   }
@@ -164,52 +161,55 @@
   return id.startsWith('w');
 }
 
-function served({all, inTime}: Tally): number {
-  return inTime / all;
+function onTimeRatio({total, onTime}: Tally): number {
+  return onTime / total;
 }
 
-function crossing({all, crossed}: Tally): number {
-  return crossed / all;
+function crossRegionRatio({total, crossRegion}: Tally): number {
+  return crossRegion / total;
 }
 
-const NONE: Trouble = () => undefined;
-const ALL_DARK: Trouble = (west) => {
+const NO_FAULT: Fault = () => undefined;
+const ALL_DOWN: Fault = (west) => {
   west.forEach((server) => (server.isDark = true));
 };
-const ONE_LEFT: Trouble = (west) => {
+const ALL_BUT_ONE_DOWN: Fault = (west) => {
   west.slice(1).forEach((server) => (server.isDark = true));
 };
-const ALL_SLOW: Trouble = (west) => {
+const ALL_SLOW: Fault = (west) => {
   west.forEach((server) => (server.slowTimes = 8));
 };
 
 describe('Plain upstreams in two regions', () => {
-  test.each([1, 2, 3])('serve their own in all calm (%i)', async (seed) => {
-    const {after, before, during, east} = await play(NONE, seed);
-    for (const tally of [before, during, after, east]) {
-      expect(crossing(tally)).toBeLessThan(0.01);
-      expect(served(tally)).toBeGreaterThan(0.97);
-    }
-  });
+  test.each([1, 2, 3])(
+    'serve their own region without faults (seed %i)',
+    async (seed) => {
+      const {after, before, during, east} = await simulate(NO_FAULT, seed);
+      for (const tally of [before, during, after, east]) {
+        expect(crossRegionRatio(tally)).toBeLessThan(0.01);
+        expect(onTimeRatio(tally)).toBeGreaterThan(0.97);
+      }
+    },
+  );
 
   test.each([
-    ['all are dark', ALL_DARK, 0.9, 1],
-    ['all are dark', ALL_DARK, 0.9, 2],
-    ['one is left', ONE_LEFT, 0.9, 1],
-    ['one is left', ONE_LEFT, 0.9, 2],
-    // At home none of these would be in time.
+    ['all are down', ALL_DOWN, 0.9, 1],
+    ['all are down', ALL_DOWN, 0.9, 2],
+    ['one is left', ALL_BUT_ONE_DOWN, 0.9, 1],
+    ['one is left', ALL_BUT_ONE_DOWN, 0.9, 2],
+    // No request would be on time in the local region.
     ['all are slow', ALL_SLOW, 0.6, 1],
     ['all are slow', ALL_SLOW, 0.6, 2],
   ])(
-    'serve for the other region where there %s (%#)',
-    async (_, trouble, least, seed) => {
-      const {after, before, during, east} = await play(trouble, seed);
-      expect(served(before)).toBeGreaterThan(0.97);
-      expect(served(during)).toBeGreaterThan(least);
-      expect(served(after)).toBeGreaterThan(0.97);
-      expect(crossing(after)).toBeLessThan(0.02);
-      expect(served(east)).toBeGreaterThan(0.97);
-      expect(crossing(east)).toBeLessThan(0.01);
+    'serve the other region if there %s (case %#)',
+    async (_, injectFault, minRatio, seed) => {
+      const {after, before, during, east} = await simulate(injectFault, seed);
+      expect(onTimeRatio(before)).toBeGreaterThan(0.97);
+      expect(onTimeRatio(during)).toBeGreaterThan(minRatio);
+      expect(onTimeRatio(after)).toBeGreaterThan(0.97);
+      expect(crossRegionRatio(after)).toBeLessThan(0.02);
+      expect(onTimeRatio(east)).toBeGreaterThan(0.97);
+      expect(crossRegionRatio(east)).toBeLessThan(0.01);
     },
   );
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/RegionLoad.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/RegionLoad.test.ts
@@ -5,12 +5,8 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Load: two regions of two halls, twelve edges and six engines each; 120 requests a
- * second and region, of 12 KB, most of them about one of 60 prompts of 5,000 tokens.
- * A third of the requests are less urgent. Then a region's engines go dark, all or
- * all but one, for six seconds, and come back knowing no prompt.
- */
+// Guards against lost requests when engines of one region fail or the link is down, and
+// against needless traffic between regions. Engines return with empty prompt caches.
 import {ManualClock, Random} from 'shared';
 
 import type {PromptPart} from '../../callers/CallerDialect';
@@ -18,113 +14,115 @@
 import type {EdgeUpstream} from '../../upstreams/EdgeUpstream';
 import {PromptReading} from '../../upstreams/PromptReading';
 import type {Placement} from '../../upstreams/UpstreamChoice';
-import type {CrossingOf} from '../utils/RegionEdge';
+import type {CrossingFactory} from '../utils/RegionEdge';
 import {RegionEdge, TWO_REGIONS} from '../utils/RegionEdge';
 
 const HALLS = Object.keys(TWO_REGIONS);
-const EDGES_A_HALL = 6;
-const ENGINES_A_HALL = 3;
+const EDGES_PER_HALL = 6;
+const ENGINES_PER_HALL = 3;
 const ARRIVALS_PER_S = 240;
-const PROMPTS = 60;
+const PROMPT_COUNT = 60;
 const SHARED_TOKENS = 5_000;
-const OWN_TOKENS = 1_200;
-const READS_PER_MS = 85;
+const UNIQUE_TOKENS = 1_200;
+const READ_TOKENS_PER_MS = 85;
 const BODY_BYTES = 12_000;
 const OBJECTIVE_MS = 500;
 const CONNECT_MS = 400;
 const COPY_MS_PER_TOKEN = 0.0004;
 const COPY_SETUP_MS = 10;
-const MOST_TRIES = 4;
-const LEAST_URGENT_PART = 0.33;
+const MAX_ATTEMPTS = 4;
+const LEAST_URGENT_FRACTION = 0.33;
 const STEP_MS = 2;
-const DARK_FROM_MS = 6_000;
-const DARK_UNTIL_MS = 12_000;
-const DAY_MS = 20_000;
+const FAULT_START_MS = 6_000;
+const FAULT_END_MS = 12_000;
+const RUN_DURATION_MS = 20_000;
 
-/** One engine: reads prompts one after the other, and keeps what it has read. */
+/** Simulates an engine that reads prompts sequentially and caches them. */
 class Engine {
-  readonly kept = new Set<string>();
-  isDark = false;
-  private freeAt = 0;
+  readonly cachedPrompts = new Set<string>();
+  isDown = false;
+  private idleAt = 0;
 
   constructor(readonly hall: string) {}
 
-  /** When the first token of a prompt comes, ms from now. */
+  /** Reads a prompt; returns the time to first token, ms. */
   read(now: number, promptId: string, copiedTokens: number): number {
-    const keeps = this.kept.has(promptId);
-    const shared = keeps ? 0 : SHARED_TOKENS - copiedTokens;
-    const copy =
+    const isCached = this.cachedPrompts.has(promptId);
+    const sharedTokens = isCached ? 0 : SHARED_TOKENS - copiedTokens;
+    const copyMs =
       copiedTokens === 0 ? 0 : COPY_SETUP_MS + copiedTokens * COPY_MS_PER_TOKEN;
-    const began = Math.max(now, this.freeAt);
-    this.kept.add(promptId);
-    this.freeAt = began + copy + (shared + OWN_TOKENS) / READS_PER_MS;
-    return this.freeAt - now;
+    const startsAt = Math.max(now, this.idleAt);
+    this.cachedPrompts.add(promptId);
+    this.idleAt =
+      startsAt + copyMs + (sharedTokens + UNIQUE_TOKENS) / READ_TOKENS_PER_MS;
+    return this.idleAt - now;
   }
 }
 
 interface Tally {
-  inTime: number;
+  onTime: number;
   late: number;
-  refused: number;
-  crossed: number;
+  rejected: number;
+  crossRegion: number;
 }
 
-/** What came of the requests of a stretch of time, by rank. */
-interface Stretch {
+/** Results of the requests of one period, by urgency. */
+interface Period {
   readonly urgent: Tally;
-  readonly least: Tally;
+  readonly leastUrgent: Tally;
   bytes: number;
 }
 
 interface Outcome {
-  readonly before: Stretch;
-  readonly during: Stretch;
-  /** From 2 s after the return on. */
-  readonly after: Stretch;
-  /** Prompts read from their start, by all engines of both regions. */
-  readonly wholeReads: number;
-  readonly copiesAcross: number;
+  readonly before: Period;
+  readonly during: Period;
+  /** Starts 2 s after the fault ends. */
+  readonly after: Period;
+  /** Prompts read without a cached or copied prefix, in both regions. */
+  readonly fullPrefills: number;
+  readonly crossRegionCopies: number;
 }
 
-function noTally(): Tally {
-  return {crossed: 0, inTime: 0, late: 0, refused: 0};
+function emptyTally(): Tally {
+  return {crossRegion: 0, onTime: 0, late: 0, rejected: 0};
 }
 
-function noStretch(): Stretch {
-  return {bytes: 0, least: noTally(), urgent: noTally()};
+function emptyPeriod(): Period {
+  return {bytes: 0, leastUrgent: emptyTally(), urgent: emptyTally()};
 }
 
-/** What happens to the link and to the engines from DARK_FROM_MS on. */
-interface Trouble {
-  /** How many of the six western engines stay. */
-  readonly left: number;
-  readonly linkIsCut: boolean;
+/** Fault of the link and the engines, starting at FAULT_START_MS. */
+interface Fault {
+  /** Number of the six western engines that stay up. */
+  readonly remainingEngines: number;
+  readonly isLinkDown: boolean;
 }
 
-interface Way {
-  readonly byHall: Readonly<Record<string, string>>;
-  readonly crossingOf?: CrossingOf;
+/** Region settings and link model of the edges. */
+interface RoutingMode {
+  readonly regionByHall: Readonly<Record<string, string>>;
+  readonly createCrossing?: CrossingFactory;
 }
 
-/** Edges take the other region for further halls of their own. */
-const ONE_REGION: Way = {byHall: {}};
+/** Edges treat all halls as one region. */
+const SINGLE_REGION: RoutingMode = {regionByHall: {}};
 
-/** Another region is taken where there is no engine at home, and only then. */
-class LastResort extends RegionCrossing {
+/** Makes edges use another region only if there is no local engine. */
+class LastResortCrossing extends RegionCrossing {
   override transferMs(): number {
     return 1e9;
   }
 }
 
-const STRICT: Way = {
-  byHall: TWO_REGIONS,
-  crossingOf: (parts) => new LastResort(parts),
+const LAST_RESORT: RoutingMode = {
+  regionByHall: TWO_REGIONS,
+  createCrossing: (parts) => new LastResortCrossing(parts),
 };
 
-const KEPT: Way = {byHall: TWO_REGIONS};
+const REGION_AWARE: RoutingMode = {regionByHall: TWO_REGIONS};
 
-/** One run of the load under a trouble. */
-class RegionDay {
+/** One simulation run under a fault. */
+class RegionSimulation {
   private readonly clock = new ManualClock();
   private readonly random: Random;
   private readonly engines = new Map<string, Engine>();
@@ -133,27 +131,27 @@
     readonly hall: string;
   }[];
   private readonly outcome = {
-    after: noStretch(),
-    before: noStretch(),
-    copiesAcross: 0,
-    during: noStretch(),
-    wholeReads: 0,
+    after: emptyPeriod(),
+    before: emptyPeriod(),
+    crossRegionCopies: 0,
+    during: emptyPeriod(),
+    fullPrefills: 0,
   };
 
   constructor(
-    way: Way,
-    private readonly trouble: Trouble,
+    mode: RoutingMode,
+    private readonly fault: Fault,
     seed: number,
   ) {
     this.random = new Random(seed);
     for (const hall of HALLS) {
-      for (let at = 0; at < ENGINES_A_HALL; at += 1) {
+      for (let at = 0; at < ENGINES_PER_HALL; at += 1) {
         this.engines.set(`${hall}-${at}`, new Engine(hall));
       }
     }
     this.edges = HALLS.flatMap((hall) =>
-      Array.from({length: EDGES_A_HALL}, () => ({
-        edge: this.edgeIn(hall, way),
+      Array.from({length: EDGES_PER_HALL}, () => ({
+        edge: this.createEdge(hall, mode),
         hall,
       })),
     );
@@ -161,17 +159,17 @@
 
   async run(): Promise<Outcome> {
     const {clock, random} = this;
-    for (let at = 0; at < DAY_MS; at += STEP_MS) {
-      if (at === DARK_FROM_MS) {
-        this.begin();
+    for (let at = 0; at < RUN_DURATION_MS; at += STEP_MS) {
+      if (at === FAULT_START_MS) {
+        this.startFault();
       }
-      if (at === DARK_UNTIL_MS) {
-        this.end();
+      if (at === FAULT_END_MS) {
+        this.endFault();
       }
-      // Callers come in pairs.
+      // Requests arrive in pairs.
       if (random.fraction() < (ARRIVALS_PER_S * STEP_MS) / 2_000) {
-        void this.ask();
-        void this.ask();
+        void this.sendRequest();
+        void this.sendRequest();
       }
       await clock.advance(STEP_MS);
     }
@@ -179,114 +177,121 @@
     return this.outcome;
   }
 
-  private edgeIn(hall: string, {byHall, crossingOf}: Way): RegionEdge {
+  private createEdge(
+    hall: string,
+    {regionByHall, createCrossing}: RoutingMode,
+  ): RegionEdge {
     const edge = new RegionEdge({
-      byHall,
+      regionByHall,
       clock: this.clock,
-      edges: EDGES_A_HALL * 2,
+      edgeCount: EDGES_PER_HALL * 2,
       hall,
       random: this.random,
-      ...(crossingOf === undefined ? {} : {crossingOf}),
+      ...(createCrossing === undefined ? {} : {createCrossing}),
     });
     for (const id of this.engines.keys()) {
-      edge.add(id);
+      edge.addUpstream(id);
     }
     return edge;
   }
 
-  private begin(): void {
+  private startFault(): void {
     const west = [...this.engines.values()].filter(({hall}) => isWest(hall));
-    for (const engine of west.slice(this.trouble.left)) {
-      engine.isDark = true;
+    for (const engine of west.slice(this.fault.remainingEngines)) {
+      engine.isDown = true;
     }
   }
 
-  private end(): void {
+  private endFault(): void {
     for (const engine of this.engines.values()) {
-      if (engine.isDark) {
-        engine.isDark = false;
-        engine.kept.clear();
+      if (engine.isDown) {
+        engine.isDown = false;
+        engine.cachedPrompts.clear();
       }
     }
   }
 
-  private stretchAt(now: number): Stretch {
-    if (now < DARK_FROM_MS) {
+  private periodAt(now: number): Period {
+    if (now < FAULT_START_MS) {
       return this.outcome.before;
     }
-    // The first second shows what edges do before they know.
-    if (now < DARK_UNTIL_MS) {
-      return now < DARK_FROM_MS + 1_000 ? noStretch() : this.outcome.during;
+    // Excludes the first second, in which edges detect the fault.
+    if (now < FAULT_END_MS) {
+      return now < FAULT_START_MS + 1_000 ? emptyPeriod() : this.outcome.during;
     }
-    return now < DARK_UNTIL_MS + 2_000 ? noStretch() : this.outcome.after;
+    return now < FAULT_END_MS + 2_000 ? emptyPeriod() : this.outcome.after;
   }
 
-  private promptOf(): readonly PromptPart[] {
+  private nextPrompt(): readonly PromptPart[] {
     const {random} = this;
-    const rank = Math.floor(random.fraction() * random.fraction() * PROMPTS);
+    const rank = Math.floor(
+      random.fraction() * random.fraction() * PROMPT_COUNT,
+    );
     return [
       {id: `p${rank}`, tokens: SHARED_TOKENS},
-      {id: `own-${random.integer(0, 1e9)}`, tokens: OWN_TOKENS},
+      {id: `own-${random.integer(0, 1e9)}`, tokens: UNIQUE_TOKENS},
     ];
   }
 
-  private async ask(): Promise<void> {
+  private async sendRequest(): Promise<void> {
     const {clock, random} = this;
-    const from = random.pick(this.edges)!;
-    const parts = this.promptOf();
-    const plan = from.edge.enginePlan(parts);
-    const isLeastUrgent = random.fraction() < LEAST_URGENT_PART;
-    const began = clock.now();
-    const stretch = this.stretchAt(began);
-    const tally = isLeastUrgent ? stretch.least : stretch.urgent;
-    const sending = {
+    const origin = random.pick(this.edges)!;
+    const parts = this.nextPrompt();
+    const plan = origin.edge.createEnginePlan(parts);
+    const isLeastUrgent = random.fraction() < LEAST_URGENT_FRACTION;
+    const startedAt = clock.now();
+    const period = this.periodAt(startedAt);
+    const tally = isLeastUrgent ? period.leastUrgent : period.urgent;
+    const size = {
       bodyBytes: BODY_BYTES,
       heldBack: new Set<EdgeUpstream>(),
       isLeastUrgent,
     };
     const tried: EdgeUpstream[] = [];
-    while (tried.length < MOST_TRIES) {
-      const placed = from.edge.place(plan, tried, sending);
-      if (placed === undefined) {
+    while (tried.length < MAX_ATTEMPTS) {
+      const placement = origin.edge.select(plan, tried, size);
+      if (placement === undefined) {
         break;
       }
-      tried.push(placed.upstream);
-      const {doubtful} = placed.upstream;
+      tried.push(placement.upstream);
+      const {doubtful} = placement.upstream;
       if (doubtful) {
-        from.edge.homeProbes.sent();
+        origin.edge.homeProbes.sent();
       }
-      const isAway = isWest(from.hall) !== isWest(placed.upstream.record.hall);
-      if (isAway) {
-        tally.crossed += 1;
-        stretch.bytes += BODY_BYTES + 5_000;
+      const isRemote =
+        isWest(origin.hall) !== isWest(placement.upstream.record.hall);
+      if (isRemote) {
+        tally.crossRegion += 1;
+        period.bytes += BODY_BYTES + 5_000;
       }
-      if (from.edge.crossing.isAway(placed.upstream.record.hall)) {
-        from.edge.crossing.sent(plan, BODY_BYTES);
+      if (origin.edge.crossing.isAway(placement.upstream.record.hall)) {
+        origin.edge.crossing.sent(plan, BODY_BYTES);
       }
-      if (await this.serve(placed, parts, isAway)) {
+      if (await this.serve(placement, parts, isRemote)) {
         if (doubtful) {
-          from.edge.homeProbes.answered();
+          origin.edge.homeProbes.answered();
         }
-        const isInTime = clock.now() - began <= OBJECTIVE_MS;
-        tally[isInTime ? 'inTime' : 'late'] += 1;
+        const isOnTime = clock.now() - startedAt <= OBJECTIVE_MS;
+        tally[isOnTime ? 'onTime' : 'late'] += 1;
         return;
       }
     }
-    tally.refused += 1;
+    tally.rejected += 1;
   }
 
-  /** Sends it; false where no connection comes up. */
+  /** Serves a request; returns false if no connection is established. */
   private async serve(
     placement: Placement,
     parts: readonly PromptPart[],
-    isAway: boolean,
+    isRemote: boolean,
   ): Promise<boolean> {
     const {clock, outcome} = this;
     const {copiedTokens, prefixSource, upstream} = placement;
     const engine = this.engines.get(upstream.id)!;
-    const isCut = isAway && this.trouble.linkIsCut && isTroubled(clock.now());
+    const isUnreachable =
+      isRemote && this.fault.isLinkDown && isFaultActive(clock.now());
     upstream.inFlight += 1;
-    if (engine.isDark || isCut) {
+    if (engine.isDown || isUnreachable) {
       await clock.sleep(CONNECT_MS);
       upstream.inFlight -= 1;
       upstream.unreachable();
@@ -294,17 +299,17 @@
     }
     const [shared] = parts;
     const promptId = shared!.id;
-    if (!engine.kept.has(promptId) && copiedTokens === 0) {
-      outcome.wholeReads += 1;
+    if (!engine.cachedPrompts.has(promptId) && copiedTokens === 0) {
+      outcome.fullPrefills += 1;
     }
     const source = prefixSource?.record.hall;
     if (source !== undefined && isWest(source) !== isWest(engine.hall)) {
-      outcome.copiesAcross += 1;
+      outcome.crossRegionCopies += 1;
     }
     const reading = new PromptReading(clock, placement, parts);
-    await clock.sleep(isAway ? 12 : 1);
+    await clock.sleep(isRemote ? 12 : 1);
     await clock.sleep(engine.read(clock.now(), promptId, copiedTokens));
-    await clock.sleep(isAway ? 12 : 1);
+    await clock.sleep(isRemote ? 12 : 1);
     upstream.inFlight -= 1;
     reading.end(true);
     upstream.succeeded();
@@ -316,112 +321,143 @@
   return hall.startsWith('w');
 }
 
-function isTroubled(now: number): boolean {
-  return now >= DARK_FROM_MS && now < DARK_UNTIL_MS;
+function isFaultActive(now: number): boolean {
+  return now >= FAULT_START_MS && now < FAULT_END_MS;
 }
 
-function play(way: Way, trouble: Trouble, seed: number): Promise<Outcome> {
-  return new RegionDay(way, trouble, seed).run();
+function simulate(
+  mode: RoutingMode,
+  fault: Fault,
+  seed: number,
+): Promise<Outcome> {
+  return new RegionSimulation(mode, fault, seed).run();
 }
 
-function countOf({inTime, late, refused}: Tally): number {
-  return inTime + late + refused;
+function totalRequests({onTime, late, rejected}: Tally): number {
+  return onTime + late + rejected;
 }
 
-/** Requests in time, of one. */
-function servedPart(...tallies: Tally[]): number {
-  const all = tallies.reduce((sum, tally) => sum + countOf(tally), 0);
-  return tallies.reduce((sum, {inTime}) => sum + inTime, 0) / all;
+/** Fraction of requests answered on time. */
+function onTimeRatio(...tallies: Tally[]): number {
+  const all = tallies.reduce((sum, tally) => sum + totalRequests(tally), 0);
+  return tallies.reduce((sum, {onTime}) => sum + onTime, 0) / all;
 }
 
-/** Attempts that went over, for each request. */
-function crossedPart(...tallies: Tally[]): number {
-  const all = tallies.reduce((sum, tally) => sum + countOf(tally), 0);
-  return tallies.reduce((sum, {crossed}) => sum + crossed, 0) / all;
+/** Cross-region attempts per request. */
+function crossRegionRatio(...tallies: Tally[]): number {
+  const all = tallies.reduce((sum, tally) => sum + totalRequests(tally), 0);
+  return tallies.reduce((sum, {crossRegion}) => sum + crossRegion, 0) / all;
 }
 
-function partsOf({least, urgent}: Stretch) {
+function ratiosOf({leastUrgent, urgent}: Period) {
   return {
-    crossed: crossedPart(urgent, least),
-    least: servedPart(least),
-    served: servedPart(urgent, least),
-    urgent: servedPart(urgent),
+    crossRegion: crossRegionRatio(urgent, leastUrgent),
+    leastUrgentOnTime: onTimeRatio(leastUrgent),
+    onTime: onTimeRatio(urgent, leastUrgent),
+    urgentOnTime: onTimeRatio(urgent),
   };
 }
 
-const CALM: Trouble = {left: 6, linkIsCut: false};
-const CUT: Trouble = {left: 6, linkIsCut: true};
-const DARK: Trouble = {left: 0, linkIsCut: false};
-const ONE_LEFT: Trouble = {left: 1, linkIsCut: false};
-const TWO_LEFT: Trouble = {left: 2, linkIsCut: false};
+const NO_FAULT: Fault = {remainingEngines: 6, isLinkDown: false};
+const LINK_DOWN: Fault = {remainingEngines: 6, isLinkDown: true};
+const ALL_DOWN: Fault = {remainingEngines: 0, isLinkDown: false};
+const ONE_ENGINE_LEFT: Fault = {remainingEngines: 1, isLinkDown: false};
+const TWO_ENGINES_LEFT: Fault = {remainingEngines: 2, isLinkDown: false};
 const SEEDS = [1, 2, 3];
 
-/** Half of what the link carries, and what edges may send at once, kB/s. */
-const MOST_KB_PER_S = 2_500 + 1_000;
+/** Half of the link bandwidth plus bursts of the edges, kB/s. */
+const MAX_KB_PER_S = 2_500 + 1_000;
 
-function kiloBytesPerS({bytes}: Stretch, ms: number): number {
+function kilobytesPerSecond({bytes}: Period, ms: number): number {
   return bytes / ms;
 }
 
 describe('Two regions under load', () => {
-  test.each(SEEDS)('cross for nothing while all is well (%i)', async (seed) => {
-    const {after, before, copiesAcross, during, wholeReads} = await play(
-      KEPT,
-      CALM,
-      seed,
-    );
-    for (const stretch of [before, during, after]) {
-      expect(partsOf(stretch).crossed).toBeLessThan(0.01);
-      expect(partsOf(stretch).served).toBeGreaterThan(0.99);
-    }
-    expect(copiesAcross).toBe(0);
-    // Each prompt once a region, and not once an engine.
-    expect(wholeReads).toBeLessThan(2.1 * PROMPTS);
-  });
-
-  test.each(SEEDS)('do not notice that the link is cut (%i)', async (seed) => {
-    const kept = partsOf((await play(KEPT, CUT, seed)).during);
-    const former = partsOf((await play(ONE_REGION, CUT, seed)).during);
-    expect(kept.served).toBeGreaterThan(0.99);
-    expect(kept.served).toBeGreaterThan(former.served);
-  });
-
-  test.each(SEEDS)('serve each other where one is dark (%i)', async (seed) => {
-    const {after, copiesAcross, during} = await play(KEPT, DARK, seed);
-    const parts = partsOf(during);
-    expect(parts.served).toBeGreaterThan(0.9);
-    expect(parts.urgent).toBeGreaterThanOrEqual(parts.least - 0.01);
-    expect(kiloBytesPerS(during, 5_000)).toBeLessThan(MOST_KB_PER_S);
-    expect(copiesAcross).toBe(0);
-    // Back home within two seconds, though the engines are cold.
-    expect(partsOf(after).crossed).toBeLessThan(0.02);
-    expect(partsOf(after).served).toBeGreaterThan(0.99);
-  });
-
-  test.each(SEEDS)('share what one can not bear alone (%i)', async (seed) => {
-    for (const trouble of [ONE_LEFT, TWO_LEFT]) {
-      const kept = partsOf((await play(KEPT, trouble, seed)).during);
-      const strict = partsOf((await play(STRICT, trouble, seed)).during);
-      expect(kept.served).toBeGreaterThan(0.93);
-      expect(kept.served).toBeGreaterThan(strict.served + 0.1);
-      expect(strict.crossed).toBeLessThan(0.05);
-    }
-  });
-
-  test('serve at home what they can where the other one is cut off', async () => {
-    const trouble: Trouble = {left: 0, linkIsCut: true};
-    const {after, during} = await play(KEPT, trouble, 1);
-    // The eastern half; attempts over a dead link are few.
-    expect(partsOf(during).served).toBeGreaterThan(0.45);
-    expect(partsOf(during).crossed).toBeLessThan(0.35);
-    expect(partsOf(after).served).toBeGreaterThan(0.99);
+  test.each(SEEDS)(
+    'serve their own requests without faults (seed %i)',
+    async (seed) => {
+      const {after, before, crossRegionCopies, during, fullPrefills} =
+        await simulate(REGION_AWARE, NO_FAULT, seed);
+      for (const period of [before, during, after]) {
+        expect(ratiosOf(period).crossRegion).toBeLessThan(0.01);
+        expect(ratiosOf(period).onTime).toBeGreaterThan(0.99);
+      }
+      expect(crossRegionCopies).toBe(0);
+      // Each prompt is read once per region, not once per engine.
+      expect(fullPrefills).toBeLessThan(2.1 * PROMPT_COUNT);
+    },
+  );
+
+  test.each(SEEDS)(
+    'are not affected by a link failure (seed %i)',
+    async (seed) => {
+      const regionAware = ratiosOf(
+        (await simulate(REGION_AWARE, LINK_DOWN, seed)).during,
+      );
+      const singleRegion = ratiosOf(
+        (await simulate(SINGLE_REGION, LINK_DOWN, seed)).during,
+      );
+      expect(regionAware.onTime).toBeGreaterThan(0.99);
+      expect(regionAware.onTime).toBeGreaterThan(singleRegion.onTime);
+    },
+  );
+
+  test.each(SEEDS)(
+    'serve requests of a region that is down (seed %i)',
+    async (seed) => {
+      const {after, crossRegionCopies, during} = await simulate(
+        REGION_AWARE,
+        ALL_DOWN,
+        seed,
+      );
+      const ratios = ratiosOf(during);
+      expect(ratios.onTime).toBeGreaterThan(0.9);
+      expect(ratios.urgentOnTime).toBeGreaterThanOrEqual(
+        ratios.leastUrgentOnTime - 0.01,
+      );
+      expect(kilobytesPerSecond(during, 5_000)).toBeLessThan(MAX_KB_PER_S);
+      expect(crossRegionCopies).toBe(0);
+      // Requests return within two seconds, although caches are empty.
+      expect(ratiosOf(after).crossRegion).toBeLessThan(0.02);
+      expect(ratiosOf(after).onTime).toBeGreaterThan(0.99);
+    },
+  );
+
+  test.each(SEEDS)(
+    'share load that exceeds the capacity of one region (seed %i)',
+    async (seed) => {
+      for (const fault of [ONE_ENGINE_LEFT, TWO_ENGINES_LEFT]) {
+        const regionAware = ratiosOf(
+          (await simulate(REGION_AWARE, fault, seed)).during,
+        );
+        const lastResort = ratiosOf(
+          (await simulate(LAST_RESORT, fault, seed)).during,
+        );
+        expect(regionAware.onTime).toBeGreaterThan(0.93);
+        expect(regionAware.onTime).toBeGreaterThan(lastResort.onTime + 0.1);
+        expect(lastResort.crossRegion).toBeLessThan(0.05);
+      }
+    },
+  );
+
+  test('serve local requests if the other region is down and unreachable', async () => {
+    const fault: Fault = {remainingEngines: 0, isLinkDown: true};
+    const {after, during} = await simulate(REGION_AWARE, fault, 1);
+    // Only the eastern half can be served; few attempts use the failed link.
+    expect(ratiosOf(during).onTime).toBeGreaterThan(0.45);
+    expect(ratiosOf(during).crossRegion).toBeLessThan(0.35);
+    expect(ratiosOf(after).onTime).toBeGreaterThan(0.99);
   });
 
-  test('move less over the link than halls of one region do', async () => {
-    const kept = await play(KEPT, ONE_LEFT, 1);
-    const former = await play(ONE_REGION, ONE_LEFT, 1);
-    expect(kept.during.bytes).toBeLessThan(0.7 * former.during.bytes);
-    expect(kept.before.bytes).toBeLessThan(0.05 * former.before.bytes);
-    expect(former.copiesAcross).toBeGreaterThan(0);
+  test('send fewer bytes over the link than edges that ignore regions', async () => {
+    const regionAware = await simulate(REGION_AWARE, ONE_ENGINE_LEFT, 1);
+    const singleRegion = await simulate(SINGLE_REGION, ONE_ENGINE_LEFT, 1);
+    expect(regionAware.during.bytes).toBeLessThan(
+      0.7 * singleRegion.during.bytes,
+    );
+    expect(regionAware.before.bytes).toBeLessThan(
+      0.05 * singleRegion.before.bytes,
+    );
+    expect(singleRegion.crossRegionCopies).toBeGreaterThan(0);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/RegionPlacing.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/RegionPlacing.test.ts
@@ -11,8 +11,11 @@
 import {EdgeUpstream} from '../../upstreams/EdgeUpstream';
 import {ExpectedTime, ShorterWait} from '../../upstreams/UpstreamChoice';
 import {upstreamOf} from '../utils/EdgeFixture';
-import {engineInOneRegion, plainInOneRegion} from '../utils/OneRegion';
-import {ENGINES, PLAIN, RegionEdge} from '../utils/RegionEdge';
+import {
+  referenceEnginePlacement,
+  referencePlainChoice,
+} from '../utils/OneRegion';
+import {ENGINE_SERVICE, PLAIN_SERVICE, RegionEdge} from '../utils/RegionEdge';
 
 const PROMPT = [
   {id: 'aa', tokens: 5_000},
@@ -21,8 +24,11 @@
 
 const HALLS = ['e1', 'e2', 'w1', 'w2'];
 
-/** Puts upstreams into some state of load, health and memory. */
-function disturb(upstreams: readonly EdgeUpstream[], random: Random): void {
+/** Sets random load, measurements and cached prompts. */
+function randomizeState(
+  upstreams: readonly EdgeUpstream[],
+  random: Random,
+): void {
   for (const upstream of upstreams) {
     upstream.inFlight = random.integer(0, 9);
     upstream.pendingTokens = random.integer(0, 9_000);
@@ -34,301 +40,324 @@
   }
 }
 
-describe('Regions and the choice of a plain upstream', () => {
-  test('stay in the own region while it answers in time', () => {
+// Guards against requests that leave their region without need, or stay in a region
+// that cannot serve them in time.
+describe('Selection of a plain upstream in several regions', () => {
+  test('uses the local region while it answers in time', () => {
     const edge = new RegionEdge();
     for (const id of ['e1-a', 'e2-a', 'w1-a', 'w2-a']) {
-      edge.add(id);
+      edge.addUpstream(id);
     }
     edge.upstream('e1-a').answerTime.measured(100);
     edge.upstream('e2-a').answerTime.measured(120);
-    edge.add('e2-b').answerTime.measured(120);
-    const drawn = edge.drawn(edge.plan(), 50);
-    expect([...drawn].sort()).toEqual(['e1-a', 'e2-a', 'e2-b']);
+    edge.addUpstream('e2-b').answerTime.measured(120);
+    const selected = edge.selectedIds(edge.createPlan(), 50);
+    expect([...selected].sort()).toEqual(['e1-a', 'e2-a', 'e2-b']);
   });
 
-  test('go over where the wait at home is longer than the way', () => {
+  test('uses another region if the local wait exceeds the transfer time', () => {
     const edge = new RegionEdge();
-    edge.add('e1-a').answerTime.measured(400);
-    edge.add('w1-a').answerTime.measured(60);
-    expect(edge.place(edge.plan())?.upstream.id).toBe('w1-a');
+    edge.addUpstream('e1-a').answerTime.measured(400);
+    edge.addUpstream('w1-a').answerTime.measured(60);
+    expect(edge.select(edge.createPlan())?.upstream.id).toBe('w1-a');
   });
 
-  test('come home again once it answers in time', async () => {
+  test('returns to the local region once its measurements have expired', async () => {
     const edge = new RegionEdge();
-    edge.add('e1-a').answerTime.measured(400);
-    edge.add('w1-a').answerTime.measured(60);
+    edge.addUpstream('e1-a').answerTime.measured(400);
+    edge.addUpstream('w1-a').answerTime.measured(60);
     await edge.clock.advance(6_000);
-    expect(edge.place(edge.plan())?.upstream.id).toBe('e1-a');
+    expect(edge.select(edge.createPlan())?.upstream.id).toBe('e1-a');
   });
 
-  test('go over where all of home is out of choice', () => {
+  test('uses another region if all local upstreams are unreachable', () => {
     const edge = new RegionEdge();
-    edge.add('e1-a').unreachable();
-    edge.add('w1-a');
-    expect(edge.place(edge.plan())?.upstream.id).toBe('w1-a');
+    edge.addUpstream('e1-a').unreachable();
+    edge.addUpstream('w1-a');
+    expect(edge.select(edge.createPlan())?.upstream.id).toBe('w1-a');
   });
 });
 
-describe('Regions and the choice of an engine', () => {
-  const FIVE = ['e1-a', 'e1-b', 'e2-a', 'e2-b', 'e2-c'];
-  const AWAY = ['w1-a', 'w1-b', 'w2-a', 'w2-b', 'w2-c'];
+// Guards against prompts that are read or copied in both regions without need.
+describe('Selection of an engine in several regions', () => {
+  const LOCAL = ['e1-a', 'e1-b', 'e2-a', 'e2-b', 'e2-c'];
+  const REMOTE = ['w1-a', 'w1-b', 'w2-a', 'w2-b', 'w2-c'];
 
-  function edgeOfBoth(): RegionEdge {
+  function edgeWithBothRegions(): RegionEdge {
     const edge = new RegionEdge();
-    for (const id of [...FIVE, ...AWAY]) {
-      edge.add(id);
+    for (const id of [...LOCAL, ...REMOTE]) {
+      edge.addUpstream(id);
     }
     return edge;
   }
 
-  test('a prompt has a home in the own region, wherever it is kept else', () => {
-    const edge = edgeOfBoth();
+  test('uses the local region even if another region has cached the prompt', () => {
+    const edge = edgeWithBothRegions();
     for (let at = 0; at < 40; at += 1) {
       const prompt = [{id: `p${at}`, tokens: 5_000}, ...PROMPT.slice(1)];
-      for (const id of AWAY) {
+      for (const id of REMOTE) {
         edge.upstream(id).prefixes.sent(prompt);
       }
-      const plan = edge.enginePlan(prompt);
-      expect(FIVE).toContain(edge.place(plan)?.upstream.id);
+      const plan = edge.createEnginePlan(prompt);
+      expect(LOCAL).toContain(edge.select(plan)?.upstream.id);
     }
   });
 
-  test('edges of one region agree on the home of a prompt', () => {
-    const plan = (edge: RegionEdge) => edge.enginePlan(PROMPT);
-    const first = edgeOfBoth();
+  test('selects the same engine for a prompt on all edges of a region', () => {
+    const plan = (edge: RegionEdge) => edge.createEnginePlan(PROMPT);
+    const first = edgeWithBothRegions();
     const second = new RegionEdge();
-    for (const id of [...AWAY, ...FIVE].reverse()) {
-      second.add(id);
+    for (const id of [...REMOTE, ...LOCAL].reverse()) {
+      second.addUpstream(id);
     }
-    expect(second.place(plan(second))?.upstream.id).toBe(
-      first.place(plan(first))?.upstream.id,
+    expect(second.select(plan(second))?.upstream.id).toBe(
+      first.select(plan(first))?.upstream.id,
     );
   });
 
-  test('a busy home is worth some wait, and then the way', () => {
-    const edge = edgeOfBoth();
-    const plan = edge.enginePlan(PROMPT);
-    const busy = (tokens: number) => {
-      for (const id of FIVE) {
+  test('uses another region only if local engines are heavily loaded', () => {
+    const edge = edgeWithBothRegions();
+    const plan = edge.createEnginePlan(PROMPT);
+    const setPendingTokens = (tokens: number) => {
+      for (const id of LOCAL) {
         edge.upstream(id).pendingTokens = tokens;
       }
     };
-    busy(1_500);
-    expect(FIVE).toContain(edge.place(plan)?.upstream.id);
-    busy(40_000);
-    expect(AWAY).toContain(edge.place(plan)?.upstream.id);
+    setPendingTokens(1_500);
+    expect(LOCAL).toContain(edge.select(plan)?.upstream.id);
+    setPendingTokens(40_000);
+    expect(REMOTE).toContain(edge.select(plan)?.upstream.id);
   });
 
-  test('no prompt is copied from one region to the other', () => {
-    const edge = edgeOfBoth();
-    const plan = edge.enginePlan(PROMPT);
+  test('copies no prompt between regions', () => {
+    const edge = edgeWithBothRegions();
+    const plan = edge.createEnginePlan(PROMPT);
     const regionOf = (id: string | undefined) => id?.slice(0, 1);
     const random = new Random(11);
     for (let count = 0; count < 400; count += 1) {
-      disturb(edge.pool.all(), random);
-      const placed = edge.place(plan);
-      if (placed?.prefixSource !== undefined) {
-        const source = placed.prefixSource.id;
-        expect(regionOf(source)).toBe(regionOf(placed.upstream.id));
+      randomizeState(edge.pool.all(), random);
+      const placement = edge.select(plan);
+      if (placement?.prefixSource !== undefined) {
+        const source = placement.prefixSource.id;
+        expect(regionOf(source)).toBe(regionOf(placement.upstream.id));
       }
     }
   });
 });
 
-describe('The link between regions', () => {
-  const LEAST = {
+// Guards against requests that saturate the link between regions.
+describe('Link between regions', () => {
+  const LEAST_URGENT = {
     bodyBytes: 20_000,
     heldBack: new Set<EdgeUpstream>(),
     isLeastUrgent: true,
   };
-  const MORE = {...LEAST, isLeastUrgent: false};
+  const URGENT = {...LEAST_URGENT, isLeastUrgent: false};
 
-  test('carries a bounded part of the requests, the urgent ones longest', () => {
+  test('limits requests and reserves bandwidth for urgent ones', () => {
     const edge = new RegionEdge();
-    edge.add('w1-a');
-    const plan = edge.plan();
-    const sendAll = (sending: typeof MORE) => {
+    edge.addUpstream('w1-a');
+    const plan = edge.createPlan();
+    const sendUntilFull = (size: typeof URGENT) => {
       let sent = 0;
-      while (edge.place(plan, [], sending) !== undefined && sent < 1_000) {
-        edge.crossing.sent(plan, sending.bodyBytes);
+      while (edge.select(plan, [], size) !== undefined && sent < 1_000) {
+        edge.crossing.sent(plan, size.bodyBytes);
         sent += 1;
       }
       return sent;
     };
-    const least = sendAll(LEAST);
-    const more = sendAll(MORE);
-    expect(least).toBeGreaterThan(0);
-    expect(more).toBeGreaterThan(0);
-    expect(least + more).toBeLessThan(20);
-    expect(edge.lack(plan, MORE)).toEqual({
+    const leastUrgentCount = sendUntilFull(LEAST_URGENT);
+    const urgentCount = sendUntilFull(URGENT);
+    expect(leastUrgentCount).toBeGreaterThan(0);
+    expect(urgentCount).toBeGreaterThan(0);
+    expect(leastUrgentCount + urgentCount).toBeLessThan(20);
+    expect(edge.rejection(plan, URGENT)).toEqual({
       cause: 'region-link-full',
       retryAfterS: 0.3,
     });
   });
 
-  test('is free again after a while', async () => {
+  test('accepts requests again after a while', async () => {
     const edge = new RegionEdge();
-    edge.add('w1-a');
-    const plan = edge.plan();
+    edge.addUpstream('w1-a');
+    const plan = edge.createPlan();
     edge.crossing.sent(plan, 200_000);
-    expect(edge.place(plan)).toBeUndefined();
+    expect(edge.select(plan)).toBeUndefined();
     await edge.clock.advance(4_000);
-    expect(edge.place(plan)?.upstream.id).toBe('w1-a');
+    expect(edge.select(plan)?.upstream.id).toBe('w1-a');
   });
 
-  test('keeps requests at home where there is a home, however busy', () => {
+  test('keeps requests in a busy local region while the link is full', () => {
     const edge = new RegionEdge();
-    edge.add('e1-a').answerTime.measured(3_000);
-    edge.add('w1-a');
-    const plan = edge.plan();
+    edge.addUpstream('e1-a').answerTime.measured(3_000);
+    edge.addUpstream('w1-a');
+    const plan = edge.createPlan();
     edge.crossing.sent(plan, 200_000);
-    expect(edge.place(plan)?.upstream.id).toBe('e1-a');
+    expect(edge.select(plan)?.upstream.id).toBe('e1-a');
   });
 });
 
-describe('Upstreams of the own region that failed last', () => {
-  function edgeWithDarkHome(): RegionEdge {
+// Guards against requests delayed by connection attempts to failed upstreams.
+describe('Failed local upstreams', () => {
+  function edgeWithFailedLocalUpstreams(): RegionEdge {
     const edge = new RegionEdge();
     for (const id of ['e1-a', 'e1-b', 'e2-a']) {
-      edge.add(id).unreachable();
+      edge.addUpstream(id).unreachable();
     }
-    edge.add('w1-a');
+    edge.addUpstream('w1-a');
     return edge;
   }
 
-  test('are tried one at a time, and rarely', async () => {
-    const edge = edgeWithDarkHome();
+  test('are probed one at a time at a limited rate', async () => {
+    const edge = edgeWithFailedLocalUpstreams();
     await edge.clock.advance(300);
-    expect(edge.place(edge.plan())?.upstream.id.startsWith('e')).toBe(true);
+    expect(edge.select(edge.createPlan())?.upstream.id.startsWith('e')).toBe(
+      true,
+    );
     edge.homeProbes.sent();
-    expect(edge.place(edge.plan())?.upstream.id).toBe('w1-a');
+    expect(edge.select(edge.createPlan())?.upstream.id).toBe('w1-a');
     await edge.clock.advance(2_000);
-    expect(edge.place(edge.plan())?.upstream.id.startsWith('e')).toBe(true);
+    expect(edge.select(edge.createPlan())?.upstream.id.startsWith('e')).toBe(
+      true,
+    );
   });
 
-  test('are all tried again once one of them has answered', async () => {
-    const edge = edgeWithDarkHome();
+  test('are all used again once one has answered', async () => {
+    const edge = edgeWithFailedLocalUpstreams();
     await edge.clock.advance(300);
     edge.homeProbes.sent();
     edge.homeProbes.answered();
-    const drawn = edge.drawn(edge.plan(), 60);
-    expect([...drawn].every((id) => id.startsWith('e'))).toBe(true);
+    const selected = edge.selectedIds(edge.createPlan(), 60);
+    expect([...selected].every((id) => id.startsWith('e'))).toBe(true);
   });
 
-  test('hold no request up while the link is full', () => {
-    const edge = edgeWithDarkHome();
-    const plan = edge.plan();
+  test('are not probed while the link is full', () => {
+    const edge = edgeWithFailedLocalUpstreams();
+    const plan = edge.createPlan();
     edge.crossing.sent(plan, 200_000);
-    expect(edge.place(plan)).toBeUndefined();
-    expect(edge.lack(plan).cause).toBe('region-link-full');
+    expect(edge.select(plan)).toBeUndefined();
+    expect(edge.rejection(plan).cause).toBe('region-link-full');
   });
 
-  test('hold a request up once, and not one after the other', () => {
-    const edge = edgeWithDarkHome();
-    const dark = edge.upstream('w1-a');
-    dark.unreachable();
-    const plan = edge.plan();
-    expect(edge.place(plan)).toBeDefined();
-    expect(edge.place(plan, [dark])).toBeUndefined();
-    edge.add('w2-a');
-    expect(edge.place(plan, [dark])?.upstream.id).toBe('w2-a');
+  test('delay a request at most once', () => {
+    const edge = edgeWithFailedLocalUpstreams();
+    const failed = edge.upstream('w1-a');
+    failed.unreachable();
+    const plan = edge.createPlan();
+    expect(edge.select(plan)).toBeDefined();
+    expect(edge.select(plan, [failed])).toBeUndefined();
+    edge.addUpstream('w2-a');
+    expect(edge.select(plan, [failed])?.upstream.id).toBe('w2-a');
   });
 
-  test('are tried where no other region is allowed', () => {
-    const edge = edgeWithDarkHome();
+  test('are used if no other region is allowed', () => {
+    const edge = edgeWithFailedLocalUpstreams();
     edge.homeProbes.sent();
-    const plan = edge.plan({allowedRegions: ['east']});
-    expect(edge.place(plan)?.upstream.id.startsWith('e')).toBe(true);
+    const plan = edge.createPlan({allowedRegions: ['east']});
+    expect(edge.select(plan)?.upstream.id.startsWith('e')).toBe(true);
   });
 });
 
-describe('A region that returns cold', () => {
-  test('serves what it bears, and the other one the rest', async () => {
+// Guards against overload of upstreams that restart without warm caches.
+describe('A region during warm-up', () => {
+  test('serves up to its cold-start limit and sends the rest elsewhere', async () => {
     const coldStart = {durationMs: 3_000, requestsPerSecond: 9.9};
     const edge = new RegionEdge();
-    const home = edge.add('e1-a');
-    edge.add('w1-a');
-    const plan = edge.plan({service: {...PLAIN, coldStart}});
-    const sentIn = async (ms: number) => {
-      const counts = {away: 0, home: 0};
+    const local = edge.addUpstream('e1-a');
+    edge.addUpstream('w1-a');
+    const plan = edge.createPlan({service: {...PLAIN_SERVICE, coldStart}});
+    const sendFor = async (ms: number) => {
+      const counts = {remote: 0, local: 0};
       for (let at = 0; at < ms; at += 20) {
-        const upstream = edge.place(plan)?.upstream;
+        const upstream = edge.select(plan)?.upstream;
         if (upstream !== undefined) {
           edge.admission.admit(upstream);
         }
-        counts[upstream === home ? 'home' : 'away'] += 1;
+        counts[upstream === local ? 'local' : 'remote'] += 1;
         await edge.clock.advance(20);
       }
       return counts;
     };
-    home.turnsCold(edge.clock.now() + coldStart.durationMs);
-    const cold = await sentIn(3_000);
-    expect(cold.home).toBeGreaterThan(0);
-    expect(cold.home).toBeLessThan(35);
-    expect(cold.away).toBeGreaterThan(100);
-    expect((await sentIn(1_000)).away).toBe(0);
+    local.turnsCold(edge.clock.now() + coldStart.durationMs);
+    const coldCounts = await sendFor(3_000);
+    expect(coldCounts.local).toBeGreaterThan(0);
+    expect(coldCounts.local).toBeLessThan(35);
+    expect(coldCounts.remote).toBeGreaterThan(100);
+    expect((await sendFor(1_000)).remote).toBe(0);
   });
 });
 
-describe('A fleet of one region', () => {
-  const REGIONS: Record<string, string>[] = [
+// Guards against different selections once regions are configured but not needed.
+describe('A fleet with one region', () => {
+  const REGION_MAPS: Record<string, string>[] = [
     {},
     {e1: 'r', e2: 'r', w1: 'r', w2: 'r'},
     {e1: 'r'},
   ];
 
-  test.each(REGIONS)('chooses plain upstreams alike (%j)', (byHall) => {
-    const edge = new RegionEdge({byHall});
-    const random = new Random(3);
-    const reference = new Random(7);
-    for (const hall of [...HALLS, ...HALLS.slice(1)]) {
-      edge.add(`${hall}-${edge.pool.all().length}`);
-    }
-    for (let count = 0; count < 500; count += 1) {
-      disturb(edge.pool.all(), random);
-      const expected = plainInOneRegion(edge.pool.all(), 'e1', reference);
-      expect(edge.place(edge.plan())?.upstream).toBe(expected);
-    }
-  });
+  test.each(REGION_MAPS)(
+    'selects the same plain upstreams as the reference (%j)',
+    (regionByHall) => {
+      const edge = new RegionEdge({regionByHall});
+      const random = new Random(3);
+      const referenceRandom = new Random(7);
+      for (const hall of [...HALLS, ...HALLS.slice(1)]) {
+        edge.addUpstream(`${hall}-${edge.pool.all().length}`);
+      }
+      for (let count = 0; count < 500; count += 1) {
+        randomizeState(edge.pool.all(), random);
+        const expected = referencePlainChoice(
+          edge.pool.all(),
+          'e1',
+          referenceRandom,
+        );
+        expect(edge.select(edge.createPlan())?.upstream).toBe(expected);
+      }
+    },
+  );
 
-  test.each(REGIONS)('chooses engines and copies alike (%j)', (byHall) => {
-    const edge = new RegionEdge({byHall});
-    const random = new Random(5);
-    for (const hall of [...HALLS, ...HALLS.slice(1)]) {
-      edge.add(`${hall}-${edge.pool.all().length}`);
-    }
-    for (let count = 0; count < 500; count += 1) {
-      disturb(edge.pool.all(), random);
-      const prompt = [{id: `p${count % 5}`, tokens: 3_000}, ...PROMPT];
-      const expected = engineInOneRegion(
-        edge.pool.all(),
-        prompt,
-        ENGINES,
-        'e1',
-      );
-      expect(edge.place(edge.enginePlan(prompt))).toEqual(expected);
-    }
-  });
+  test.each(REGION_MAPS)(
+    'selects the same engines and copies as the reference (%j)',
+    (regionByHall) => {
+      const edge = new RegionEdge({regionByHall});
+      const random = new Random(5);
+      for (const hall of [...HALLS, ...HALLS.slice(1)]) {
+        edge.addUpstream(`${hall}-${edge.pool.all().length}`);
+      }
+      for (let count = 0; count < 500; count += 1) {
+        randomizeState(edge.pool.all(), random);
+        const prompt = [{id: `p${count % 5}`, tokens: 3_000}, ...PROMPT];
+        const expected = referenceEnginePlacement(
+          edge.pool.all(),
+          prompt,
+          ENGINE_SERVICE,
+          'e1',
+        );
+        expect(edge.select(edge.createEnginePlan(prompt))).toEqual(expected);
+      }
+    },
+  );
 
-  test('chooses alike without any facts on a way', () => {
+  test('selects the same upstreams without a region link', () => {
     const log = new SilentDecisionLog();
     const upstreams = HALLS.map((hall) => {
       const record = upstreamOf(hall, {hall, slots: 6});
       return new EdgeUpstream(record, new ManualClock(), log);
     });
     const random = new Random(9);
-    const plain = new ShorterWait(new Random(4));
-    const reference = new Random(4);
-    const engines = new ExpectedTime();
+    const plainChoice = new ShorterWait(new Random(4));
+    const referenceRandom = new Random(4);
+    const engineChoice = new ExpectedTime();
     for (let count = 0; count < 200; count += 1) {
-      disturb(upstreams, random);
+      randomizeState(upstreams, random);
       const facts = {hall: 'e1', parts: PROMPT};
-      expect(plain.choose(upstreams, {...facts, service: PLAIN})).toBe(
-        plainInOneRegion(upstreams, 'e1', reference),
-      );
-      expect(engines.place(upstreams, {...facts, service: ENGINES})).toEqual(
-        engineInOneRegion(upstreams, PROMPT, ENGINES, 'e1'),
+      expect(
+        plainChoice.choose(upstreams, {...facts, service: PLAIN_SERVICE}),
+      ).toBe(referencePlainChoice(upstreams, 'e1', referenceRandom));
+      expect(
+        engineChoice.place(upstreams, {...facts, service: ENGINE_SERVICE}),
+      ).toEqual(
+        referenceEnginePlacement(upstreams, PROMPT, ENGINE_SERVICE, 'e1'),
       );
     }
   });
--- a/packages/puffinturn-edge/src/__tests__/unit/VersionGate.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/VersionGate.test.ts
@@ -23,61 +23,69 @@
   return {rollout, service: 's', stableVersion: 'v1'};
 }
 
-function upstreams(...versions: (string | undefined)[]): Versioned[] {
+function createUpstreams(...versions: (string | undefined)[]): Versioned[] {
   return versions.map((version) => ({record: {version}}));
 }
 
-describe('Versions that may get requests', () => {
-  const all = upstreams('v1', 'v2', 'v3', undefined);
+// Guards against requests to a version that the state of the rollout does not allow.
+describe('Versions that receive requests', () => {
+  const ALL_VERSIONS = createUpstreams('v1', 'v2', 'v3', undefined);
 
-  function served(versions: ServiceVersions | undefined, from = all) {
+  function servedVersions(
+    versions: ServiceVersions | undefined,
+    from = ALL_VERSIONS,
+  ) {
     return primaryUpstreams(versionRolesOf(versions), from).map(
       ({record}) => record.version,
     );
   }
 
   test.each([
-    ['any without any word', undefined, ['v1', 'v2', 'v3', undefined]],
-    ['the stable one without an order', versionsOf(), ['v1']],
-    ['the stable one while exposing', versionsOf('exposing'), ['v1']],
-    ['the new one while shifting', versionsOf('shifting'), ['v2']],
-    ['the new one once completed', versionsOf('completed'), ['v2']],
-    ['the stable one once rolled back', versionsOf('rolled-back'), ['v1']],
+    ['any version if none is known', undefined, ['v1', 'v2', 'v3', undefined]],
+    ['the stable version without a rollout', versionsOf(), ['v1']],
+    ['the stable version while exposing', versionsOf('exposing'), ['v1']],
+    ['the new version while shifting', versionsOf('shifting'), ['v2']],
+    ['the new version once completed', versionsOf('completed'), ['v2']],
+    ['the stable version once rolled back', versionsOf('rolled-back'), ['v1']],
     [
-      'the stable one in a state of a later version',
+      'the stable version in an unknown rollout state',
       versionsOf('paused' as RolloutState),
       ['v1'],
     ],
   ])('%s', (_, versions, expected) => {
-    expect(served(versions)).toEqual(expected);
+    expect(servedVersions(versions)).toEqual(expected);
   });
 
-  test('only while exposing there is one to try', () => {
-    const tried = Object.values(ROLLOUT_STATE).filter(
+  test('assigns a canary version only while exposing', () => {
+    const statesWithCanary = Object.values(ROLLOUT_STATE).filter(
       (state) => versionRolesOf(versionsOf(state)).canary !== undefined,
     );
-    expect(tried).toEqual([ROLLOUT_STATE.exposing]);
+    expect(statesWithCanary).toEqual([ROLLOUT_STATE.exposing]);
   });
 
-  test('while shifting, the former one stands in where no new one serves', () => {
-    const left = upstreams('v1', 'v3');
-    expect(served(versionsOf('shifting'), left)).toEqual(['v1']);
-    expect(served(versionsOf('completed'), left)).toEqual([]);
+  test('falls back to the stable version while shifting without new upstreams', () => {
+    const remaining = createUpstreams('v1', 'v3');
+    expect(servedVersions(versionsOf('shifting'), remaining)).toEqual(['v1']);
+    expect(servedVersions(versionsOf('completed'), remaining)).toEqual([]);
   });
 
   test.each([undefined, 'exposing', 'rolled-back'] as const)(
-    'a new one never stands in for the stable one (%s)',
+    'never replaces the stable version by a new one (%s)',
     (state) => {
-      expect(served(versionsOf(state), upstreams('v2', 'v3'))).toEqual([]);
+      expect(
+        servedVersions(versionsOf(state), createUpstreams('v2', 'v3')),
+      ).toEqual([]);
     },
   );
 
-  test('an upstream that names no version is of no named one', () => {
-    expect(upstreamsOfVersion(upstreams(undefined, ''), 'v1')).toEqual([]);
+  test('does not match an upstream without a version to a named version', () => {
+    expect(upstreamsOfVersion(createUpstreams(undefined, ''), 'v1')).toEqual(
+      [],
+    );
   });
 
-  test('an order that came as null is none', () => {
+  test('treats a null rollout as absent', () => {
     const versions = {...versionsOf(), rollout: null as never};
-    expect(served(versions)).toEqual(['v1']);
+    expect(servedVersions(versions)).toEqual(['v1']);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/utils/OneRegion.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/OneRegion.ts
@@ -6,8 +6,8 @@
  */
 
 /**
- * Choices as they are made in a fleet of one region, written out once more: what
- * those of a fleet of several regions must agree with where there is only one.
+ * Reference selection for a fleet with one region. Region-aware selection must give
+ * the same result if there is only one region.
  */
 import type {Service} from 'puffinturn-fleet';
 import type {Random} from 'shared';
@@ -17,26 +17,26 @@
 import type {EdgeUpstream} from '../../upstreams/EdgeUpstream';
 import type {Placement} from '../../upstreams/UpstreamChoice';
 
-/** Two are drawn by slots, the one that is expected to answer sooner is taken. */
-export function plainInOneRegion(
+/** Samples two upstreams by slots and returns the one with the lower expected time. */
+export function referencePlainChoice(
   candidates: readonly EdgeUpstream[],
   hall: string,
   random: Random,
 ): EdgeUpstream | undefined {
-  const slots = ({record}: EdgeUpstream) => Math.max(1, record.slots);
-  const first = drawByWeight(candidates, slots, random.fraction());
+  const slotsOf = ({record}: EdgeUpstream) => Math.max(1, record.slots);
+  const first = drawByWeight(candidates, slotsOf, random.fraction());
   const others = candidates.filter((upstream) => upstream !== first);
-  const second = drawByWeight(others, slots, random.fraction());
-  const drawn = [first, second].filter((upstream) => upstream !== undefined);
-  return lowest(drawn, (upstream) => {
-    const away = upstream.record.hall === hall ? 0 : 3;
-    const load = 1 + upstream.inFlight / slots(upstream);
-    return (40 + upstream.answerTime.ms) * load + away;
+  const second = drawByWeight(others, slotsOf, random.fraction());
+  const sampled = [first, second].filter((upstream) => upstream !== undefined);
+  return minBy(sampled, (upstream) => {
+    const otherHallMs = upstream.record.hall === hall ? 0 : 3;
+    const load = 1 + upstream.inFlight / slotsOf(upstream);
+    return (40 + upstream.answerTime.ms) * load + otherHallMs;
   });
 }
 
-/** The engine where the first token is expected soonest, with copies. */
-export function engineInOneRegion(
+/** Returns the engine with the lowest expected time to first token, with prompt copies. */
+export function referenceEnginePlacement(
   candidates: readonly EdgeUpstream[],
   parts: readonly PromptPart[],
   service: Service,
@@ -44,49 +44,57 @@
 ): Placement | undefined {
   const sharedParts = parts.length > 1 ? parts.slice(0, -1) : parts;
   const key = hashOf(sharedParts.map(({id}) => id).join(','));
-  const agreed = lowest(candidates, ({hash}) => -rendezvousWeight(hash, key));
-  const shared = parts.length > 1 ? sum(sharedParts) : 0;
-  const kept = new Map(
+  const rendezvousChoice = minBy(
+    candidates,
+    ({hash}) => -rendezvousWeight(hash, key),
+  );
+  const shared = parts.length > 1 ? totalTokens(sharedParts) : 0;
+  const cachedTokens = new Map(
     candidates.map((upstream) => {
-      const assumed = upstream === agreed ? shared : 0;
-      return [upstream, Math.max(assumed, upstream.prefixes.keptOf(parts))];
+      const assumedTokens = upstream === rendezvousChoice ? shared : 0;
+      return [
+        upstream,
+        Math.max(assumedTokens, upstream.prefixes.keptOf(parts)),
+      ];
     }),
   );
-  const copyMs = service.engine?.copyMsPerToken;
+  const copyMsPerToken = service.engine?.copyMsPerToken;
   const source =
-    copyMs === undefined
+    copyMsPerToken === undefined
       ? undefined
-      : lowest(candidates, (upstream) => -(kept.get(upstream) ?? 0));
-  const copiedTo = (upstream: EdgeUpstream): number => {
-    const sourceKept = source === undefined ? 0 : (kept.get(source) ?? 0);
-    const lacking = sourceKept - (kept.get(upstream) ?? 0);
-    return upstream === source || lacking < 256 ? 0 : lacking;
+      : minBy(candidates, (upstream) => -(cachedTokens.get(upstream) ?? 0));
+  const copiedTokensFor = (upstream: EdgeUpstream): number => {
+    const sourceTokens =
+      source === undefined ? 0 : (cachedTokens.get(source) ?? 0);
+    const missingTokens = sourceTokens - (cachedTokens.get(upstream) ?? 0);
+    return upstream === source || missingTokens < 256 ? 0 : missingTokens;
   };
-  const upstream = lowest(candidates, (candidate) => {
-    const copied = copiedTo(candidate);
-    const copy = copied === 0 ? 0 : 10 + copied * (copyMs ?? 0);
-    const unread = Math.max(
+  const upstream = minBy(candidates, (candidate) => {
+    const copiedTokens = copiedTokensFor(candidate);
+    const copyCostMs =
+      copiedTokens === 0 ? 0 : 10 + copiedTokens * (copyMsPerToken ?? 0);
+    const unreadTokens = Math.max(
       0,
-      sum(parts) - (kept.get(candidate) ?? 0) - copied,
+      totalTokens(parts) - (cachedTokens.get(candidate) ?? 0) - copiedTokens,
     );
-    const read =
-      (unread + candidate.pendingTokens) / candidate.speed.tokensPerMs;
-    const away = candidate.record.hall === hall ? 0 : 4;
-    return read + copy + candidate.inFlight * 0.6 + away;
+    const readMs =
+      (unreadTokens + candidate.pendingTokens) / candidate.speed.tokensPerMs;
+    const otherHallMs = candidate.record.hall === hall ? 0 : 4;
+    return readMs + copyCostMs + candidate.inFlight * 0.6 + otherHallMs;
   });
   if (upstream === undefined) {
     return undefined;
   }
-  const copiedTokens = copiedTo(upstream);
+  const copiedTokens = copiedTokensFor(upstream);
   const prefixSource = copiedTokens === 0 ? undefined : source;
   return {copiedTokens, prefixSource, upstream};
 }
 
-function sum(parts: readonly PromptPart[]): number {
+function totalTokens(parts: readonly PromptPart[]): number {
   return parts.reduce((total, {tokens}) => total + tokens, 0);
 }
 
-function lowest<Item>(
+function minBy<Item>(
   items: readonly Item[],
   costOf: (item: Item) => number,
 ): Item | undefined {
--- a/packages/puffinturn-edge/src/__tests__/utils/RegionEdge.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/RegionEdge.ts
@@ -5,7 +5,6 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** An edge of one region of two, with upstreams whose load a test sets. */
 import {KeptDecisionLog} from 'puffinturn-decisions';
 import type {Route, Service, Team} from 'puffinturn-fleet';
 import {Regions, REPETITION} from 'puffinturn-fleet';
@@ -32,7 +31,7 @@
 import {upstreamOf} from './EdgeFixture';
 import {PacedAdmission} from './PacedAdmission';
 
-/** Two halls in each of two regions. */
+/** Maps each of four halls to one of two regions. */
 export const TWO_REGIONS = {
   e1: 'east',
   e2: 'east',
@@ -40,15 +39,15 @@
   w2: 'west',
 } as const;
 
-/** A plain service. */
-export const PLAIN: Service = {
+/** A service without model engines. */
+export const PLAIN_SERVICE: Service = {
   engine: undefined,
   maxConnections: 9,
   name: 's',
 };
 
-/** A service of engines that copy prompts from each other. */
-export const ENGINES: Service = {
+/** A service with model engines that copy prompts from each other. */
+export const ENGINE_SERVICE: Service = {
   engine: {
     copyMsPerToken: 0.0004,
     memoryTokens: 1,
@@ -73,27 +72,27 @@
   timeoutMs: 3_000,
 };
 
-const URGENT: RequestSize = {
+const URGENT_REQUEST: RequestSize = {
   bodyBytes: 1_000,
   heldBack: new Set(),
   isLeastUrgent: false,
 };
 
-/** Makes the crossing of an edge; a test may put another one in its place. */
-export type CrossingOf = (parts: RegionCrossingParts) => RegionCrossing;
+/** Creates the RegionCrossing of an edge; tests may substitute their own. */
+export type CrossingFactory = (parts: RegionCrossingParts) => RegionCrossing;
 
-/** What several edges of one test share, and where one of them stands. */
-export interface RegionEdgeFields {
-  readonly byHall: Readonly<Record<string, string>>;
+/** Options of a RegionEdge; several edges of a test may share clock and random. */
+export interface RegionEdgeOptions {
+  readonly regionByHall: Readonly<Record<string, string>>;
   readonly clock: ManualClock;
   readonly hall: string;
   readonly random: Random;
-  /** Edges of its region. */
-  readonly edges: number;
-  readonly crossingOf: CrossingOf;
+  /** Number of edges in the region of this edge. */
+  readonly edgeCount: number;
+  readonly createCrossing: CrossingFactory;
 }
 
-/** See the module comment. It stands in hall `e1` unless said otherwise. */
+/** Selects upstreams as an edge in hall `e1`, or another hall, of two regions. */
 export class RegionEdge {
   readonly clock: ManualClock;
   readonly random: Random;
@@ -102,25 +101,25 @@
   readonly crossing: RegionCrossing;
   readonly homeProbes: HomeProbes;
   readonly admission: PacedAdmission;
-  /** What the newest configuration allows. */
-  newest: readonly string[] | undefined;
+  /** Regions allowed by the newest configuration; undefined for any. */
+  newestAllowedRegions: readonly string[] | undefined;
   private readonly parts: SelectionParts;
 
   constructor({
-    byHall = TWO_REGIONS,
+    regionByHall = TWO_REGIONS,
     clock = new ManualClock(),
-    crossingOf = (parts) => new RegionCrossing(parts),
-    edges = 38,
+    createCrossing = (parts) => new RegionCrossing(parts),
+    edgeCount = 38,
     hall = 'e1',
     random = new Random(7),
-  }: Partial<RegionEdgeFields> = {}) {
+  }: Partial<RegionEdgeOptions> = {}) {
     this.clock = clock;
     this.random = random;
-    const regions = new Regions(byHall);
+    const regions = new Regions(regionByHall);
     this.pool = new UpstreamPool(clock, this.log);
-    this.crossing = crossingOf({
+    this.crossing = createCrossing({
       clock,
-      edges: () => edges,
+      edges: () => edgeCount,
       episodes: new CrossingEpisodes(clock, this.log),
       hall,
       regions,
@@ -145,17 +144,17 @@
       }),
       hall,
       homeProbes: this.homeProbes,
-      newestRegions: () => this.newest,
+      newestRegions: () => this.newestAllowedRegions,
       plainChoice: new ShorterWait(random),
       pool: this.pool,
       random,
       regions,
-      returnTimes: new ReturnTimes(clock, random, () => edges),
+      returnTimes: new ReturnTimes(clock, random, () => edgeCount),
     };
   }
 
-  /** Adds an upstream; its id says its hall. */
-  add(id: string, service = 's'): EdgeUpstream {
+  /** Adds an upstream in the hall named by the first two characters of its id. */
+  addUpstream(id: string, service = 's'): EdgeUpstream {
     const hall = id.slice(0, 2);
     const address = `10.0.0.${this.pool.all().length}:80`;
     const record = upstreamOf(id, {address, hall, service, slots: 6});
@@ -166,46 +165,57 @@
   upstream(id: string): EdgeUpstream {
     const found = this.pool.all().find((upstream) => upstream.id === id);
     if (found === undefined) {
-      throw new Error(`no upstream ${id}`);
+      throw new Error(`no upstream with id ${id} in the pool`);
     }
     return found;
   }
 
-  plan(fields: Partial<Plan> = {}): Plan {
+  createPlan(fields: Partial<Plan> = {}): Plan {
     return {
       parts: [],
       route: ROUTE,
-      service: PLAIN,
+      service: PLAIN_SERVICE,
       team: undefined,
       tokens: undefined,
       ...fields,
     };
   }
 
-  enginePlan(parts: readonly PromptPart[], fields: Partial<Plan> = {}): Plan {
-    return this.plan({parts, service: ENGINES, ...fields});
+  createEnginePlan(
+    parts: readonly PromptPart[],
+    fields: Partial<Plan> = {},
+  ): Plan {
+    return this.createPlan({parts, service: ENGINE_SERVICE, ...fields});
   }
 
-  place(plan: Plan, tried: readonly EdgeUpstream[] = [], sending = URGENT) {
-    return selectUpstream(this.parts, plan, new Set(tried), sending);
+  select(
+    plan: Plan,
+    tried: readonly EdgeUpstream[] = [],
+    size = URGENT_REQUEST,
+  ) {
+    return selectUpstream(this.parts, plan, new Set(tried), size);
   }
 
-  lack(plan: Plan, sending = URGENT): Lack {
-    return lackOf(this.parts, plan, sending);
+  rejection(plan: Plan, size = URGENT_REQUEST): Lack {
+    return lackOf(this.parts, plan, size);
   }
 
-  /** Ids of the upstreams that so many requests in a row would go to. */
-  drawn(plan: Plan, count: number, sending = URGENT): ReadonlySet<string> {
+  /** Returns the ids selected for a number of consecutive requests. */
+  selectedIds(
+    plan: Plan,
+    count: number,
+    size = URGENT_REQUEST,
+  ): ReadonlySet<string> {
     const ids = Array.from(
       {length: count},
-      () => this.place(plan, [], sending)?.upstream.id ?? 'none',
+      () => this.select(plan, [], size)?.upstream.id ?? 'none',
     );
     return new Set(ids);
   }
 }
 
-/** A team that may be served in some regions. */
-export function teamIn(allowedRegions?: readonly string[]): Team {
+/** Creates a team that is limited to the given regions. */
+export function teamAllowedIn(allowedRegions?: readonly string[]): Team {
   return {
     allowedRegions,
     keys: ['k'],
@@ -215,7 +225,7 @@
   };
 }
 
-/** A route that may be served in some regions. */
-export function routeIn(allowedRegions?: readonly string[]): Route {
+/** Creates a route that is limited to the given regions. */
+export function routeAllowedIn(allowedRegions?: readonly string[]): Route {
   return {...ROUTE, allowedRegions};
 }
