--- a/packages/puffinturn-edge/src/__tests__/unit/CrossingEpisodes.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/CrossingEpisodes.test.ts
@@ -10,16 +10,17 @@
 
 import {CrossingEpisodes} from '../../regions/CrossingEpisodes';
 
+// Guards against a log line for each request to another region.
 describe('CrossingEpisodes', () => {
-  test('are noted as they begin and end, not for each request', async () => {
+  test('logs only the start and the end of an episode', async () => {
     const clock = new ManualClock();
     const log = new KeptDecisionLog();
     await using episodes = new CrossingEpisodes(clock, log);
     for (let count = 0; count < 200; count += 1) {
-      episodes.sent('s');
+      episodes.recordRequest('s');
       await clock.advance(100);
     }
-    episodes.sent('other');
+    episodes.recordRequest('other');
     expect(log.lines).toEqual([
       {crossing: true, event: 'crossing-changed', requests: 1, service: 's'},
       {
@@ -39,7 +40,7 @@
         service: 'other',
       },
     ]);
-    episodes.sent('s');
+    episodes.recordRequest('s');
     expect(log.lines).toHaveLength(5);
   });
 });
