--- a/packages/puffinturn-edge/src/__tests__/unit/ConnectionPool.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ConnectionPool.test.ts
@@ -5,6 +5,10 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against responses assigned to the wrong request, truncated responses taken for
+ * complete ones, and unlimited buffering.
+ */
 import type {AddressInfo, Server, Socket} from 'node:net';
 import {createServer} from 'node:net';
 
@@ -15,34 +19,34 @@
 import type {HttpConnection} from '../../connections/HttpConnection';
 import type {UpstreamAnswer} from '../../connections/UpstreamAnswer';
 
-/** What came of one request. */
+/** Result of one request. */
 interface Outcome {
-  readonly connected: boolean;
-  readonly failed: string | undefined;
+  readonly isConnected: boolean;
+  readonly failureCause: string | undefined;
   readonly status: number;
   readonly body: string;
-  readonly whole: boolean;
+  readonly isComplete: boolean;
   readonly headers: UpstreamAnswer['headers'];
 }
 
-const HEAD = 'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n';
-const CHUNKED = 'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n';
+const HEAD_OF_2_BYTES = 'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n';
+const CHUNKED_HEAD = 'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n';
 const MAX_IDLE = 2;
 
-/** An upstream that answers each request with the next script. */
+/** A server that responds to each read with the next script. */
 class ScriptedUpstream implements AsyncDisposable {
   readonly sockets: Socket[] = [];
   requests = '';
   private constructor(
     private readonly server: Server,
-    private readonly scripts: ((socket: Socket) => void)[],
+    private readonly remainingScripts: ((socket: Socket) => void)[],
   ) {
     server.on('connection', (socket) => {
       this.sockets.push(socket);
       socket.on('error', () => undefined);
       socket.on('data', (data: Buffer) => {
         this.requests += data.toString('latin1');
-        this.scripts.shift()?.(socket);
+        this.remainingScripts.shift()?.(socket);
       });
     });
   }
@@ -72,7 +76,7 @@
   }
 }
 
-function poolOf(port: number, clock = new ManualClock()): ConnectionPool {
+function createPool(port: number, clock = new ManualClock()): ConnectionPool {
   return new ConnectionPool({
     clock,
     host: '127.0.0.1',
@@ -81,63 +85,63 @@
   });
 }
 
-function ask(
+function sendRequest(
   connection: HttpConnection,
   method = 'GET',
   body = '',
 ): Promise<Outcome> {
-  let connected = false;
+  let isConnected = false;
   const head = requestHead(method, '/x', ['Host', 'h']) ?? '';
   return new Promise((resolve) =>
     connection.send(
       {body: Buffer.from(body), head, method},
       {
-        answered: (answer) => {
+        onResponse: (response) => {
           let text = '';
-          answer.read({
-            ended: (whole) =>
+          response.read({
+            ended: (isComplete) =>
               resolve({
                 body: text,
-                connected,
-                failed: undefined,
-                headers: answer.headers,
-                status: answer.statusCode,
-                whole,
+                isConnected,
+                failureCause: undefined,
+                headers: response.headers,
+                status: response.statusCode,
+                isComplete,
               }),
             take: (chunk) => (text += chunk.toString('latin1')),
           });
         },
-        connected: () => (connected = true),
-        failed: (cause) =>
+        onConnected: () => (isConnected = true),
+        onFailure: (cause) =>
           resolve({
             body: '',
-            connected,
-            failed: cause,
+            isConnected,
+            failureCause: cause,
             headers: {},
             status: 0,
-            whole: false,
+            isComplete: false,
           }),
       },
     ),
   );
 }
 
-function pause(ms = 30): Promise<void> {
+function delay(ms = 30): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
 describe('ConnectionPool', () => {
-  test('a connection serves many requests, in their order', async () => {
+  test('a connection is reused for the next request', async () => {
     await using upstream = await ScriptedUpstream.open(
-      `${HEAD}ab`,
-      `${CHUNKED}2\r\ncd\r\n0\r\n\r\n`,
+      `${HEAD_OF_2_BYTES}ab`,
+      `${CHUNKED_HEAD}2\r\ncd\r\n0\r\n\r\n`,
     );
-    using pool = poolOf(upstream.port);
-    const first = await ask(pool.take(), 'POST', 'body');
-    await pause();
-    const second = await ask(pool.take());
+    using pool = createPool(upstream.port);
+    const first = await sendRequest(pool.acquire(), 'POST', 'body');
+    await delay();
+    const second = await sendRequest(pool.acquire());
     expect([first.body, second.body]).toEqual(['ab', 'cd']);
-    expect([first.whole, second.whole]).toEqual([true, true]);
+    expect([first.isComplete, second.isComplete]).toEqual([true, true]);
     expect(upstream.sockets).toHaveLength(1);
     expect(upstream.requests).toBe(
       'POST /x HTTP/1.1\r\nHost: h\r\n\r\nbodyGET /x HTTP/1.1\r\nHost: h\r\n\r\n',
@@ -145,219 +149,238 @@
   });
 
   test.each([
-    ['bytes behind a whole answer', `${HEAD}abHTTP`],
-    ['another answer behind it', `${HEAD}ab${HEAD}cd`],
-    ['no HTTP behind it', `${HEAD}ab\0\0`],
+    ['bytes after a complete response', `${HEAD_OF_2_BYTES}abHTTP`],
+    ['another response after it', `${HEAD_OF_2_BYTES}ab${HEAD_OF_2_BYTES}cd`],
+    ['bytes that are not HTTP after it', `${HEAD_OF_2_BYTES}ab\0\0`],
     [
-      'an end of the connection',
-      `${HEAD.replace('\r\n', '\r\nConnection: close\r\n')}ab`,
+      'Connection: close',
+      `${HEAD_OF_2_BYTES.replace('\r\n', '\r\nConnection: close\r\n')}ab`,
     ],
-    ['no time', `${HEAD.replace('\r\n', '\r\nKeep-Alive: timeout=0\r\n')}ab`],
-    ['an older protocol', `${HEAD.replace('1.1', '1.0')}ab`],
-  ])('%s: the answer counts, its connection does not', async (_, script) => {
-    await using upstream = await ScriptedUpstream.open(script, `${HEAD}zz`);
-    using pool = poolOf(upstream.port);
-    const first = await ask(pool.take());
-    expect([first.body, first.whole]).toEqual(['ab', true]);
-    const second = await ask(pool.take());
-    expect([second.body, second.whole]).toEqual(['zz', true]);
-    expect(upstream.sockets).toHaveLength(2);
-  });
+    [
+      'a keep-alive timeout of 0',
+      `${HEAD_OF_2_BYTES.replace('\r\n', '\r\nKeep-Alive: timeout=0\r\n')}ab`,
+    ],
+    ['HTTP/1.0', `${HEAD_OF_2_BYTES.replace('1.1', '1.0')}ab`],
+  ])(
+    '%s: the response is valid, its connection is not reused',
+    async (_, script) => {
+      await using upstream = await ScriptedUpstream.open(
+        script,
+        `${HEAD_OF_2_BYTES}zz`,
+      );
+      using pool = createPool(upstream.port);
+      const first = await sendRequest(pool.acquire());
+      expect([first.body, first.isComplete]).toEqual(['ab', true]);
+      const second = await sendRequest(pool.acquire());
+      expect([second.body, second.isComplete]).toEqual(['zz', true]);
+      expect(upstream.sockets).toHaveLength(2);
+    },
+  );
 
-  test('bytes that come while no request is open end a connection', async () => {
+  test('bytes received without an open request close the connection', async () => {
     await using upstream = await ScriptedUpstream.open((socket) => {
-      socket.write(`${HEAD}ab`);
-      setTimeout(() => socket.write(`${HEAD}no`), 10);
-    }, `${HEAD}zz`);
-    using pool = poolOf(upstream.port);
-    await ask(pool.take());
-    await pause();
-    expect((await ask(pool.take())).body).toBe('zz');
+      socket.write(`${HEAD_OF_2_BYTES}ab`);
+      setTimeout(() => socket.write(`${HEAD_OF_2_BYTES}no`), 10);
+    }, `${HEAD_OF_2_BYTES}zz`);
+    using pool = createPool(upstream.port);
+    await sendRequest(pool.acquire());
+    await delay();
+    expect((await sendRequest(pool.acquire())).body).toBe('zz');
     expect(upstream.sockets).toHaveLength(2);
   });
 
-  test('a connection that the upstream closed is not used again', async () => {
+  test('a connection closed by the upstream is not reused', async () => {
     await using upstream = await ScriptedUpstream.open((socket) => {
-      socket.end(`${HEAD}ab`);
-    }, `${HEAD}zz`);
-    using pool = poolOf(upstream.port);
-    await ask(pool.take());
-    await pause();
-    expect((await ask(pool.take())).body).toBe('zz');
+      socket.end(`${HEAD_OF_2_BYTES}ab`);
+    }, `${HEAD_OF_2_BYTES}zz`);
+    using pool = createPool(upstream.port);
+    await sendRequest(pool.acquire());
+    await delay();
+    expect((await sendRequest(pool.acquire())).body).toBe('zz');
   });
 
-  test('idle connections end before the time that the upstream names', async () => {
-    const named = HEAD.replace('\r\n', '\r\nKeep-Alive: timeout=2\r\n');
+  test('idle connections expire before the keep-alive timeout of the upstream', async () => {
+    const shortKeepAlive = HEAD_OF_2_BYTES.replace(
+      '\r\n',
+      '\r\nKeep-Alive: timeout=2\r\n',
+    );
     await using upstream = await ScriptedUpstream.open(
-      `${named}ab`,
-      `${named}cd`,
-      `${named}ef`,
+      `${shortKeepAlive}ab`,
+      `${shortKeepAlive}cd`,
+      `${shortKeepAlive}ef`,
     );
     const clock = new ManualClock();
-    using pool = poolOf(upstream.port, clock);
-    await ask(pool.take());
+    using pool = createPool(upstream.port, clock);
+    await sendRequest(pool.acquire());
     await clock.advance(1_700);
-    await ask(pool.take());
+    await sendRequest(pool.acquire());
     expect(upstream.sockets).toHaveLength(1);
     await clock.advance(1_900);
-    await ask(pool.take());
+    await sendRequest(pool.acquire());
     expect(upstream.sockets).toHaveLength(2);
   });
 
-  test('no more idle connections stay than were allowed', async () => {
-    const scripts = Array.from({length: 6}, () => `${HEAD}ab`);
+  test('no more than maxIdle idle connections are kept', async () => {
+    const scripts = Array.from({length: 6}, () => `${HEAD_OF_2_BYTES}ab`);
     await using upstream = await ScriptedUpstream.open(...scripts);
-    using pool = poolOf(upstream.port);
+    using pool = createPool(upstream.port);
     await Promise.all(
-      [pool.take(), pool.take(), pool.take()].map((c) => ask(c)),
+      [pool.acquire(), pool.acquire(), pool.acquire()].map((c) =>
+        sendRequest(c),
+      ),
     );
-    await pause();
+    await delay();
     await Promise.all(
-      [pool.take(), pool.take(), pool.take()].map((c) => ask(c)),
+      [pool.acquire(), pool.acquire(), pool.acquire()].map((c) =>
+        sendRequest(c),
+      ),
     );
     expect(upstream.sockets).toHaveLength(3 + 3 - MAX_IDLE);
   });
 
-  test('a retired pool ends idle connections and lets open requests end', async () => {
+  test('a retired pool closes idle connections and lets open requests finish', async () => {
     await using upstream = await ScriptedUpstream.open(
-      `${HEAD}ab`,
+      `${HEAD_OF_2_BYTES}ab`,
       (socket) => {
-        setTimeout(() => socket.write(`${HEAD}cd`), 20);
+        setTimeout(() => socket.write(`${HEAD_OF_2_BYTES}cd`), 20);
       },
     );
-    using pool = poolOf(upstream.port);
-    const [idle, busy] = [pool.take(), pool.take()];
-    await ask(idle);
-    const open = ask(busy);
-    await pause(5);
+    using pool = createPool(upstream.port);
+    const [idle, busy] = [pool.acquire(), pool.acquire()];
+    await sendRequest(idle);
+    const open = sendRequest(busy);
+    await delay(5);
     pool.retire();
-    expect(idle.usable).toBe(false);
+    expect(idle.isUsable).toBe(false);
     expect((await open).body).toBe('cd');
-    expect(busy.usable).toBe(false);
+    expect(busy.isUsable).toBe(false);
   });
 
-  test('an answer without a length is whole only where the end is in order', async () => {
+  test('a response without a length is complete only after a normal close', async () => {
     const head = 'HTTP/1.1 200 OK\r\n\r\n';
     await using upstream = await ScriptedUpstream.open(
       (socket) => void socket.end(`${head}all`),
       (socket) =>
         void socket.write(`${head}part`, () => socket.resetAndDestroy()),
     );
-    using pool = poolOf(upstream.port);
-    const first = await ask(pool.take());
-    expect([first.body, first.whole]).toEqual(['all', true]);
-    const second = await ask(pool.take());
-    expect(second.whole).toBe(false);
+    using pool = createPool(upstream.port);
+    const first = await sendRequest(pool.acquire());
+    expect([first.body, first.isComplete]).toEqual(['all', true]);
+    const second = await sendRequest(pool.acquire());
+    expect(second.isComplete).toBe(false);
   });
 
   test.each([
-    ['within a chunk', `${CHUNKED}5\r\nab`],
-    ['between chunks', `${CHUNKED}2\r\nab\r\n`],
-    ['before the last line', `${CHUNKED}2\r\nab\r\n0\r\n`],
-    ['before the length', HEAD],
-    ['by bytes that are not HTTP', `${CHUNKED}2\r\nab\r\nxyz`],
-  ])('an answer cut short %s is not whole', async (_, script) => {
+    ['within a chunk', `${CHUNKED_HEAD}5\r\nab`],
+    ['between chunks', `${CHUNKED_HEAD}2\r\nab\r\n`],
+    ['before the final empty line', `${CHUNKED_HEAD}2\r\nab\r\n0\r\n`],
+    ['before its content length', HEAD_OF_2_BYTES],
+    ['by bytes that are not HTTP', `${CHUNKED_HEAD}2\r\nab\r\nxyz`],
+  ])('a response truncated %s is not complete', async (_, script) => {
     await using upstream = await ScriptedUpstream.open(
       (socket) => void socket.end(script),
     );
-    using pool = poolOf(upstream.port);
-    const outcome = await ask(pool.take());
-    expect([outcome.status, outcome.whole]).toEqual([200, false]);
+    using pool = createPool(upstream.port);
+    const outcome = await sendRequest(pool.acquire());
+    expect([outcome.status, outcome.isComplete]).toEqual([200, false]);
   });
 
-  test('an answer without a body ends with its head', async () => {
+  test('a response without a body ends with its head', async () => {
     await using upstream = await ScriptedUpstream.open(
-      HEAD,
+      HEAD_OF_2_BYTES,
       'HTTP/1.1 204 No Content\r\n\r\n',
     );
-    using pool = poolOf(upstream.port);
-    expect((await ask(pool.take(), 'HEAD')).whole).toBe(true);
-    await pause();
-    expect((await ask(pool.take())).whole).toBe(true);
+    using pool = createPool(upstream.port);
+    expect((await sendRequest(pool.acquire(), 'HEAD')).isComplete).toBe(true);
+    await delay();
+    expect((await sendRequest(pool.acquire())).isComplete).toBe(true);
     expect(upstream.sockets).toHaveLength(1);
   });
 
-  test('interim answers are passed over, and many headers are read', async () => {
-    const many = Array.from({length: 50}, (_, at) => `X-${at}: ${at}\r\n`);
+  test('interim responses are skipped and 50 headers are parsed', async () => {
+    const manyHeaders = Array.from(
+      {length: 50},
+      (_, at) => `X-${at}: ${at}\r\n`,
+    );
     await using upstream = await ScriptedUpstream.open(
       `HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-1: no\r\n\r\n` +
-        `HTTP/1.1 200 OK\r\n${many.join('')}Content-Length: 2\r\n\r\nab`,
+        `HTTP/1.1 200 OK\r\n${manyHeaders.join('')}Content-Length: 2\r\n\r\nab`,
     );
-    using pool = poolOf(upstream.port);
-    const {body, headers, whole} = await ask(pool.take());
-    expect([body, whole]).toEqual(['ab', true]);
+    using pool = createPool(upstream.port);
+    const {body, headers, isComplete} = await sendRequest(pool.acquire());
+    expect([body, isComplete]).toEqual(['ab', true]);
     expect([headers['x-1'], headers['x-49']]).toEqual(['1', '49']);
   });
 
-  test('what is no answer, or none at all, fails after it was sent', async () => {
+  test('an invalid or missing response fails after the request was sent', async () => {
     await using upstream = await ScriptedUpstream.open(
       'no answer at all\r\n\r\n',
       (socket) => void socket.end(),
       (socket) => void socket.resetAndDestroy(),
     );
-    using pool = poolOf(upstream.port);
+    using pool = createPool(upstream.port);
     for (const cause of ['not-http', 'closed', 'ECONNRESET']) {
-      const {connected, failed} = await ask(pool.take());
-      expect([connected, failed]).toEqual([true, cause]);
+      const {isConnected, failureCause} = await sendRequest(pool.acquire());
+      expect([isConnected, failureCause]).toEqual([true, cause]);
     }
   });
 
-  test('where no connection comes up the request was surely not sent', async () => {
+  test('a refused connection fails before the request is sent', async () => {
     const upstream = await ScriptedUpstream.open();
     const {port} = upstream;
     await upstream[Symbol.asyncDispose]();
-    using pool = poolOf(port);
-    const {connected, failed} = await ask(pool.take());
-    expect([connected, failed]).toEqual([false, 'ECONNREFUSED']);
+    using pool = createPool(port);
+    const {isConnected, failureCause} = await sendRequest(pool.acquire());
+    expect([isConnected, failureCause]).toEqual([false, 'ECONNREFUSED']);
   });
 
-  test('a reader that holds an answer back holds the upstream back', async () => {
+  test('pausing a response applies back-pressure to the upstream', async () => {
     const size = 32 * 1024 * 1024;
     await using upstream = await ScriptedUpstream.open((socket) => {
       socket.write(`HTTP/1.1 200 OK\r\nContent-Length: ${size}\r\n\r\n`);
       socket.write(Buffer.alloc(size));
-    }, `${HEAD}ab`);
-    using pool = poolOf(upstream.port);
-    let answer: UpstreamAnswer | undefined;
+    }, `${HEAD_OF_2_BYTES}ab`);
+    using pool = createPool(upstream.port);
+    let response: UpstreamAnswer | undefined;
     let length = 0;
     const ended = new Promise<boolean>((resolve) => {
-      pool.take().send(
+      pool.acquire().send(
         {
           body: Buffer.alloc(0),
           head: requestHead('GET', '/x', []) ?? '',
           method: 'GET',
         },
         {
-          answered: (found) => {
-            answer = found;
-            found.read({
+          onResponse: (received) => {
+            response = received;
+            received.read({
               ended: resolve,
               take: (chunk) => {
                 length += chunk.length;
-                found.pause();
+                received.pause();
               },
             });
           },
-          connected: () => undefined,
-          failed: () => resolve(false),
+          onConnected: () => undefined,
+          onFailure: () => resolve(false),
         },
       );
     });
-    await pause(100);
+    await delay(100);
     expect(length).toBeLessThanOrEqual(64 * 1024);
-    const waiting = upstream.sockets[0]?.writableLength ?? 0;
-    expect(waiting).toBeGreaterThan(0);
-    const resumed = setInterval(() => answer?.resume(), 0);
+    const unsentBytes = upstream.sockets[0]?.writableLength ?? 0;
+    expect(unsentBytes).toBeGreaterThan(0);
+    const resumeTimer = setInterval(() => response?.resume(), 0);
     expect(await ended).toBe(true);
-    clearInterval(resumed);
+    clearInterval(resumeTimer);
     expect(length).toBe(size);
-    // The reader's last pause is not the next request's.
-    expect((await ask(pool.take())).body).toBe('ab');
+    // The last pause must not affect the next request.
+    expect((await sendRequest(pool.acquire())).body).toBe('ab');
     expect(upstream.sockets).toHaveLength(1);
   }, 60_000);
 });
 
-test('a header with a line break is never sent', () => {
+test('a header with a line break is rejected', () => {
   expect(requestHead('GET', '/', ['A', 'b\r\nC: d'])).toBeUndefined();
   expect(requestHead('GET', '/', ['A', 'b'])).toBe(
     'GET / HTTP/1.1\r\nA: b\r\n\r\n',
--- a/packages/puffinturn-edge/src/__tests__/unit/CrashingRequests.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/CrashingRequests.test.ts
@@ -5,6 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/** Guards against lost or repeated crash reports and against stale quarantine state. */
 import type {ResultAsync} from 'neverthrow';
 import {errAsync, okAsync} from 'neverthrow';
 import {KeptDecisionLog} from 'puffinturn-decisions';
@@ -18,11 +19,11 @@
 import {CrashingRequests} from '../../requests/CrashingRequests';
 import {upstreamOf} from '../utils/EdgeFixture';
 
-/** Control boxes that take reports, lose the answer, or can't be reached. */
+/** Control boxes that accept reports, lose their replies or are unreachable. */
 class ReportLink extends Link {
-  readonly taken: CrashRequest[] = [];
+  readonly received: CrashRequest[] = [];
   isCut = false;
-  losesAnswers = false;
+  losesReplies = false;
 
   override call(
     _box: string,
@@ -30,24 +31,24 @@
     body: unknown,
   ): ResultAsync<unknown, LinkFailure> {
     if (!this.isCut) {
-      this.taken.push(body as CrashRequest);
+      this.received.push(body as CrashRequest);
     }
-    return this.isCut || this.losesAnswers
+    return this.isCut || this.losesReplies
       ? errAsync({kind: 'not-sent', message: 'cut'})
       : okAsync({taken: true});
   }
 }
 
-describe('Crashing requests at an edge', () => {
+describe('CrashingRequests', () => {
   const clock = new ManualClock();
   let link: ReportLink;
   let log: KeptDecisionLog;
-  let crashing: CrashingRequests;
+  let quarantine: CrashingRequests;
 
   beforeEach(() => {
     link = new ReportLink();
     log = new KeptDecisionLog();
-    crashing = new CrashingRequests({
+    quarantine = new CrashingRequests({
       box: 'e1',
       clock,
       controls: () => ['c1', 'c2'],
@@ -57,22 +58,22 @@
     });
   });
 
-  afterEach(() => crashing[Symbol.asyncDispose]());
+  afterEach(() => quarantine[Symbol.asyncDispose]());
 
-  function crash(life: string, ...fingerprints: string[]): void {
-    crashing.crashed({fingerprints, life}, {record: upstreamOf(life)});
+  function recordCrash(life: string, ...fingerprints: string[]): void {
+    quarantine.recordCrash({fingerprints, life}, {record: upstreamOf(life)});
   }
 
-  async function pass(ms: number): Promise<void> {
+  async function advance(ms: number): Promise<void> {
     await settleTasks();
     await clock.advance(ms);
     await settleTasks();
   }
 
-  test('are told to the core once', async () => {
-    crash('i-1', 'f');
-    await pass(1_000);
-    expect(link.taken).toEqual([
+  test('reports a crash to the control boxes once', async () => {
+    recordCrash('i-1', 'f');
+    await advance(1_000);
+    expect(link.received).toEqual([
       {
         box: 'e1',
         report: {
@@ -83,62 +84,67 @@
     ]);
   });
 
-  test('are told with their age once the core can be reached again', async () => {
+  test('reports crashes with their age after the control boxes were unreachable', async () => {
     link.isCut = true;
-    crash('i-1', 'f');
-    await pass(2_000);
-    crash('i-2', 'f');
-    await pass(2_000);
+    recordCrash('i-1', 'f');
+    await advance(2_000);
+    recordCrash('i-2', 'f');
+    await advance(2_000);
     link.isCut = false;
-    await pass(500);
-    const ages = link.taken[0]?.report.crashes.map(({agoMs}) => agoMs);
+    await advance(500);
+    const ages = link.received[0]?.report.crashes.map(({agoMs}) => agoMs);
     expect(ages?.[0]).toBeGreaterThan(4_000);
     expect(ages?.[1]).toBeLessThan(3_000);
   });
 
-  test('are told again where the answer was lost', async () => {
-    link.losesAnswers = true;
-    crash('i-1', 'f');
-    await pass(100);
-    link.losesAnswers = false;
-    await pass(1_000);
-    const lives = link.taken.map(({report}) => report.crashes[0]?.life);
-    expect(new Set(lives)).toEqual(new Set(['i-1']));
-    expect(lives.length).toBeGreaterThan(1);
-    const {length} = link.taken;
-    await pass(5_000);
-    expect(link.taken).toHaveLength(length);
+  test('repeats a report whose reply was lost', async () => {
+    link.losesReplies = true;
+    recordCrash('i-1', 'f');
+    await advance(100);
+    link.losesReplies = false;
+    await advance(1_000);
+    const incarnations = link.received.map(
+      ({report}) => report.crashes[0]?.life,
+    );
+    expect(new Set(incarnations)).toEqual(new Set(['i-1']));
+    expect(incarnations.length).toBeGreaterThan(1);
+    const {length} = link.received;
+    await advance(5_000);
+    expect(link.received).toHaveLength(length);
   });
 
-  test('are not run here after three crashes, also without the core', async () => {
+  test('quarantines a request after three crashes without control boxes', async () => {
     link.isCut = true;
     for (const life of ['i-1', 'i-2']) {
-      crash(life, 'f');
-      await pass(1_000);
+      recordCrash(life, 'f');
+      await advance(1_000);
     }
-    expect(crashing.isQuarantined('f')).toBe(false);
-    expect(crashing.isLastTry('f')).toBe(true);
-    crash('i-3', 'f');
-    expect(crashing.isQuarantined('f')).toBe(true);
-    expect(crashing.isQuarantined('g')).toBe(false);
+    expect(quarantine.isQuarantined('f')).toBe(false);
+    expect(quarantine.isOneCrashFromQuarantine('f')).toBe(true);
+    recordCrash('i-3', 'f');
+    expect(quarantine.isQuarantined('f')).toBe(true);
+    expect(quarantine.isQuarantined('g')).toBe(false);
   });
 
-  test('are cleared, here and at the core, by a whole answer', async () => {
+  test('clears a suspected request after a complete response and reports it', async () => {
     for (const life of ['i-1', 'i-2']) {
-      crash(life, 'f');
-      await pass(1_000);
+      recordCrash(life, 'f');
+      await advance(1_000);
     }
-    crashing.served('f');
-    crashing.served('never suspected');
-    await pass(100);
-    expect(link.taken.at(-1)?.report).toEqual({answered: ['f'], crashes: []});
-    crash('i-3', 'f');
-    expect(crashing.isQuarantined('f')).toBe(false);
+    quarantine.recordSuccess('f');
+    quarantine.recordSuccess('never suspected');
+    await advance(100);
+    expect(link.received.at(-1)?.report).toEqual({
+      answered: ['f'],
+      crashes: [],
+    });
+    recordCrash('i-3', 'f');
+    expect(quarantine.isQuarantined('f')).toBe(false);
   });
 
-  test('are taken over from the core, never from an older word', () => {
-    expect(crashing.isEmpty).toBe(true);
-    crashing.adopt(
+  test('adopts a quarantine only with a newer revision', () => {
+    expect(quarantine.isEmpty).toBe(true);
+    quarantine.adopt(
       {
         fingerprints: ['f', 'g'],
         revision: 2,
@@ -146,7 +152,7 @@
       },
       'c1',
     );
-    crashing.adopt(
+    quarantine.adopt(
       {
         fingerprints: ['f'],
         revision: 1,
@@ -154,19 +160,19 @@
       },
       'c2',
     );
-    crashing.adopt(NO_QUARANTINE, 'c2');
-    expect(crashing.isQuarantined('g')).toBe(true);
-    expect(crashing.isEmpty).toBe(false);
+    quarantine.adopt(NO_QUARANTINE, 'c2');
+    expect(quarantine.isQuarantined('g')).toBe(true);
+    expect(quarantine.isEmpty).toBe(false);
     const line = log.lines.find(({event}) => event === 'quarantine-adopted');
     expect(line).toMatchObject({count: 2, former: 0, newest: 'g'});
   });
 
-  test('run again once the core says so', async () => {
+  test('releases a request that a newer revision no longer contains', async () => {
     for (const life of ['i-1', 'i-2', 'i-3']) {
-      crash(life, 'f');
-      await pass(1_000);
+      recordCrash(life, 'f');
+      await advance(1_000);
     }
-    crashing.adopt(
+    quarantine.adopt(
       {
         fingerprints: ['f'],
         revision: 1,
@@ -174,7 +180,7 @@
       },
       'c1',
     );
-    crashing.adopt(
+    quarantine.adopt(
       {
         fingerprints: [],
         revision: 2,
@@ -182,6 +188,6 @@
       },
       'c1',
     );
-    expect(crashing.isQuarantined('f')).toBe(false);
+    expect(quarantine.isQuarantined('f')).toBe(false);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/EventStream.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/EventStream.test.ts
@@ -5,6 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/** Guards against lost bytes and against resuming a stream after an incomplete event. */
 import fc from 'fast-check';
 
 import {EventCutter} from '../../index';
@@ -14,7 +15,7 @@
 }
 
 describe('EventCutter', () => {
-  test('passes every byte on and cuts after whole events only', () => {
+  test('preserves all bytes and splits only after complete events', () => {
     fc.assert(
       fc.property(
         fc.array(fc.nat(40), {maxLength: 20}),
@@ -26,20 +27,22 @@
             'id: 99'.slice(0, tail);
           const bytes = Buffer.from(text);
           const cutter = new EventCutter();
-          const passed: Buffer[] = [];
+          const batches: Buffer[] = [];
           let events = 0;
           let at = 0;
           const lengths = [...cuts, bytes.length];
           for (const length of lengths) {
             const batch = cutter.push(bytes.subarray(at, at + length));
             at += length;
-            passed.push(Buffer.from(batch.bytes));
+            batches.push(Buffer.from(batch.bytes));
             events += batch.events;
-            const soFar = Buffer.concat(passed).toString();
-            expect(soFar === '' || soFar.endsWith('\n\n')).toBe(true);
+            const outputSoFar = Buffer.concat(batches).toString();
+            expect(outputSoFar === '' || outputSoFar.endsWith('\n\n')).toBe(
+              true,
+            );
           }
-          const whole = Buffer.concat([...passed, cutter.takeRest()]);
-          expect(whole.toString()).toBe(text);
+          const output = Buffer.concat([...batches, cutter.takeRest()]);
+          expect(output.toString()).toBe(text);
           expect(events).toBe(sizes.length);
           const last = sizes.length === 0 ? undefined : String(sizes.length);
           expect(cutter.lastId).toBe(last);
@@ -49,13 +52,13 @@
     );
   });
 
-  test('does not name an event whose end has not come', () => {
+  test('does not report the ID of an incomplete event', () => {
     const cutter = new EventCutter();
     cutter.push(Buffer.from('id: 1\ndata: a\n\nid: 2\ndata'));
     expect(cutter.lastId).toBe('1');
   });
 
-  test('takes carriage returns as part of an empty line', () => {
+  test('accepts CRLF line endings', () => {
     const cutter = new EventCutter();
     expect(cutter.push(Buffer.from('id: 1\r\ndata: a\r\n\r\n')).events).toBe(1);
     expect(cutter.lastId).toBe('1');
--- a/packages/puffinturn-edge/src/__tests__/unit/QuarantinedRequests.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/QuarantinedRequests.test.ts
@@ -5,6 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/** Guards against one request that crashes several upstreams. */
 import type {ServerResponse} from 'node:http';
 
 import {fingerprintOf} from 'puffinturn-quarantine';
@@ -17,8 +18,8 @@
   until,
 } from '../utils/ServingFixture';
 
-/** The first request of a fixture, as its upstreams see it. */
-function firstRequest(address: string): string {
+/** Fingerprint of the first request that the fixture sends. */
+function firstFingerprint(address: string): string {
   return fingerprintOf({
     body: Buffer.alloc(0),
     caller: '',
@@ -28,11 +29,11 @@
   });
 }
 
-function breaksOff(response: ServerResponse): void {
+function breakConnection(response: ServerResponse): void {
   response.destroy();
 }
 
-describe('A quarantined request', () => {
+describe('Forwarding of crashing requests', () => {
   let first: TestUpstream;
   let second: TestUpstream;
   let fixture: ServingFixture;
@@ -50,59 +51,65 @@
     await second[Symbol.asyncDispose]();
   });
 
-  function seen(): number {
+  function attemptCount(): number {
     return first.seen.length + second.seen.length;
   }
 
-  function quarantine(): void {
-    const fingerprints = [firstRequest(fixture.address)];
-    fixture.crashing.adopt({fingerprints, revision: 1, suspects: []}, 'c1');
+  function quarantineFirstRequest(): void {
+    const fingerprints = [firstFingerprint(fixture.address)];
+    fixture.quarantine.adopt({fingerprints, revision: 1, suspects: []}, 'c1');
   }
 
-  test('is refused at once and reaches no upstream; another one does', async () => {
-    quarantine();
-    const refused = await fixture.ask('look');
-    expect([refused.status, refused.body]).toEqual([
+  test('rejects a quarantined request and forwards others', async () => {
+    quarantineFirstRequest();
+    const rejected = await fixture.ask('look');
+    expect([rejected.status, rejected.body]).toEqual([
       400,
       '{"error":"quarantined"}',
     ]);
-    expect(seen()).toBe(0);
+    expect(attemptCount()).toBe(0);
     expect((await fixture.ask('look')).status).toBe(200);
   });
 
-  test('is not tried again once its quarantine is heard of', async () => {
+  test('does not retry a request that was quarantined during an attempt', async () => {
     for (const upstream of [first, second]) {
       upstream.answer = (_, response) => {
-        quarantine();
-        breaksOff(response);
+        quarantineFirstRequest();
+        breakConnection(response);
       };
     }
     expect((await fixture.ask('look')).status).toBe(502);
-    expect(seen()).toBe(1);
+    expect(attemptCount()).toBe(1);
   });
 
-  test('is not tried again where one more crash would have it quarantined', async () => {
-    const fingerprints = [firstRequest(fixture.address)];
-    const crashed = {record: upstreamOf('i-8')};
-    fixture.crashing.crashed({fingerprints, life: 'i-8'}, crashed);
+  test('does not retry a request that is one crash from quarantine', async () => {
+    const fingerprints = [firstFingerprint(fixture.address)];
+    const crashedUpstream = {record: upstreamOf('i-8')};
+    fixture.quarantine.recordCrash(
+      {fingerprints, life: 'i-8'},
+      crashedUpstream,
+    );
     await new Promise((resolve) => setTimeout(resolve, 300));
-    fixture.crashing.crashed({fingerprints, life: 'i-9'}, crashed);
+    fixture.quarantine.recordCrash(
+      {fingerprints, life: 'i-9'},
+      crashedUpstream,
+    );
     for (const upstream of [first, second]) {
-      upstream.answer = (_, response) => breaksOff(response);
+      upstream.answer = (_, response) => breakConnection(response);
     }
     expect((await fixture.ask('look')).status).toBe(502);
-    expect(seen()).toBe(1);
+    expect(attemptCount()).toBe(1);
   });
 
-  test('is one that was open at an upstream when nothing listened there', async () => {
+  test('records a crash for a request in flight when its upstream stops listening', async () => {
     first.answer = () => void first[Symbol.asyncDispose]();
     second.answer = () => void second[Symbol.asyncDispose]();
     expect((await fixture.ask('look')).status).toBe(502);
     const isCrash = ({event}: {event: string}) => event === 'upstream-crashed';
     await until(() => fixture.log.lines.filter(isCrash).length === 2);
     expect(fixture.log.lines.filter(isCrash)).toMatchObject([
-      {count: 1, fingerprints: [firstRequest(fixture.address)]},
-      {count: 1, fingerprints: [firstRequest(fixture.address)]},
+      {count: 1, fingerprints: [firstFingerprint(fixture.address)]},
+      {count: 1, fingerprints: [firstFingerprint(fixture.address)]},
     ]);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/RequestsInRegions.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/RequestsInRegions.test.ts
@@ -5,35 +5,35 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** What becomes of a request, byte by byte, where regions bind. */
-import type {Behaviour} from '../utils/ServingEdge';
+/** Guards against requests that leave their allowed regions, in any attempt or record. */
+import type {UpstreamHandler} from '../utils/ServingEdge';
 import {
-  breaksOff,
-  isFull,
-  serves,
+  breakMidStream,
+  rejectAsFull,
+  respondDone,
   ServingEdge,
   streams,
 } from '../utils/ServingEdge';
 
-/** Stands in every body, so that it is found wherever it was copied to. */
+/** Body of every request, to detect copies of it. */
 const SECRET = 'a text that only upstreams may read';
 
-async function edgeWith(
-  behaviours: Readonly<Record<string, Behaviour>>,
+async function startEdge(
+  handlers: Readonly<Record<string, UpstreamHandler>>,
 ): Promise<ServingEdge> {
   const serving = await ServingEdge.open();
-  for (const [id, behaviour] of Object.entries(behaviours)) {
-    await serving.start(id, behaviour);
+  for (const [id, handler] of Object.entries(handlers)) {
+    await serving.start(id, handler);
   }
   return serving;
 }
 
-describe('A request that may be served in some regions', () => {
-  test('reaches upstreams of these only, by its route and its team', async () => {
-    await using serving = await edgeWith({
-      'e1-a': serves,
-      'e2-a': serves,
-      'w1-a': serves,
+describe('A request with allowed regions', () => {
+  test('reaches only upstreams in regions that its route and team allow', async () => {
+    await using serving = await startEdge({
+      'e1-a': respondDone,
+      'e2-a': respondDone,
+      'w1-a': respondDone,
     });
     serving.configure({allowedRegions: ['west', 'north']});
     expect((await serving.ask(SECRET)).status).toBe(200);
@@ -44,86 +44,92 @@
       {allowedRegions: ['west']},
     );
     expect((await serving.ask(SECRET)).status).toBe(200);
-    expect(serving.reached).toEqual(['w1-a', 'w1-a', 'w1-a']);
+    expect(serving.reachedUpstreams).toEqual(['w1-a', 'w1-a', 'w1-a']);
   });
 
-  test('is refused at once where none is left, with when to come back', async () => {
-    await using serving = await edgeWith({'w1-a': serves});
+  test('is rejected with Retry-After if no allowed region has an upstream', async () => {
+    await using serving = await startEdge({'w1-a': respondDone});
     serving.configure({allowedRegions: ['east']});
-    const answer = await serving.ask(SECRET);
-    expect(answer).toMatchObject({retryAfter: '1', status: 503});
-    expect(serving.causes).toEqual(['no-upstream-in-region']);
-    expect(serving.reached).toEqual([]);
+    const response = await serving.ask(SECRET);
+    expect(response).toMatchObject({retryAfter: '1', status: 503});
+    expect(serving.endCauses).toEqual(['no-upstream-in-region']);
+    expect(serving.reachedUpstreams).toEqual([]);
   });
 
-  test('is refused where route and team have no region in common', async () => {
-    await using serving = await edgeWith({'e1-a': serves, 'w1-a': serves});
+  test('is rejected if its route and team have no region in common', async () => {
+    await using serving = await startEdge({
+      'e1-a': respondDone,
+      'w1-a': respondDone,
+    });
     serving.configure({allowedRegions: ['east']}, {allowedRegions: ['west']});
     expect((await serving.ask(SECRET)).status).toBe(503);
-    expect(serving.causes).toEqual(['no-upstream-in-region']);
-    expect(serving.reached).toEqual([]);
+    expect(serving.endCauses).toEqual(['no-upstream-in-region']);
+    expect(serving.reachedUpstreams).toEqual([]);
   });
 
-  test('is tried again within these only', async () => {
-    await using serving = await edgeWith({
-      'e1-a': isFull,
-      'e2-a': isFull,
-      'w1-a': serves,
+  test('is retried only in allowed regions', async () => {
+    await using serving = await startEdge({
+      'e1-a': rejectAsFull,
+      'e2-a': rejectAsFull,
+      'w1-a': respondDone,
     });
     serving.configure({allowedRegions: ['east']});
-    const answer = await serving.ask(SECRET);
-    expect(answer.status).toBe(503);
-    expect(answer.retryAfter).toBeDefined();
-    expect([...serving.reached].sort()).toEqual(['e1-a', 'e2-a']);
-    expect(serving.causes).toEqual(['no-upstream-in-region']);
+    const response = await serving.ask(SECRET);
+    expect(response.status).toBe(503);
+    expect(response.retryAfter).toBeDefined();
+    expect([...serving.reachedUpstreams].sort()).toEqual(['e1-a', 'e2-a']);
+    expect(serving.endCauses).toEqual(['no-upstream-in-region']);
   });
 
-  test('is resumed within these only', async () => {
-    await using serving = await edgeWith({
-      'e1-a': breaksOff,
+  test('is resumed only in allowed regions', async () => {
+    await using serving = await startEdge({
+      'e1-a': breakMidStream,
       'w1-a': streams,
     });
     serving.configure({allowedRegions: ['east']});
-    const answer = await serving.ask(SECRET);
-    expect(answer.body).toContain('begun');
-    expect(answer.body).not.toContain('ended');
-    expect(serving.reached).toEqual(['e1-a']);
+    const response = await serving.ask(SECRET);
+    expect(response.body).toContain('begun');
+    expect(response.body).not.toContain('ended');
+    expect(serving.reachedUpstreams).toEqual(['e1-a']);
   });
 
-  test('is resumed elsewhere where all regions are allowed', async () => {
-    await using serving = await edgeWith({
-      'e1-a': breaksOff,
+  test('is resumed in another region if all regions are allowed', async () => {
+    await using serving = await startEdge({
+      'e1-a': breakMidStream,
       'w1-a': streams,
     });
     serving.configure({});
-    const answer = await serving.ask(SECRET);
-    expect(answer.body).toContain('begun');
-    expect(answer.body).toContain('ended');
-    expect(serving.reached).toEqual(['e1-a', 'w1-a']);
-    expect(serving.arrivals[1]?.lastEvent).toBe('4');
+    const response = await serving.ask(SECRET);
+    expect(response.body).toContain('begun');
+    expect(response.body).toContain('ended');
+    expect(serving.reachedUpstreams).toEqual(['e1-a', 'w1-a']);
+    expect(serving.receivedRequests[1]?.lastEventId).toBe('4');
   });
 
-  test('goes nowhere that was taken away while it ran', async () => {
+  test('is not resumed in a region that was disallowed during the request', async () => {
     const changes: (() => void)[] = [];
-    const breaksOffLater: Behaviour = (request, response) => {
+    const changeThenBreak: UpstreamHandler = (request, response) => {
       changes.splice(0).forEach((change) => change());
-      breaksOff(request, response);
+      breakMidStream(request, response);
     };
-    await using serving = await edgeWith({
-      'e1-a': breaksOffLater,
+    await using serving = await startEdge({
+      'e1-a': changeThenBreak,
       'w1-a': streams,
     });
     serving.configure({});
     changes.push(() => serving.configure({allowedRegions: ['east']}));
-    const answer = await serving.ask(SECRET);
-    expect(answer.body).not.toContain('ended');
-    expect(serving.reached).toEqual(['e1-a']);
-    expect(serving.causes).toEqual(['no-upstream-in-region']);
+    const response = await serving.ask(SECRET);
+    expect(response.body).not.toContain('ended');
+    expect(serving.reachedUpstreams).toEqual(['e1-a']);
+    expect(serving.endCauses).toEqual(['no-upstream-in-region']);
   });
 
-  test('is counted where it goes to another region, and only there', async () => {
-    await using serving = await edgeWith({'e1-a': serves, 'w1-a': serves});
-    const count = async () => {
+  test('is counted as cross-region traffic only if sent to another region', async () => {
+    await using serving = await startEdge({
+      'e1-a': respondDone,
+      'w1-a': respondDone,
+    });
+    const readCounters = async () => {
       const {regionBytes, regionRequests} = serving.edge.metrics;
       const bytes = (await regionBytes.get()).values;
       const [requests] = (await regionRequests.get()).values;
@@ -133,29 +139,30 @@
     };
     serving.configure({allowedRegions: ['east']});
     await serving.ask(SECRET);
-    expect(await count()).toEqual([0, 0, 0]);
+    expect(await readCounters()).toEqual([0, 0, 0]);
     serving.configure({allowedRegions: ['west']});
     await serving.ask(SECRET);
-    const [, requestBytes = 0, answerBytes = 0] = await count();
+    const [, requestBytes = 0, answerBytes = 0] = await readCounters();
     expect(requestBytes).toBeGreaterThan(SECRET.length);
     expect(requestBytes).toBeLessThan(1_000);
     expect(answerBytes).toBeGreaterThan('done'.length);
     await serving.ask(SECRET);
-    const [requests, both = 0, answers = 0] = await count();
+    const [requests, totalRequestBytes = 0, totalAnswerBytes = 0] =
+      await readCounters();
     expect(requests).toBe(2);
-    expect(both / requestBytes).toBeCloseTo(2, 1);
-    expect(answers / answerBytes).toBeCloseTo(2, 1);
-    const noted = serving.log.lines.filter(
+    expect(totalRequestBytes / requestBytes).toBeCloseTo(2, 1);
+    expect(totalAnswerBytes / answerBytes).toBeCloseTo(2, 1);
+    const crossingLines = serving.log.lines.filter(
       ({event}) => event === 'crossing-changed',
     );
-    expect(noted).toHaveLength(1);
+    expect(crossingLines).toHaveLength(1);
   });
 
-  test('is neither sent to another box nor written to the log', async () => {
-    await using serving = await edgeWith({
-      'e1-a': isFull,
-      'e2-a': breaksOff,
-      'w1-a': serves,
+  test('has its body neither sent to another box nor logged', async () => {
+    await using serving = await startEdge({
+      'e1-a': rejectAsFull,
+      'e2-a': breakMidStream,
+      'w1-a': respondDone,
     });
     serving.edge.learnBoxes([
       {box: 'w', hall: 'w1', incarnation: '1', role: 'edge'},
@@ -164,9 +171,11 @@
     serving.configure({allowedRegions: ['east']}, {prepaidTokens: 1_000});
     await serving.ask(SECRET);
     await serving.ask(SECRET);
-    expect(serving.arrivals.every(({body}) => body === SECRET)).toBe(true);
-    expect(serving.arrivals.length).toBeGreaterThan(0);
-    expect(JSON.stringify(serving.link.sent)).not.toContain(SECRET);
+    expect(serving.receivedRequests.every(({body}) => body === SECRET)).toBe(
+      true,
+    );
+    expect(serving.receivedRequests.length).toBeGreaterThan(0);
+    expect(JSON.stringify(serving.link.calls)).not.toContain(SECRET);
     expect(JSON.stringify(serving.log.lines)).not.toContain(SECRET);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/RouteTable.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/RouteTable.test.ts
@@ -5,6 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/** Guards against requests that get the wrong route, service, team or regions. */
 import type {Route} from 'puffinturn-fleet';
 import {REPETITION} from 'puffinturn-fleet';
 
@@ -44,77 +45,77 @@
 describe('RouteTable', () => {
   const table = new RouteTable(CONFIGURATION);
 
-  test('takes the longest prefix, whatever the case of the host', () => {
-    expect(table.find('host.EXAMPLE', '/a/b/c')?.name).toBe('long');
-    expect(table.find('host.example', '/a/bc')?.name).toBe('short');
-    expect(table.find('host.example', '/b/')).toBeUndefined();
-    expect(table.find('other.example', '/a/')).toBeUndefined();
+  test('finds the longest prefix and ignores the case of the host', () => {
+    expect(table.findRoute('host.EXAMPLE', '/a/b/c')?.name).toBe('long');
+    expect(table.findRoute('host.example', '/a/bc')?.name).toBe('short');
+    expect(table.findRoute('host.example', '/b/')).toBeUndefined();
+    expect(table.findRoute('other.example', '/a/')).toBeUndefined();
   });
 
-  test('draws a service by weight', () => {
-    const long = table.find('host.example', '/a/b/');
-    expect(long && table.serviceFor(long, 0)?.name).toBe('s0');
-    expect(long && table.serviceFor(long, 0.24)?.name).toBe('s0');
-    expect(long && table.serviceFor(long, 0.26)?.name).toBe('s1');
-    expect(long && table.serviceFor(long, 0.999)?.name).toBe('s1');
+  test('selects a service by weight', () => {
+    const long = table.findRoute('host.example', '/a/b/');
+    expect(long && table.pickService(long, 0)?.name).toBe('s0');
+    expect(long && table.pickService(long, 0.24)?.name).toBe('s0');
+    expect(long && table.pickService(long, 0.26)?.name).toBe('s1');
+    expect(long && table.pickService(long, 0.999)?.name).toBe('s1');
   });
 
-  test('allows a route and a team of another version what both may now', () => {
+  test('returns the regions that the current route and team both allow', () => {
     const [short] = CONFIGURATION.routes;
     const [team] = CONFIGURATION.teams ?? [];
-    const allowedBy = (ofRoute?: string[], ofTeam?: string[]) =>
+    const allowedBy = (routeRegions?: string[], teamRegions?: string[]) =>
       new RouteTable({
         ...CONFIGURATION,
-        routes: [{...short!, allowedRegions: ofRoute}],
-        teams: [{...team!, allowedRegions: ofTeam}],
+        routes: [{...short!, allowedRegions: routeRegions}],
+        teams: [{...team!, allowedRegions: teamRegions}],
       }).allowedRegions(short!, team);
     expect(allowedBy()).toBeUndefined();
     expect(allowedBy(['east'])).toEqual(['east']);
     expect(allowedBy(undefined, ['west'])).toEqual(['west']);
     expect(allowedBy(['east', 'west'], ['west'])).toEqual(['west']);
     expect(allowedBy(['east'], ['west'])).toEqual([]);
-    const gone = new RouteTable(configurationOf(2));
-    expect(gone.allowedRegions(short!, team)).toBeUndefined();
+    const emptyTable = new RouteTable(configurationOf(2));
+    expect(emptyTable.allowedRegions(short!, team)).toBeUndefined();
   });
 
-  test('wants a key but on open routes', () => {
-    const short = table.find('host.example', '/a/');
-    const open = table.find('host.example', '/o/');
-    expect(short && table.needsKey(short)).toBe(true);
-    expect(open && table.needsKey(open)).toBe(false);
-    expect(table.teamOf('k')?.name).toBe('t');
-    expect(table.teamOf('x')).toBeUndefined();
-    expect(table.teamOf(undefined)).toBeUndefined();
+  test('requires a key except on anonymous routes', () => {
+    const short = table.findRoute('host.example', '/a/');
+    const open = table.findRoute('host.example', '/o/');
+    expect(short && table.requiresKey(short)).toBe(true);
+    expect(open && table.requiresKey(open)).toBe(false);
+    expect(table.findTeam('k')?.name).toBe('t');
+    expect(table.findTeam('x')).toBeUndefined();
+    expect(table.findTeam(undefined)).toBeUndefined();
   });
 
-  test('lets the least urgent requests to engines give way, if others are there', () => {
+  test('recognizes the least urgent of several priorities of routes to engines', () => {
     const engine = {
       copyMsPerToken: undefined,
       memoryTokens: 1,
       slots: 1,
       tokensPerEvent: 1,
     };
-    const toEngine = (priority: number) => ({
+    const engineRoute = (priority: number) => ({
       ...route(`rank ${priority}`, `/${priority}/`, [1]),
       priority,
     });
-    // Service s1 is no engine: its rank does not count.
+    // Service s1 has no engine, so this priority is ignored.
     const plain = {...route('plain', '/p/', [0, 1]), priority: 7};
-    const tableOf = (...ranks: number[]) =>
+    const createTable = (...ranks: number[]) =>
       new RouteTable(
         configurationOf(1, {
-          routes: [...ranks.map(toEngine), plain],
+          routes: [...ranks.map(engineRoute), plain],
           services: [
             {engine, maxConnections: 1, name: 's0'},
             {engine: undefined, maxConnections: 1, name: 's1'},
           ],
         }),
       );
-    const mixed = tableOf(0, 1, 2);
+    const threeRanks = createTable(0, 1, 2);
     const isLeastUrgent = [0, 1, 2].map((rank) =>
-      mixed.isLeastUrgent(toEngine(rank)),
+      threeRanks.isLeastUrgent(engineRoute(rank)),
     );
     expect(isLeastUrgent).toEqual([false, false, true]);
-    expect(tableOf(1, 1).isLeastUrgent(toEngine(1))).toBe(false);
+    expect(createTable(1, 1).isLeastUrgent(engineRoute(1))).toBe(false);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/SecondAnswer.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/SecondAnswer.test.ts
@@ -5,6 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/** Guards against mixing the responses of two attempts, and against leaked connections. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
 import {REPETITION} from 'puffinturn-fleet';
@@ -19,29 +20,32 @@
   until,
 } from '../utils/ServingFixture';
 
-/** Draws so that upstreams with many errors are tried too. */
-class LowDraws extends Random {
+/** Always draws 0, so that upstreams with a high error rate are tried too. */
+class ZeroRandom extends Random {
   override fraction(): number {
     return 0;
   }
 }
 
-const ROUTE = servingRoute('stream', {
+const STREAM_ROUTE = servingRoute('stream', {
   maxAttempts: 2,
   repetition: REPETITION.resumable,
   streams: true,
 });
-const LOOKUP = servingRoute('look', {maxAttempts: 2});
+const LOOKUP_ROUTE = servingRoute('look', {maxAttempts: 2});
 
-/** Two upstreams, of which the first is tried first. */
-async function start() {
+/** Starts two upstreams, of which `first` is tried first. */
+async function startServing() {
   const first = await TestUpstream.start('a');
   const second = await TestUpstream.start('b');
-  const serving = await ServingFixture.start([ROUTE, LOOKUP], () => {
-    const random = new LowDraws(1);
-    const choice = new LeastInFlight(random);
-    return {engineChoice: choice, plainChoice: choice, random};
-  });
+  const serving = await ServingFixture.start(
+    [STREAM_ROUTE, LOOKUP_ROUTE],
+    () => {
+      const random = new ZeroRandom(1);
+      const choice = new LeastInFlight(random);
+      return {engineChoice: choice, plainChoice: choice, random};
+    },
+  );
   serving.pool.merge([first.record(), second.record()], 'c1');
   return {
     first,
@@ -55,49 +59,49 @@
   };
 }
 
-function fail(_: IncomingMessage, response: ServerResponse): void {
+function respondError(_: IncomingMessage, response: ServerResponse): void {
   response.writeHead(500).end('no');
 }
 
-describe('An answer that follows another one', () => {
-  test('a stream passes event by event after an error that was dropped', async () => {
-    await using both = await start();
-    const {first, second, serving} = both;
-    first.answer = fail;
+describe('Responses after a failed attempt', () => {
+  test('a stream is forwarded event by event after a discarded error response', async () => {
+    await using fixture = await startServing();
+    const {first, second, serving} = fixture;
+    first.answer = respondError;
     let finish = (): void => undefined;
     second.answer = (_, response) => {
       response.writeHead(200, {'content-type': 'text/event-stream'});
       response.write('id: 1\ndata: x\n\n');
       finish = () => void response.end('id: 2\ndata: y\n\n');
     };
-    const grey = serving.pool.all().find(({id}) => id === 'a');
-    if (grey !== undefined) {
-      grey.errorRate = 0.9;
+    const failing = serving.pool.all().find(({id}) => id === 'a');
+    if (failing !== undefined) {
+      failing.errorRate = 0.9;
     }
-    const got = serving.ask('stream');
+    const result = serving.ask('stream');
     await until(() => serving.received > 0);
     finish();
-    expect(await got).toMatchObject({status: 200, whole: true});
+    expect(await result).toMatchObject({status: 200, whole: true});
     expect(first.seen).toHaveLength(1);
     expect(second.seen).toHaveLength(1);
   });
 
-  test('none follows an answer of which a part was passed on', async () => {
-    await using both = await start();
-    const {first, second, serving} = both;
+  test('a partly forwarded response is not retried', async () => {
+    await using fixture = await startServing();
+    const {first, second, serving} = fixture;
     first.answer = (_, response) => {
       response.write('x'.repeat(2 * WHOLE_ANSWER_BYTES), () =>
         response.destroy(),
       );
     };
-    const got = await serving.ask('look');
-    expect(got.whole).toBe(false);
+    const result = await serving.ask('look');
+    expect(result.whole).toBe(false);
     expect(second.seen).toEqual([]);
   });
 
-  test('a rejection whose body never ends does not hold its connection', async () => {
-    await using both = await start();
-    const {first, serving} = both;
+  test('a rejection with an endless body does not keep its connection open', async () => {
+    await using fixture = await startServing();
+    const {first, serving} = fixture;
     let closed = false;
     first.answer = (_, response) => {
       response.on('close', () => (closed = true));
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamConnection.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamConnection.test.ts
@@ -5,33 +5,34 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/** Guards against undetected resets and against listeners added for each request. */
 import {Socket} from 'node:net';
 
-import {connectionOf} from '../../connections/UpstreamConnection';
+import {getConnectionState} from '../../connections/UpstreamConnection';
 
-describe('connectionOf', () => {
-  test('watches a connection once, however many requests it serves', () => {
+describe('getConnectionState', () => {
+  test('adds its listeners once per socket', () => {
     const socket = new Socket();
     const before = socket.listenerCount('end');
-    const connection = connectionOf(socket);
+    const connection = getConnectionState(socket);
     for (let request = 0; request < 50; request += 1) {
-      expect(connectionOf(socket)).toBe(connection);
+      expect(getConnectionState(socket)).toBe(connection);
     }
     expect(socket.listenerCount('end')).toBe(before + 1);
     expect(socket.listenerCount('error')).toBe(1);
   });
 
-  test('notes a failure for good', () => {
+  test('records an error', () => {
     const socket = new Socket();
-    const connection = connectionOf(socket);
+    const connection = getConnectionState(socket);
     socket.emit('error', new Error('reset'));
-    expect(connection.harmed).toBe(true);
+    expect(connection.hasFailed).toBe(true);
   });
 
-  test('takes an end without a peer for a reset', () => {
+  test('treats an end without a remote address as a reset', () => {
     const socket = new Socket();
-    const connection = connectionOf(socket);
+    const connection = getConnectionState(socket);
     socket.emit('end');
-    expect(connection.harmed).toBe(true);
+    expect(connection.hasFailed).toBe(true);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/utils/ServingEdge.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/ServingEdge.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** An edge in hall `e1` that serves over loopback, with real upstreams. */
+/** Runs a complete edge in hall `e1` over loopback, with HTTP servers as upstreams. */
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import {createServer, request as sendRequest} from 'node:http';
 import type {AddressInfo} from 'node:net';
@@ -26,80 +26,80 @@
 
 const LOOPBACK = '127.0.0.1';
 
-/** A link on which nobody answers; it keeps what was to be sent. */
-export class SilentLink extends Link {
-  readonly sent: unknown[] = [];
+/** A link on which every call fails; records the calls. */
+export class UnreachableLink extends Link {
+  readonly calls: unknown[] = [];
 
   override call(box: string, service: string, body: unknown) {
-    this.sent.push({body, box, service});
-    const failure: LinkFailure = {kind: 'not-sent', message: 'nobody there'};
+    this.calls.push({body, box, service});
+    const failure: LinkFailure = {kind: 'not-sent', message: 'box unreachable'};
     return errAsync<unknown, LinkFailure>(failure);
   }
 }
 
-/** What an upstream got. */
-export interface Arrival {
+/** A request as an upstream received it. */
+export interface ReceivedRequest {
   readonly upstream: string;
   readonly body: string;
-  readonly lastEvent: string | undefined;
-  readonly copyFrom: string | undefined;
+  readonly lastEventId: string | undefined;
+  readonly prefixSource: string | undefined;
 }
 
-/** How an upstream answers one request. */
-export type Behaviour = (
+/** Responds to one request at an upstream. */
+export type UpstreamHandler = (
   request: IncomingMessage,
   response: ServerResponse,
 ) => void;
 
-/** What a caller got. */
-export interface CallerAnswer {
+/** A response as the caller received it. */
+export interface CallerResponse {
   readonly status: number;
   readonly body: string;
   readonly retryAfter: string | undefined;
 }
 
-/** Answers whole. */
-export const serves: Behaviour = (request, response) => {
-  response.writeHead(200, sealOf(request));
+/** Sends a complete response. */
+export const respondDone: UpstreamHandler = (request, response) => {
+  response.writeHead(200, sealHeaders(request));
   response.end('done');
 };
 
-/** Says that it did not run the request. */
-export const isFull: Behaviour = (_, response) => {
+/** Rejects a request without running it. */
+export const rejectAsFull: UpstreamHandler = (_, response) => {
   response.writeHead(429, {'x-not-run': '1'}).end();
 };
 
-/** Begins a stream and breaks off after an event. */
-export const breaksOff: Behaviour = (request, response) => {
+/** Starts a stream and closes the connection after one event. */
+export const breakMidStream: UpstreamHandler = (request, response) => {
   response.writeHead(200, {
-    ...sealOf(request),
+    ...sealHeaders(request),
     'content-type': 'text/event-stream',
   });
   response.write('id: 4\ndata: begun\n\n', () => response.destroy());
 };
 
-/** Streams one event, and ends. */
-export const streams: Behaviour = (request, response) => {
+/** Sends a complete stream of one event. */
+export const streams: UpstreamHandler = (request, response) => {
   response.writeHead(200, {
-    ...sealOf(request),
+    ...sealHeaders(request),
     'content-type': 'text/event-stream',
   });
   response.end('id: 5\ndata: ended\n\n');
 };
 
-/** See the module comment. */
+/** A running edge with its upstreams, link and log. */
 export class ServingEdge implements AsyncDisposable {
-  readonly arrivals: Arrival[] = [];
-  readonly link = new SilentLink();
+  readonly receivedRequests: ReceivedRequest[] = [];
+  readonly link = new UnreachableLink();
   readonly log = new KeptDecisionLog();
   private readonly servers: Server[] = [];
   private version = 0;
-  private asked = 0;
+  private requestCount = 0;
 
   private constructor(
     readonly edge: Edge,
     private readonly port: number,
-    link: SilentLink,
+    link: UnreachableLink,
     log: KeptDecisionLog,
   ) {
     this.link = link;
@@ -107,9 +107,9 @@
   }
 
   static async open(clock: Clock = new SystemClock()): Promise<ServingEdge> {
-    const link = new SilentLink();
+    const link = new UnreachableLink();
     const log = new KeptDecisionLog();
-    const [callers = 0, ready = 0, metrics = 0] = await freePorts(3);
+    const [callers = 0, ready = 0, metrics = 0] = await findFreePorts(3);
     const host = LOOPBACK;
     const edge = await Edge.open({
       callers: {host, port: callers},
@@ -129,18 +129,18 @@
     return new ServingEdge(edge._unsafeUnwrap(), callers, link, log);
   }
 
-  /** Starts an upstream of service `s`; its id begins with its hall. */
-  async start(id: string, behaviour: Behaviour): Promise<void> {
+  /** Starts an upstream of service `s`. The first two characters of `id` are its hall. */
+  async start(id: string, handler: UpstreamHandler): Promise<void> {
     const server = createServer((request, response) => {
-      void bodyOf(request).then((body) => {
+      void readBody(request).then((body) => {
         const {headers} = request;
-        this.arrivals.push({
+        this.receivedRequests.push({
           body,
-          copyFrom: headers['x-copy-from'] as string | undefined,
-          lastEvent: headers['last-event-id'] as string | undefined,
+          prefixSource: headers['x-copy-from'] as string | undefined,
+          lastEventId: headers['last-event-id'] as string | undefined,
           upstream: id,
         });
-        behaviour(request, response);
+        handler(request, response);
       });
     });
     this.servers.push(server);
@@ -150,7 +150,7 @@
     this.edge.pool.merge([record], 'test');
   }
 
-  /** Puts the next version in force. */
+  /** Applies a configuration with the next version number. */
   configure(route: Partial<Route>, team: Partial<Team> = {}): void {
     this.version += 1;
     const configuration: FleetConfiguration = {
@@ -168,19 +168,19 @@
     this.edge.configure(configuration, 'test');
   }
 
-  /** Sends one request and reads its answer to the end. */
-  ask(body: string): Promise<CallerAnswer> {
-    this.asked += 1;
-    const headers = {host: 'h', 'x-id': `r${this.asked}`, 'x-key': 'k'};
+  /** Sends one request and reads the complete response. */
+  ask(body: string): Promise<CallerResponse> {
+    this.requestCount += 1;
+    const headers = {host: 'h', 'x-id': `r${this.requestCount}`, 'x-key': 'k'};
     return new Promise((resolve, reject) => {
       const request = sendRequest(
         {headers, host: LOOPBACK, method: 'POST', path: '/', port: this.port},
-        (answer) => {
-          void bodyOf(answer).then((text) => {
+        (response) => {
+          void readBody(response).then((text) => {
             resolve({
               body: text,
-              retryAfter: answer.headers['retry-after'],
-              status: answer.statusCode ?? 0,
+              retryAfter: response.headers['retry-after'],
+              status: response.statusCode ?? 0,
             });
           });
         },
@@ -190,13 +190,13 @@
     });
   }
 
-  /** Ids of the upstreams that got something, in order. */
-  get reached(): string[] {
-    return this.arrivals.map(({upstream}) => upstream);
+  /** IDs of the upstreams that received requests, in order. */
+  get reachedUpstreams(): string[] {
+    return this.receivedRequests.map(({upstream}) => upstream);
   }
 
-  /** The causes of all that was answered. */
-  get causes(): string[] {
+  /** Logged causes of all ended requests. */
+  get endCauses(): string[] {
     return this.log.lines.flatMap((line) =>
       line.event === 'request-ended' ? [line.cause] : [],
     );
@@ -232,18 +232,18 @@
   priority: 0,
 };
 
-function sealOf({headers}: IncomingMessage): Record<string, string> {
+function sealHeaders({headers}: IncomingMessage): Record<string, string> {
   return {'x-id': String(headers['x-id']), 'x-seal': 'sealed'};
 }
 
-async function bodyOf(message: IncomingMessage): Promise<string> {
+async function readBody(message: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
   try {
     for await (const chunk of message) {
       chunks.push(chunk as Buffer);
     }
   } catch {
-    // What came until it broke off counts.
+    // Returns the bytes received before the connection closed.
   }
   return Buffer.concat(chunks).toString();
 }
@@ -256,12 +256,12 @@
   });
 }
 
-/** Ports that were free a moment ago, all at the same time. */
-async function freePorts(count: number): Promise<number[]> {
+/** Finds distinct free ports by opening and closing servers. */
+async function findFreePorts(count: number): Promise<number[]> {
   const servers = Array.from({length: count}, () => createServer());
   const ports = await Promise.all(servers.map(listen));
   await Promise.all(
-    servers.map((server) => new Promise((done) => server.close(done))),
+    servers.map((server) => new Promise((resolve) => server.close(resolve))),
   );
   return ports;
 }
--- a/packages/puffinturn-edge/src/__tests__/utils/ServingFixture.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/ServingFixture.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Serves requests over loopback from a pool that tests fill themselves. */
+/** Forwards requests over loopback to a pool that tests fill with upstreams. */
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import {Agent, createServer, request} from 'node:http';
 
@@ -39,15 +39,15 @@
 import {LeastInFlight} from '../../upstreams/UpstreamChoice';
 import {UpstreamPool} from '../../upstreams/UpstreamPool';
 import {configurationOf, upstreamOf} from './EdgeFixture';
-import {SilentLink} from './ServingEdge';
+import {UnreachableLink} from './ServingEdge';
 
 const HOST = '127.0.0.1';
 
-/** The edge, and the other ones. */
+/** Identity of the edge under test, and its peers. */
 const SELF: GrantingBox = {box: 'e1', hall: 'a'};
 const NO_PEERS: readonly GrantingBox[] = [];
 
-/** Names of headers, and no tokens. */
+/** A dialect with fixed header names and without token accounting. */
 export class TestDialect extends CallerDialect {
   override readonly headers = {
     deadline: 'x-deadline',
@@ -79,7 +79,7 @@
   }
 }
 
-/** A route below a path of its name. */
+/** Creates a route whose path prefix is its name. */
 export function servingRoute(name: string, fields: Partial<Route> = {}): Route {
   return {
     anonymous: true,
@@ -97,11 +97,11 @@
   };
 }
 
-/** A process that plays an upstream. */
+/** An HTTP server that acts as an upstream. */
 export class TestUpstream implements AsyncDisposable {
-  /** Paths of the requests that reached it. */
+  /** Paths of the received requests. */
   readonly seen: string[] = [];
-  /** Answers a request; holds it open for good where it does nothing. */
+  /** Responds to a request. A handler that does nothing keeps it open. */
   answer = (_: IncomingMessage, response: ServerResponse): void => {
     response.end(this.name);
   };
@@ -129,7 +129,7 @@
     return `${HOST}:${port}`;
   }
 
-  /** What it says of itself. */
+  /** The record of this upstream for the pool. */
   record(fields: Partial<UpstreamRecord> = {}): UpstreamRecord {
     return upstreamOf(this.name, {address: this.address, ...fields});
   }
@@ -141,37 +141,37 @@
   }
 }
 
-/** What a caller got. */
-export interface Got {
+/** A response as the caller received it. */
+export interface CallerResponse {
   readonly status: number;
   readonly body: string;
-  /** When to come back, s; undefined where the answer does not say. */
+  /** Value of `Retry-After`, s; undefined without the header. */
   readonly retryAfterS: number | undefined;
-  /** Whether the whole answer came. */
+  /** Whether the response was received completely. */
   readonly whole: boolean;
 }
 
-/** Serves callers as an edge does, without a fleet around it. */
+/** Forwards requests like an edge, without control boxes or peers. */
 export class ServingFixture implements AsyncDisposable {
   readonly log = new KeptDecisionLog();
   readonly metrics = new EdgeMetrics();
   readonly pool: UpstreamPool;
-  /** Bytes of answers that callers have got. */
+  /** Response body bytes received by callers. */
   received = 0;
   private readonly random = new Random(5);
   readonly exposures: Exposures;
-  /** Requests that must not be run; no control box is there to tell. */
-  readonly crashing: CrashingRequests;
+  /** Quarantine of crashing requests, without control boxes. */
+  readonly quarantine: CrashingRequests;
   private readonly limitReports: LimitReports;
   private readonly totals: Totals;
   private readonly agent = new Agent();
   private readonly server: Server;
-  private requests = 0;
+  private requestCount = 0;
 
   private constructor(
     readonly clock: Clock,
     routes: readonly Route[],
-    more: (fixture: ServingFixture) => Partial<ForwardingParts>,
+    getOverrides: (fixture: ServingFixture) => Partial<ForwardingParts>,
   ) {
     const {log, metrics, random} = this;
     this.pool = new UpstreamPool(clock, log);
@@ -182,22 +182,22 @@
       pool: this.pool,
       random,
     });
-    this.crashing = new CrashingRequests({
+    this.quarantine = new CrashingRequests({
       box: SELF.box,
       clock,
       controls: () => [],
-      link: new SilentLink(),
+      link: new UnreachableLink(),
       log,
       metrics,
     });
     this.totals = new Totals(clock, log, () => []);
-    const admission = this.makeAdmission();
+    const admission = this.createAdmission();
     this.limitReports = new LimitReports({
       admission,
       box: SELF.box,
       clock,
       controls: () => [],
-      link: new SilentLink(),
+      link: new UnreachableLink(),
       pool: this.pool,
     });
     const services = [{engine: undefined, maxConnections: 10, name: 's'}];
@@ -221,7 +221,7 @@
         hall: 'a',
         regions: new Regions(),
       }),
-      crashing: this.crashing,
+      crashing: this.quarantine,
       dialect: new TestDialect(),
       engineChoice: choice,
       exposures: this.exposures,
@@ -239,7 +239,7 @@
       retryBudgets: new RetryBudgets({extra: 100, ratio: 0.2}, () => 1),
       returnTimes: new ReturnTimes(clock, random, () => 1),
       totals: this.totals,
-      ...more(this),
+      ...getOverrides(this),
     };
     this.server = createServer((incoming, response) => {
       const names = parts.dialect.headers;
@@ -249,8 +249,8 @@
     });
   }
 
-  /** Permits of the only edge that there is. */
-  private makeAdmission(): UpstreamAdmission {
+  /** Creates permits for a single edge without peers. */
+  private createAdmission(): UpstreamAdmission {
     const {clock, pool} = this;
     const permits = new Permits({
       areTogether: () => true,
@@ -258,7 +258,7 @@
       coldTolerance: {extra: 0, overage: 1},
       learnLimit: () => undefined,
       limitOf: (id) => pool.limitOf(id),
-      link: new SilentLink(),
+      link: new UnreachableLink(),
       peers: () => NO_PEERS,
       self: SELF,
     });
@@ -267,17 +267,19 @@
 
   static async start(
     routes: readonly Route[],
-    more: (fixture: ServingFixture) => Partial<ForwardingParts> = () => ({}),
+    getOverrides: (
+      fixture: ServingFixture,
+    ) => Partial<ForwardingParts> = () => ({}),
     clock: Clock = new SystemClock(),
   ): Promise<ServingFixture> {
-    const fixture = new ServingFixture(clock, routes, more);
+    const fixture = new ServingFixture(clock, routes, getOverrides);
     await new Promise<void>((resolve) =>
       fixture.server.listen(0, HOST, resolve),
     );
     return fixture;
   }
 
-  /** Where it listens, as callers name the host. */
+  /** Listen address, as in the `Host` header of callers. */
   get address(): string {
     return `${HOST}:${this.port}`;
   }
@@ -287,42 +289,42 @@
     return typeof address === 'object' ? (address?.port ?? 0) : 0;
   }
 
-  /** The statuses of so many requests of a route, one after the other. */
+  /** Sends requests to a route one after another and returns their statuses. */
   async askMany(route: string, count: number): Promise<number[]> {
     const statuses: number[] = [];
-    for (let asked = 0; asked < count; asked += 1) {
+    for (let index = 0; index < count; index += 1) {
       statuses.push((await this.ask(route)).status);
     }
     return statuses;
   }
 
-  /** One request of a route. */
-  ask(route: string): Promise<Got> {
+  /** Sends one request to a route. */
+  ask(route: string): Promise<CallerResponse> {
     const {port} = this;
-    this.requests += 1;
-    const headers = {'x-request': `q-${this.requests}`};
+    this.requestCount += 1;
+    const headers = {'x-request': `q-${this.requestCount}`};
     const {agent} = this;
-    const path = `/${route}/${this.requests}`;
+    const path = `/${route}/${this.requestCount}`;
     return new Promise((resolve, reject) => {
-      const sent = request({agent, headers, host: HOST, path, port});
-      sent.on('error', reject);
-      sent.on('response', (answer) => {
+      const outgoing = request({agent, headers, host: HOST, path, port});
+      outgoing.on('error', reject);
+      outgoing.on('response', (response) => {
         const chunks: Buffer[] = [];
-        answer.on('error', () => undefined);
-        answer.on('data', (chunk: Buffer) => {
+        response.on('error', () => undefined);
+        response.on('data', (chunk: Buffer) => {
           this.received += chunk.length;
           chunks.push(chunk);
         });
-        answer.on('close', () =>
+        response.on('close', () =>
           resolve({
             body: Buffer.concat(chunks).toString(),
-            retryAfterS: secondsOf(answer.headers['retry-after']),
-            status: answer.statusCode ?? 0,
-            whole: answer.complete,
+            retryAfterS: secondsOf(response.headers['retry-after']),
+            status: response.statusCode ?? 0,
+            whole: response.complete,
           }),
         );
       });
-      sent.end();
+      outgoing.end();
     });
   }
 
@@ -331,7 +333,7 @@
     this.server.closeAllConnections();
     this.agent.destroy();
     this.pool[Symbol.dispose]();
-    await this.crashing[Symbol.asyncDispose]();
+    await this.quarantine[Symbol.asyncDispose]();
     await this.limitReports[Symbol.asyncDispose]();
     await this.totals[Symbol.asyncDispose]();
     await closed;
@@ -342,9 +344,9 @@
   return value === undefined ? undefined : Number(value);
 }
 
-/** Waits until something is so. */
-export async function until(isSo: () => boolean): Promise<void> {
-  while (!isSo()) {
+/** Polls until a condition holds. */
+export async function until(isTrue: () => boolean): Promise<void> {
+  while (!isTrue()) {
     await new Promise((resolve) => setTimeout(resolve, 2));
   }
 }
--- a/packages/puffinturn-edge/src/connections/AnswerExpectations.ts
+++ b/packages/puffinturn-edge/src/connections/AnswerExpectations.ts
@@ -6,131 +6,132 @@
  */
 
 /**
- * How long the stable version of a service takes for the requests of each route, so
- * that a slower version shows whatever the route asks for. The time until the first
- * byte is measured by what must be read before it, the rest by the events that come.
+ * Latency baselines of the stable version of a service by route, to detect a slower
+ * version. Time to first byte is normalized by prompt length, the rest by event count.
  */
 import {LRUCache} from 'lru-cache';
 
-/** What one whole answer took. */
+/** Latency of one complete response. */
 export interface AnswerSample {
-  /** Prompt tokens to read before the first byte; 0 for a plain request. */
+  /** Prompt tokens to process before the first byte; 0 without an engine. */
   readonly tokens: number;
-  /** Time until the head of the answer, ms. */
+  /** Time to the head of the response, ms. */
   readonly firstMs: number;
-  /** Time until its end, ms. */
+  /** Time to the end of the response, ms. */
   readonly wholeMs: number;
   readonly events: number;
 }
 
-/** Routes remembered for one service; more than a service has in use. */
+/** Maximum number of routes with a baseline, per service. */
 const MAX_ROUTES = 512;
 
-/** Answers of a route before anything is expected of it. */
-const LEAST_ANSWERS = 5;
+/** Samples of a route before it has a baseline. */
+const MIN_SAMPLES = 5;
 
-/** Weight of one answer once there are many: the last 30 or so count. */
-const WEIGHT = 0.03;
+/** Smallest weight of a new sample in the moving average. */
+const MIN_SAMPLE_WEIGHT = 0.03;
 
-/** Added to each time, ms: below this a difference is chance. */
-const GRAIN_MS = 5;
+/** Added to each time, ms, so that small differences have little effect. */
+const NOISE_FLOOR_MS = 5;
 
-/** Cost of a request apart from its prompt, ms; typical of an engine. */
-const BASE_MS = 40;
+/** Fixed cost of a request without its prompt, ms; typical of an engine. */
+const BASE_COST_MS = 40;
 
-/** How fast a prompt is read, tokens a ms; typical of an engine, and it cancels out for prompts alike. */
-const TOKENS_PER_MS = 45;
+/** Typical prompt processing speed of an engine, tokens per ms. */
+const PREFILL_TOKENS_PER_MS = 45;
 
-/** Fewer events than this say nothing of the time between them. */
-const LEAST_EVENTS = 4;
+/** Minimum number of events to measure the time per event. */
+const MIN_STREAM_EVENTS = 4;
 
-/** Exponentially weighted geometric mean: a few very long times move it little. */
+/** Exponentially weighted geometric mean; robust against a few outliers. */
 class GeometricMean {
-  private mean = 0;
+  private logMean = 0;
   private count = 0;
 
-  /** The middle; undefined before there were enough. */
+  /** Undefined before MIN_SAMPLES samples. */
   get value(): number | undefined {
-    return this.count < LEAST_ANSWERS ? undefined : Math.exp(this.mean);
+    return this.count < MIN_SAMPLES ? undefined : Math.exp(this.logMean);
   }
 
   add(measured: number): void {
     this.count += 1;
-    const weight = Math.max(WEIGHT, 1 / this.count);
-    this.mean += (Math.log(measured) - this.mean) * weight;
+    const weight = Math.max(MIN_SAMPLE_WEIGHT, 1 / this.count);
+    this.logMean += (Math.log(measured) - this.logMean) * weight;
   }
 }
 
-/** What is expected of one route. */
-interface RouteTimes {
-  /** Time until the first byte over what the prompt costs. */
-  readonly first: GeometricMean;
-  /** Time of a whole answer of few events over what the prompt costs. */
-  readonly whole: GeometricMean;
-  /** Time for each event after the first byte. */
-  readonly event: GeometricMean;
+/** Baselines of one route. */
+interface RouteBaselines {
+  /** Time to first byte, relative to the cost of the prompt. */
+  readonly firstByte: GeometricMean;
+  /** Total time of a response with few events, relative to the cost of the prompt. */
+  readonly total: GeometricMean;
+  /** Time per event after the first byte, ms. */
+  readonly perEvent: GeometricMean;
 }
 
-/** See the module comment. */
+/** Compares response times with the baseline of their route. */
 export class AnswerExpectations {
-  private readonly routes = new LRUCache<string, RouteTimes>({max: MAX_ROUTES});
+  private readonly routes = new LRUCache<string, RouteBaselines>({
+    max: MAX_ROUTES,
+  });
 
-  /** Takes an answer of the stable version in. */
+  /** Adds a response of the stable version to the baseline. */
   learn(route: string, sample: AnswerSample): void {
-    const usual = this.usualOf(route);
-    if (sample.events < LEAST_EVENTS) {
-      usual.whole.add(wholeOf(sample));
+    const baselines = this.getBaselines(route);
+    if (sample.events < MIN_STREAM_EVENTS) {
+      baselines.total.add(normalizedTotal(sample));
     } else {
-      usual.first.add(firstOf(sample));
-      usual.event.add(eventOf(sample));
+      baselines.firstByte.add(normalizedFirstByte(sample));
+      baselines.perEvent.add(msPerEvent(sample));
     }
   }
 
-  /** An answer's time over the expected one; undefined where nothing is expected. */
+  /** Latency relative to the baseline (1 = equal); undefined without a baseline. */
   ratio(route: string, sample: AnswerSample): number | undefined {
-    const {event, first, whole} = this.usualOf(route);
-    if (sample.events < LEAST_EVENTS) {
-      return over(wholeOf(sample), whole.value);
+    const {perEvent, firstByte, total} = this.getBaselines(route);
+    if (sample.events < MIN_STREAM_EVENTS) {
+      return ratioTo(normalizedTotal(sample), total.value);
     }
-    const firstRatio = over(firstOf(sample), first.value);
-    const eventRatio = over(eventOf(sample), event.value);
+    const firstRatio = ratioTo(normalizedFirstByte(sample), firstByte.value);
+    const eventRatio = ratioTo(msPerEvent(sample), perEvent.value);
     return firstRatio === undefined || eventRatio === undefined
       ? undefined
       : Math.max(firstRatio, eventRatio);
   }
 
-  private usualOf(route: string): RouteTimes {
-    const known = this.routes.get(route);
-    if (known !== undefined) {
-      return known;
+  private getBaselines(route: string): RouteBaselines {
+    const existing = this.routes.get(route);
+    if (existing !== undefined) {
+      return existing;
     }
-    const usual = {
-      event: new GeometricMean(),
-      first: new GeometricMean(),
-      whole: new GeometricMean(),
+    const created = {
+      firstByte: new GeometricMean(),
+      perEvent: new GeometricMean(),
+      total: new GeometricMean(),
     };
-    this.routes.set(route, usual);
-    return usual;
+    this.routes.set(route, created);
+    return created;
   }
 }
 
-function firstOf({firstMs, tokens}: AnswerSample): number {
-  return (firstMs + GRAIN_MS) / costMs(tokens);
+function normalizedFirstByte({firstMs, tokens}: AnswerSample): number {
+  return (firstMs + NOISE_FLOOR_MS) / promptCostMs(tokens);
 }
 
-function wholeOf({tokens, wholeMs}: AnswerSample): number {
-  return (wholeMs + GRAIN_MS) / costMs(tokens);
+function normalizedTotal({tokens, wholeMs}: AnswerSample): number {
+  return (wholeMs + NOISE_FLOOR_MS) / promptCostMs(tokens);
 }
 
-function eventOf({events, firstMs, wholeMs}: AnswerSample): number {
-  return (wholeMs - firstMs + GRAIN_MS) / events;
+function msPerEvent({events, firstMs, wholeMs}: AnswerSample): number {
+  return (wholeMs - firstMs + NOISE_FLOOR_MS) / events;
 }
 
-function costMs(tokens: number): number {
-  return BASE_MS + tokens / TOKENS_PER_MS;
+function promptCostMs(tokens: number): number {
+  return BASE_COST_MS + tokens / PREFILL_TOKENS_PER_MS;
 }
 
-function over(
+function ratioTo(
   measured: number,
   expected: number | undefined,
 ): number | undefined {
--- a/packages/puffinturn-edge/src/connections/AnswerParser.ts
+++ b/packages/puffinturn-edge/src/connections/AnswerParser.ts
@@ -6,36 +6,35 @@
  */
 
 /**
- * Reads the answers on one connection, with the parser that Node's own HTTP
- * client uses. Taken without that client, whose streams and agents cost several
- * times what the reading costs.
+ * Parses HTTP responses with Node's internal parser. Using it without Node's HTTP
+ * client avoids the CPU cost of the client's streams and agents.
  */
-// Node exports its parser here for its own modules and documents it nowhere.
+// An internal, undocumented module of Node.
 // @ts-expect-error no types exist
 import {HTTPParser} from 'node:_http_common';
 
-/** The status line and headers of an answer. */
-export interface AnswerHead {
+/** Status and headers of a response. */
+export interface ResponseHead {
   readonly statusCode: number;
-  /** Names and values in turn, as they came. */
+  /** Alternating names and values, as received. */
   readonly rawHeaders: readonly string[];
-  /** Whether the connection may serve another request after this answer. */
+  /** Whether the connection can be reused after this response. */
   readonly keepAlive: boolean;
 }
 
-/** What is told of the bytes that are read, in their order. */
-export interface AnswerEvents {
-  /** The first byte of an answer. */
-  begun(): void;
-  /** True for an answer that has no body whatever its headers say. */
-  headRead(head: AnswerHead): boolean;
-  /** A part of the body, which nobody else writes to. */
-  bodyRead(chunk: Buffer): void;
-  /** The answer is whole. */
-  completed(): void;
+/** Parser callbacks, in the order of the bytes. */
+export interface ResponseEvents {
+  /** Called at the first byte of a response. */
+  onMessageBegin(): void;
+  /** Called for the head of a response. Returns true if no body follows, as for HEAD. */
+  onHeaders(head: ResponseHead): boolean;
+  /** Called for each part of the body. The chunk is a copy that the callee may keep. */
+  onBody(chunk: Buffer): void;
+  /** Called when the response is complete. */
+  onMessageComplete(): void;
 }
 
-/** Node's parser, as far as it is used here. */
+/** The members of Node's parser that are used here. */
 interface NodeParser {
   [callback: number]: unknown;
   initialize(kind: number, resource: object): void;
@@ -44,29 +43,29 @@
   close(): void;
 }
 
-/** The connection goes on with another protocol: no other answer follows. */
+/** The only 1xx status that is final: the connection changes to another protocol. */
 const SWITCHING_PROTOCOLS = 101;
 
-/** Whether an answer is followed by the one that counts. */
+/** Whether a final response follows this one. */
 function isInterim(statusCode: number): boolean {
   return statusCode < 200 && statusCode !== SWITCHING_PROTOCOLS;
 }
 
-/** What Node's parser takes for "this answer has no body". */
+/** Return values of kOnHeadersComplete: whether the parser skips the body. */
 const SKIP_BODY = 1;
 const READ_BODY = 0;
 
-/** See the module comment. Disposing it gives the parser's memory back. */
-export class AnswerParser implements Disposable {
+/** Parses the responses on one connection. Disposing it frees the native parser. */
+export class ResponseParser implements Disposable {
   private readonly parser: NodeParser = new HTTPParser();
   private headers: string[] = [];
-  private interim = false;
-  private closed = false;
+  private isInterimResponse = false;
+  private isClosed = false;
 
-  constructor(private readonly events: AnswerEvents) {
+  constructor(private readonly handler: ResponseEvents) {
     const {parser} = this;
     parser.initialize(HTTPParser.RESPONSE, {});
-    parser[HTTPParser.kOnMessageBegin] = () => events.begun();
+    parser[HTTPParser.kOnMessageBegin] = () => handler.onMessageBegin();
     parser[HTTPParser.kOnHeaders] = (headers: string[]) =>
       this.addHeaders(headers);
     parser[HTTPParser.kOnHeadersComplete] = (
@@ -79,53 +78,57 @@
       _message: string,
       _upgrade: boolean,
       keepAlive: boolean,
-    ) => this.headRead(headers, statusCode, keepAlive);
-    parser[HTTPParser.kOnBody] = (chunk: Buffer) => events.bodyRead(chunk);
-    parser[HTTPParser.kOnMessageComplete] = () => this.completed();
+    ) => this.handleHeaders(headers, statusCode, keepAlive);
+    parser[HTTPParser.kOnBody] = (chunk: Buffer) => handler.onBody(chunk);
+    parser[HTTPParser.kOnMessageComplete] = () => this.handleMessageComplete();
   }
 
-  /** Reads bytes; false where they are not HTTP. */
-  read(bytes: Buffer): boolean {
+  /** Parses bytes; false if they are not valid HTTP. */
+  parse(bytes: Buffer): boolean {
     return typeof this.parser.execute(bytes) === 'number';
   }
 
-  /** No more bytes come, which completes an answer without a length. */
-  end(): boolean {
+  /** Signals the end of input, which completes a response without a length. */
+  finish(): boolean {
     return this.parser.finish() === undefined;
   }
 
   [Symbol.dispose](): void {
-    if (!this.closed) {
-      this.closed = true;
-      // Not at once: it may be the parser that calls.
+    if (!this.isClosed) {
+      this.isClosed = true;
+      // Deferred, as this may run in a callback of the parser.
       setImmediate(() => this.parser.close());
     }
   }
 
-  /** Headers beyond the first 32, and trailers. */
+  /** Called for headers beyond the first 32, and for trailers. */
   private addHeaders(headers: string[]): void {
     this.headers.push(...headers);
   }
 
-  private headRead(
+  private handleHeaders(
     headers: string[] | undefined,
     statusCode: number,
     keepAlive: boolean,
   ): number {
     const rawHeaders = headers ?? this.headers;
     this.headers = [];
-    this.interim = isInterim(statusCode);
-    if (this.interim) {
+    this.isInterimResponse = isInterim(statusCode);
+    if (this.isInterimResponse) {
       return SKIP_BODY;
     }
-    const hasNoBody = this.events.headRead({keepAlive, rawHeaders, statusCode});
+    const hasNoBody = this.handler.onHeaders({
+      keepAlive,
+      rawHeaders,
+      statusCode,
+    });
     return hasNoBody ? SKIP_BODY : READ_BODY;
   }
 
-  private completed(): void {
+  private handleMessageComplete(): void {
     this.headers = [];
-    if (!this.interim) {
-      this.events.completed();
+    if (!this.isInterimResponse) {
+      this.handler.onMessageComplete();
     }
   }
 }
--- a/packages/puffinturn-edge/src/connections/ConnectionPool.ts
+++ b/packages/puffinturn-edge/src/connections/ConnectionPool.ts
@@ -6,133 +6,147 @@
  */
 
 /**
- * The connections to one upstream. Idle ones are used again, the one that was
- * used last first, so that the others can end.
+ * Connection pool of one upstream. The most recently used idle connection is reused
+ * first, so that surplus connections expire.
  */
 import type {Clock} from 'shared';
 
 import {IDLE_CONNECTION_MS} from '../EdgeConstants';
-import type {ConnectionKeeper} from './HttpConnection';
+import type {ConnectionOwner} from './HttpConnection';
 import {HttpConnection} from './HttpConnection';
 
-/** What is needed to connect, and how many connections stay. */
+/** Address, clock and size limit of a pool. */
 export interface ConnectionPoolParts {
   readonly host: string;
   readonly port: number;
   readonly clock: Clock;
-  /** Idle connections at most. */
+  /** Maximum number of idle connections. */
   readonly maxIdle: number;
 }
 
-/** A connection that waits for a request. */
+/** A connection without an open request. */
 interface IdleConnection {
   readonly connection: HttpConnection;
-  /** When it ends, monotonic ms. */
-  readonly endsAt: number;
+  /** When the connection is closed, monotonic ms. */
+  readonly expiresAt: number;
 }
 
 /**
- * Time by which an idle connection ends before the upstream ends it, ms: a request
- * that crosses the upstream's close may have run.
+ * Idle connections are closed this long before the upstream's keep-alive timeout, ms.
+ * A request sent while the upstream closes may have run, so a retry would not be safe.
  */
-const END_BEFORE_MS = 200;
+const KEEP_ALIVE_MARGIN_MS = 200;
 
-/** How often idle connections are looked through, ms. */
-const SWEEP_MS = 1_000;
+/** Interval for closing expired idle connections, ms. */
+const SWEEP_INTERVAL_MS = 1_000;
 
-/** See the module comment. Disposing it ends all connections at once. */
-export class ConnectionPool implements ConnectionKeeper, Disposable {
-  private readonly all = new Set<HttpConnection>();
+/** Keeps idle connections for reuse. Disposing it closes all connections. */
+export class ConnectionPool implements ConnectionOwner, Disposable {
+  private readonly connections = new Set<HttpConnection>();
   private idle: IdleConnection[] = [];
-  private timer: NodeJS.Timeout | undefined;
-  private retired = false;
+  private sweepTimer: NodeJS.Timeout | undefined;
+  private isDraining = false;
 
   constructor(private readonly parts: ConnectionPoolParts) {}
 
-  /** A connection for one request, an idle one if there is any. */
-  take(): HttpConnection {
+  /** Returns a connection for one request: an idle one if possible, or a new one. */
+  acquire(): HttpConnection {
     const now = this.parts.clock.now();
     for (;;) {
-      const last = this.idle.pop();
-      if (last === undefined) {
-        return this.open();
+      const newest = this.idle.pop();
+      if (newest === undefined) {
+        return this.createConnection();
       }
-      if (last.endsAt > now && last.connection.usable) {
-        return last.connection;
+      if (newest.expiresAt > now && newest.connection.isUsable) {
+        return newest.connection;
       }
-      last.connection[Symbol.dispose]();
+      newest.connection[Symbol.dispose]();
     }
   }
 
-  takeBack(connection: HttpConnection, idleMs: number | undefined): boolean {
-    const kept = Math.min(
+  release(
+    connection: HttpConnection,
+    keepAliveMs: number | undefined,
+  ): boolean {
+    const idleLimitMs = Math.min(
       IDLE_CONNECTION_MS,
-      idleMs === undefined ? Infinity : idleMs - END_BEFORE_MS,
+      keepAliveMs === undefined ? Infinity : keepAliveMs - KEEP_ALIVE_MARGIN_MS,
     );
-    if (this.retired || this.idle.length >= this.parts.maxIdle || kept <= 0) {
+    if (
+      this.isDraining ||
+      this.idle.length >= this.parts.maxIdle ||
+      idleLimitMs <= 0
+    ) {
       return false;
     }
-    const endsAt = this.parts.clock.now() + kept;
-    this.idle.push({connection, endsAt});
-    this.sweepLater();
+    const expiresAt = this.parts.clock.now() + idleLimitMs;
+    this.idle.push({connection, expiresAt});
+    this.scheduleSweep();
     return true;
   }
 
-  forget(connection: HttpConnection): void {
-    this.all.delete(connection);
-    const at = this.idle.findIndex((entry) => entry.connection === connection);
-    if (at >= 0) {
-      this.idle.splice(at, 1);
+  remove(connection: HttpConnection): void {
+    this.connections.delete(connection);
+    const index = this.idle.findIndex(
+      (entry) => entry.connection === connection,
+    );
+    if (index >= 0) {
+      this.idle.splice(index, 1);
     }
   }
 
-  /** Ends idle connections; others are opened when they are needed. */
+  /** Closes all idle connections. New ones are opened on demand. */
   dropIdle(): void {
-    this.endIdle(() => true);
+    this.closeIdleWhere(() => true);
   }
 
-  /** Ends idle connections for good; open requests go on to their end. */
+  /** Closes idle connections and keeps no more; open requests can finish. */
   retire(): void {
-    this.retired = true;
+    this.isDraining = true;
     this.dropIdle();
   }
 
   [Symbol.dispose](): void {
     this.retire();
-    for (const connection of this.all) {
+    for (const connection of this.connections) {
       connection[Symbol.dispose]();
     }
   }
 
-  private open(): HttpConnection {
+  private createConnection(): HttpConnection {
     const {host, port} = this.parts;
     const connection = new HttpConnection(host, port, this);
-    this.all.add(connection);
+    this.connections.add(connection);
     return connection;
   }
 
-  private sweep(): void {
-    this.timer = undefined;
+  private closeExpired(): void {
+    this.sweepTimer = undefined;
     const now = this.parts.clock.now();
-    this.endIdle(({endsAt}) => endsAt <= now);
+    this.closeIdleWhere(({expiresAt}) => expiresAt <= now);
     if (this.idle.length > 0) {
-      this.sweepLater();
+      this.scheduleSweep();
     }
   }
 
-  private sweepLater(): void {
-    this.timer ??= setTimeout(() => this.sweep(), SWEEP_MS).unref();
+  private scheduleSweep(): void {
+    this.sweepTimer ??= setTimeout(
+      () => this.closeExpired(),
+      SWEEP_INTERVAL_MS,
+    ).unref();
   }
 
-  private endIdle(isDue: (entry: IdleConnection) => boolean): void {
-    const due = this.idle.filter(isDue);
-    this.idle = this.idle.filter((entry) => !isDue(entry));
-    for (const {connection} of due) {
+  private closeIdleWhere(
+    shouldClose: (entry: IdleConnection) => boolean,
+  ): void {
+    const closing = this.idle.filter(shouldClose);
+    this.idle = this.idle.filter((entry) => !shouldClose(entry));
+    for (const {connection} of closing) {
       connection[Symbol.dispose]();
     }
     if (this.idle.length === 0) {
-      clearTimeout(this.timer);
-      this.timer = undefined;
+      clearTimeout(this.sweepTimer);
+      this.sweepTimer = undefined;
     }
   }
 }
--- a/packages/puffinturn-edge/src/connections/EventStream.ts
+++ b/packages/puffinturn-edge/src/connections/EventStream.ts
@@ -6,72 +6,77 @@
  */
 
 /**
- * Cuts a stream of events after whole events, so that a stream that breaks in
- * the middle of one can go on at another upstream. Bytes pass unchanged.
+ * Splits a stream of server-sent events at event boundaries, so that a broken stream can
+ * be resumed at another upstream. Bytes are not modified.
  */
 
 const LINE_FEED = 0x0a;
 const ID_FIELD = Buffer.from('id:');
 const EMPTY = Buffer.alloc(0);
 
-/** Bytes of whole events, and how many they are. */
+/** Bytes of complete events, and their number. */
 export interface EventBatch {
   readonly bytes: Buffer;
   readonly events: number;
 }
 
-/** The state of one stream. */
+/** Splits one stream into complete events. */
 export class EventCutter {
-  /** The id of the last whole event; undefined before the first with one. */
+  /** ID of the last complete event; undefined before the first event with an ID. */
   lastId: string | undefined;
-  private rest: Buffer = EMPTY;
-  private pendingId: string | undefined;
+  private remainder: Buffer = EMPTY;
+  private pendingEventId: string | undefined;
 
-  /** Adds bytes; returns the whole events that are now there. */
+  /** Adds bytes and returns the events that they complete. */
   push(chunk: Buffer): EventBatch {
-    const all =
-      this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
-    let start = 0;
-    let events = 0;
+    const buffer =
+      this.remainder.length === 0
+        ? chunk
+        : Buffer.concat([this.remainder, chunk]);
+    let batchEnd = 0;
+    let eventCount = 0;
     let lineStart = 0;
     for (
-      let at = all.indexOf(LINE_FEED);
-      at >= 0;
-      at = all.indexOf(LINE_FEED, at + 1)
+      let lineEnd = buffer.indexOf(LINE_FEED);
+      lineEnd >= 0;
+      lineEnd = buffer.indexOf(LINE_FEED, lineEnd + 1)
     ) {
-      const length = at - lineStart;
-      const blank = length === 0 || (length === 1 && all[lineStart] === 0x0d);
-      if (blank) {
-        events += 1;
-        start = at + 1;
-        this.lastId = this.pendingId ?? this.lastId;
+      const lineLength = lineEnd - lineStart;
+      const isBlank =
+        lineLength === 0 || (lineLength === 1 && buffer[lineStart] === 0x0d);
+      if (isBlank) {
+        eventCount += 1;
+        batchEnd = lineEnd + 1;
+        this.lastId = this.pendingEventId ?? this.lastId;
       } else {
-        this.noteId(all, lineStart, at);
+        this.parseIdField(buffer, lineStart, lineEnd);
       }
-      lineStart = at + 1;
+      lineStart = lineEnd + 1;
     }
-    this.rest = start === all.length ? EMPTY : all.subarray(start);
-    const bytes = start === all.length ? all : all.subarray(0, start);
-    return {bytes, events};
+    this.remainder =
+      batchEnd === buffer.length ? EMPTY : buffer.subarray(batchEnd);
+    const bytes =
+      batchEnd === buffer.length ? buffer : buffer.subarray(0, batchEnd);
+    return {bytes, events: eventCount};
   }
 
-  /** Bytes after the last whole event. */
+  /** Removes and returns the bytes after the last complete event. */
   takeRest(): Buffer {
-    const {rest} = this;
-    this.rest = EMPTY;
-    return rest;
+    const {remainder} = this;
+    this.remainder = EMPTY;
+    return remainder;
   }
 
-  private noteId(all: Buffer, from: number, to: number): void {
-    // Compared byte by byte, as a view of each line costs more than the rest.
+  private parseIdField(buffer: Buffer, start: number, end: number): void {
+    // Compares bytes directly to avoid allocating a view of each line.
     const isId =
-      to - from >= ID_FIELD.length &&
-      all[from] === ID_FIELD[0] &&
-      all[from + 1] === ID_FIELD[1] &&
-      all[from + 2] === ID_FIELD[2];
+      end - start >= ID_FIELD.length &&
+      buffer[start] === ID_FIELD[0] &&
+      buffer[start + 1] === ID_FIELD[1] &&
+      buffer[start + 2] === ID_FIELD[2];
     if (isId) {
-      this.pendingId = all
-        .toString('latin1', from + ID_FIELD.length, to)
+      this.pendingEventId = buffer
+        .toString('latin1', start + ID_FIELD.length, end)
         .trim();
     }
   }
--- a/packages/puffinturn-edge/src/connections/Exchange.ts
+++ b/packages/puffinturn-edge/src/connections/Exchange.ts
@@ -6,128 +6,128 @@
  */
 
 /**
- * One attempt at one upstream, up to the head of its answer. What can't be the
- * upstream's answer to this very request is never passed on.
+ * Sends a request to an upstream and validates the head of the response. A response that
+ * does not belong to the request is discarded.
  */
 import type {HeaderNames} from '../callers/CallerDialect';
 import {requestHead} from '../callers/RequestHead';
 import {CONNECT_MS, MISDIRECTED, REJECTION_BODY_MS} from '../EdgeConstants';
 import type {EdgeUpstream} from '../upstreams/EdgeUpstream';
-import type {ConnectionUser, HttpConnection} from './HttpConnection';
+import type {HttpConnection, ResponseListener} from './HttpConnection';
 import type {UpstreamAnswer} from './UpstreamAnswer';
 
-/** The head of the upstream's own answer is there. */
-export interface AnswerOutcome {
+/** The head of a valid response has arrived. */
+export interface ResponseOutcome {
   readonly kind: 'answer';
   readonly answer: UpstreamAnswer;
 }
 
-/** How an attempt went. */
+/** Outcome of an attempt. */
 export type ExchangeOutcome =
-  | AnswerOutcome
-  /** The upstream said that it did not run the request. */
+  | ResponseOutcome
+  /** The response says that the upstream did not run the request. */
   | {readonly kind: 'rejected'; readonly answer: UpstreamAnswer}
-  /** No connection came up: nothing was sent. */
+  /** The connection failed, so nothing was sent. */
   | {readonly kind: 'unsent'; readonly cause: string}
-  /** Sent, and nothing usable came back: the request may have run. */
+  /** The request was sent, but no valid response arrived: it may have run. */
   | {readonly kind: 'broken'; readonly cause: string};
 
-/** A header can't be sent on to any upstream: the fault is the request's. */
+/** Cause for a header that can't be sent to any upstream: an error of the request. */
 export const INVALID_HEADER = 'invalid-header';
 
-/** What is sent. */
-export interface ExchangeParts {
+/** The request to send, and its upstream. */
+export interface ExchangeParams {
   readonly upstream: EdgeUpstream;
-  readonly names: HeaderNames;
+  readonly headerNames: HeaderNames;
   readonly requestId: string;
   readonly method: string;
   readonly path: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly headers: readonly string[];
   readonly body: Buffer;
 }
 
-/** See the module comment. */
-export class Exchange implements ConnectionUser {
-  /** Resolves once it is known how the attempt went. */
+/** One request and the head of its response. */
+export class Exchange implements ResponseListener {
+  /** Resolves at the head of the response, or when the attempt fails. */
   readonly outcome: Promise<ExchangeOutcome>;
   private connection: HttpConnection | undefined;
   private isConnected = false;
-  private aborted: string | undefined;
-  private answer: UpstreamAnswer | undefined;
+  private abortCause: string | undefined;
+  private response: UpstreamAnswer | undefined;
   private timer: NodeJS.Timeout | undefined;
   private resolve!: (outcome: ExchangeOutcome) => void;
 
-  constructor(private readonly parts: ExchangeParts) {
-    const {body, headers, method, path, upstream} = parts;
+  constructor(private readonly params: ExchangeParams) {
+    const {body, headers, method, path, upstream} = params;
     this.outcome = new Promise((resolve) => (this.resolve = resolve));
     const head = requestHead(method, path, headers);
     if (head === undefined) {
       this.resolve({cause: INVALID_HEADER, kind: 'broken'});
       return;
     }
-    this.connection = upstream.connections.take();
+    this.connection = upstream.connections.acquire();
     this.connection.send({body, head, method}, this);
     if (!this.isConnected) {
       this.timer = setTimeout(() => this.abort('connect-timeout'), CONNECT_MS);
     }
   }
 
-  /** Ends the attempt, and its connection unless the answer is whole. */
+  /** Aborts the attempt. Closes the connection unless the response is complete. */
   abort(cause: string): void {
-    this.aborted = cause;
-    if (this.answer?.ended !== true) {
+    this.abortCause = cause;
+    if (this.response?.hasEnded !== true) {
       this.connection?.[Symbol.dispose]();
     }
   }
 
-  connected(): void {
+  onConnected(): void {
     this.isConnected = true;
     clearTimeout(this.timer);
   }
 
-  answered(answer: UpstreamAnswer): void {
-    this.answer = answer;
-    this.resolve(this.judge(answer));
+  onResponse(response: UpstreamAnswer): void {
+    this.response = response;
+    this.resolve(this.classifyResponse(response));
   }
 
-  failed(cause: string): void {
+  onFailure(cause: string): void {
     clearTimeout(this.timer);
     this.resolve({
-      cause: this.aborted ?? cause,
+      cause: this.abortCause ?? cause,
       kind: this.isConnected ? 'broken' : 'unsent',
     });
   }
 
-  private judge(answer: UpstreamAnswer): ExchangeOutcome {
-    const {names, requestId} = this.parts;
-    const {headers, statusCode: status} = answer;
+  private classifyResponse(response: UpstreamAnswer): ExchangeOutcome {
+    const {headerNames, requestId} = this.params;
+    const {headers, statusCode: status} = response;
     if (status < 200) {
-      return this.spoiled('no-final-answer');
+      return this.discardInvalidResponse('no-final-answer');
     }
-    const id = headers[names.requestId];
-    if (id !== undefined && id !== requestId) {
-      return this.spoiled('answer-of-another-request');
+    const responseRequestId = headers[headerNames.requestId];
+    if (responseRequestId !== undefined && responseRequestId !== requestId) {
+      return this.discardInvalidResponse('answer-of-another-request');
     }
-    if (headers[names.notRun] !== undefined || status === MISDIRECTED) {
-      answer.drop();
+    if (headers[headerNames.notRun] !== undefined || status === MISDIRECTED) {
+      response.drop();
       setTimeout(() => this.abort('slow-rejection'), REJECTION_BODY_MS).unref();
-      return {answer, kind: 'rejected'};
+      return {answer: response, kind: 'rejected'};
     }
     if (headers['content-encoding'] !== undefined) {
-      return this.spoiled('encoded-answer');
+      return this.discardInvalidResponse('encoded-answer');
     }
-    const success = status >= 200 && status < 300;
-    if (success && headers[names.seal] === undefined) {
-      return this.spoiled('no-seal');
+    const isSuccess = status >= 200 && status < 300;
+    if (isSuccess && headers[headerNames.seal] === undefined) {
+      return this.discardInvalidResponse('no-seal');
     }
-    if (success && id === undefined) {
-      return this.spoiled('no-id');
+    if (isSuccess && responseRequestId === undefined) {
+      return this.discardInvalidResponse('no-id');
     }
-    return {answer, kind: 'answer'};
+    return {answer: response, kind: 'answer'};
   }
 
-  private spoiled(cause: string): ExchangeOutcome {
+  private discardInvalidResponse(cause: string): ExchangeOutcome {
     this.connection?.[Symbol.dispose]();
     return {cause, kind: 'broken'};
   }
--- a/packages/puffinturn-edge/src/connections/HttpConnection.ts
+++ b/packages/puffinturn-edge/src/connections/HttpConnection.ts
@@ -6,77 +6,80 @@
  */
 
 /**
- * One connection to an upstream, for one request at a time. Bytes that come while
- * no request is open, or after a whole answer, belong to nobody: they end it.
+ * HTTP/1.1 connection to an upstream, for one request at a time. Bytes that arrive after
+ * a complete response or without an open request close the connection, so that they are
+ * not taken for the next response.
  */
 import type {Socket} from 'node:net';
 import {connect} from 'node:net';
 
-import type {AnswerEvents, AnswerHead} from './AnswerParser';
-import {AnswerParser} from './AnswerParser';
-import type {AnswerSource} from './UpstreamAnswer';
+import type {ResponseEvents, ResponseHead} from './AnswerParser';
+import {ResponseParser} from './AnswerParser';
+import type {ResponseSource} from './UpstreamAnswer';
 import {UpstreamAnswer} from './UpstreamAnswer';
-import type {UpstreamConnection} from './UpstreamConnection';
-import {connectionOf} from './UpstreamConnection';
+import type {ConnectionState} from './UpstreamConnection';
+import {getConnectionState} from './UpstreamConnection';
 
-/** What is sent in one go. */
+/** A serialized request. */
 export interface OutgoingRequest {
   readonly method: string;
-  /** Request line and headers with the empty line behind them. */
+  /** Request line and headers, including the final empty line. */
   readonly head: string;
   readonly body: Buffer;
 }
 
-/** Whoever has sent a request on a connection. */
-export interface ConnectionUser {
-  /** The connection is up: from now on the request may arrive. */
-  connected(): void;
-  /** The head of an answer has come. */
-  answered(answer: UpstreamAnswer): void;
-  /** The connection has ended before any head. */
-  failed(cause: string): void;
+/** Callbacks of the sender of a request. */
+export interface ResponseListener {
+  /** Called when the connection is established: the request may reach the upstream. */
+  onConnected(): void;
+  /** Called when the head of a response arrives. */
+  onResponse(response: UpstreamAnswer): void;
+  /** Called when the connection ends before the head of a response. */
+  onFailure(cause: string): void;
 }
 
-/** Whoever keeps a connection between requests. */
-export interface ConnectionKeeper {
+/** Keeps connections between requests. */
+export interface ConnectionOwner {
   /**
-   * Takes a connection back; `idleMs` is how long the upstream says that it keeps
-   * it open, undefined where it does not say. False where it is not wanted.
+   * Offers an idle connection for reuse. Returns false if it is not kept. `keepAliveMs`
+   * is the timeout in the upstream's `Keep-Alive` header, if any.
    */
-  takeBack(connection: HttpConnection, idleMs: number | undefined): boolean;
-  /** The connection has ended. */
-  forget(connection: HttpConnection): void;
+  release(connection: HttpConnection, keepAliveMs: number | undefined): boolean;
+  /** Called when the connection is closed. */
+  remove(connection: HttpConnection): void;
 }
 
-/** Bytes that are read at a time from any connection. */
-const READ_BYTES = 64 * 1024;
+/** Maximum number of bytes per read. */
+const READ_BUFFER_BYTES = 64 * 1024;
 
 /**
- * What was read last, for all connections: each read is parsed before the next
- * one, and the parser copies what it hands on. Saves an allocation a read.
+ * Read buffer of all connections, to avoid an allocation per read. Each read is parsed
+ * before the next one, and the parser copies the bytes that it passes on.
  */
-const readBuffer = Buffer.allocUnsafeSlow(READ_BYTES);
+const readBuffer = Buffer.allocUnsafeSlow(READ_BUFFER_BYTES);
 
-/** See the module comment. Disposing it ends it at once. */
-export class HttpConnection implements AnswerEvents, AnswerSource, Disposable {
+/** A reusable connection. Disposing it closes the socket immediately. */
+export class HttpConnection
+  implements ResponseEvents, ResponseSource, Disposable
+{
   readonly socket: Socket;
-  private readonly state: UpstreamConnection;
-  private readonly parser = new AnswerParser(this);
-  private user: ConnectionUser | undefined;
+  private readonly connectionState: ConnectionState;
+  private readonly parser = new ResponseParser(this);
+  private listener: ResponseListener | undefined;
   private method = '';
-  private answer: UpstreamAnswer | undefined;
-  private idleMs: number | undefined;
-  /** Whether the open answer is whole. */
-  private complete = false;
-  /** Whether it may serve no request after this one. */
-  private last = false;
-  private isUp = false;
-  private cause = 'closed';
+  private response: UpstreamAnswer | undefined;
+  private keepAliveMs: number | undefined;
+  /** Whether the current response is complete. */
+  private isComplete = false;
+  /** Whether the connection can't be reused after the current request. */
+  private mustClose = false;
+  private isConnected = false;
+  private failureCause = 'closed';
 
   constructor(
     host: string,
     port: number,
-    private readonly keeper: ConnectionKeeper,
+    private readonly owner: ConnectionOwner,
   ) {
     this.socket = connect({
       host,
@@ -85,33 +88,36 @@
       onread: {
         buffer: readBuffer,
         callback: (length) => {
-          this.read(readBuffer.subarray(0, length));
+          this.handleData(readBuffer.subarray(0, length));
           return true;
         },
       },
       port,
     });
-    this.state = connectionOf(this.socket);
-    this.socket.on('connect', () => this.cameUp());
+    this.connectionState = getConnectionState(this.socket);
+    this.socket.on('connect', () => this.handleConnect());
     this.socket.on('error', (error: NodeJS.ErrnoException) => {
-      this.cause = error.code ?? error.message;
+      this.failureCause = error.code ?? error.message;
     });
-    this.socket.on('end', () => this.endRead());
-    this.socket.on('close', () => this.closed());
+    this.socket.on('end', () => this.handleEnd());
+    this.socket.on('close', () => this.handleClose());
   }
 
-  /** Whether a request may be sent. */
-  get usable(): boolean {
-    return !this.last && !this.socket.destroyed;
+  /** Whether another request can be sent. */
+  get isUsable(): boolean {
+    return !this.mustClose && !this.socket.destroyed;
   }
 
-  /** Sends a request; the connection is its user's until the answer is whole. */
-  send({body, head, method}: OutgoingRequest, user: ConnectionUser): void {
-    this.user = user;
+  /** Sends a request. No other may be sent until its response is complete. */
+  send(
+    {body, head, method}: OutgoingRequest,
+    listener: ResponseListener,
+  ): void {
+    this.listener = listener;
     this.method = method;
-    this.complete = false;
-    if (this.isUp) {
-      user.connected();
+    this.isComplete = false;
+    if (this.isConnected) {
+      listener.onConnected();
     }
     const {socket} = this;
     if (body.length === 0) {
@@ -133,102 +139,102 @@
   }
 
   [Symbol.dispose](): void {
-    this.last = true;
+    this.mustClose = true;
     this.socket.destroy();
   }
 
-  begun(): void {
-    this.last ||= this.user === undefined || this.complete;
+  onMessageBegin(): void {
+    this.mustClose ||= this.listener === undefined || this.isComplete;
   }
 
-  headRead(head: AnswerHead): boolean {
-    if (this.user === undefined || this.complete) {
+  onHeaders(head: ResponseHead): boolean {
+    if (this.listener === undefined || this.isComplete) {
       return false;
     }
-    this.answer = new UpstreamAnswer(head, this);
-    this.last ||= !head.keepAlive;
-    this.idleMs = idleTimeOf(this.answer);
-    this.user.answered(this.answer);
+    this.response = new UpstreamAnswer(head, this);
+    this.mustClose ||= !head.keepAlive;
+    this.keepAliveMs = keepAliveTimeoutOf(this.response);
+    this.listener.onResponse(this.response);
     return this.method === 'HEAD';
   }
 
-  bodyRead(chunk: Buffer): void {
-    if (!this.complete) {
-      this.answer?.push(chunk);
+  onBody(chunk: Buffer): void {
+    if (!this.isComplete) {
+      this.response?.push(chunk);
     }
   }
 
-  completed(): void {
-    if (this.answer !== undefined && !this.complete) {
-      this.complete = true;
-      this.answer.end(!this.state.harmed);
+  onMessageComplete(): void {
+    if (this.response !== undefined && !this.isComplete) {
+      this.isComplete = true;
+      this.response.end(!this.connectionState.hasFailed);
     }
   }
 
-  private cameUp(): void {
-    this.isUp = true;
-    this.user?.connected();
+  private handleConnect(): void {
+    this.isConnected = true;
+    this.listener?.onConnected();
   }
 
-  private read(bytes: Buffer): void {
+  private handleData(bytes: Buffer): void {
     const {socket} = this;
-    if (this.user === undefined) {
+    if (this.listener === undefined) {
       socket.destroy();
       return;
     }
-    if (!this.parser.read(bytes)) {
-      this.last = true;
-      this.cause = 'not-http';
-      if (!this.complete) {
+    if (!this.parser.parse(bytes)) {
+      this.mustClose = true;
+      this.failureCause = 'not-http';
+      if (!this.isComplete) {
         socket.destroy();
       }
     }
-    if (this.complete) {
-      this.release();
+    if (this.isComplete) {
+      this.finishRequest();
     }
   }
 
-  /** The upstream sends no more: an answer without a length is whole now. */
-  private endRead(): void {
-    this.last = true;
-    if (this.user !== undefined) {
-      this.parser.end();
+  /** Handles the end of input, which completes a response without a length. */
+  private handleEnd(): void {
+    this.mustClose = true;
+    if (this.listener !== undefined) {
+      this.parser.finish();
     }
   }
 
-  /** The answer is whole: hands the connection back where it is as it was. */
-  private release(): void {
-    const {idleMs, socket} = this;
-    this.user = undefined;
-    this.answer = undefined;
-    // A request that is not all sent yet goes out before the connection ends.
+  /** Returns the connection to its owner if it is reusable, or closes it. */
+  private finishRequest(): void {
+    const {keepAliveMs, socket} = this;
+    this.listener = undefined;
+    this.response = undefined;
+    // An early response may arrive while the request is still being sent.
     const isSent = socket.writableLength === 0;
-    // The reader of the answer may have held it back.
+    // The reader of the response may have paused the socket.
     if (socket.isPaused()) {
       socket.resume();
     }
-    if (!this.usable || !isSent || !this.keeper.takeBack(this, idleMs)) {
-      this.last = true;
+    if (!this.isUsable || !isSent || !this.owner.release(this, keepAliveMs)) {
+      this.mustClose = true;
       socket.destroySoon();
     }
   }
 
-  private closed(): void {
-    const {answer, cause, user} = this;
-    this.user = undefined;
-    this.answer = undefined;
-    this.keeper.forget(this);
+  private handleClose(): void {
+    const {response, failureCause, listener} = this;
+    this.listener = undefined;
+    this.response = undefined;
+    this.owner.remove(this);
     this.parser[Symbol.dispose]();
-    if (answer === undefined) {
-      user?.failed(cause);
+    if (response === undefined) {
+      listener?.onFailure(failureCause);
     } else {
-      answer.end(false);
+      response.end(false);
     }
   }
 }
 
-/** The time in `Keep-Alive`, ms. */
-function idleTimeOf({headers}: UpstreamAnswer): number | undefined {
+/** Timeout in the `Keep-Alive` header, ms. */
+function keepAliveTimeoutOf({headers}: UpstreamAnswer): number | undefined {
   const seconds = /(?:^|[\s,;])timeout=(\d+)/i.exec(
     headers['keep-alive'] ?? '',
   )?.[1];
--- a/packages/puffinturn-edge/src/connections/UpstreamAnswer.ts
+++ b/packages/puffinturn-edge/src/connections/UpstreamAnswer.ts
@@ -6,104 +6,104 @@
  */
 
 /**
- * The answer of an upstream to one request: its head, and its body as it comes.
- * What comes before anybody reads is kept; it is one read of a connection at most,
- * as whoever asked decides in the same turn of the event loop.
+ * Response of an upstream: its head, and its body as a stream. Chunks that arrive
+ * before a reader is attached are buffered. This is at most one read of the connection,
+ * as the sender attaches a reader in the same turn of the event loop.
  */
 import type {Socket} from 'node:net';
 
-import type {AnswerHead} from './AnswerParser';
+import type {ResponseHead} from './AnswerParser';
 
-/** Takes the body of an answer. */
-export interface AnswerReader {
-  /** Some bytes of the body. */
+/** Callbacks for the body of a response. */
+export interface ResponseReader {
+  /** Called for each chunk of the body. */
   take(chunk: Buffer): void;
-  /** The end; `whole` is false where the connection broke off before. */
+  /** Called at the end; `whole` is false if the connection failed before it. */
   ended(whole: boolean): void;
 }
 
-/** Holds the bytes of an answer back where its reader can't take more. */
-export interface AnswerSource {
-  /** The connection that it comes on; for counting what that has carried. */
+/** The connection that carries a response, with flow control. */
+export interface ResponseSource {
+  /** Used to count transferred bytes. */
   readonly socket: Socket;
   pause(): void;
   resume(): void;
 }
 
-/** See the module comment. */
+/** A response that is being received. */
 export class UpstreamAnswer {
   readonly statusCode: number;
   readonly rawHeaders: readonly string[];
-  /** By name in lower case; values of the same name are joined. */
+  /** By lower-case name; repeated values are joined with commas. */
   readonly headers: Readonly<Record<string, string | undefined>>;
-  private reader: AnswerReader | undefined;
-  private waiting: Buffer[] = [];
-  private whole: boolean | undefined;
+  private reader: ResponseReader | undefined;
+  private buffered: Buffer[] = [];
+  private isComplete: boolean | undefined;
 
   constructor(
-    head: AnswerHead,
-    private readonly source: AnswerSource,
+    head: ResponseHead,
+    private readonly source: ResponseSource,
   ) {
     this.statusCode = head.statusCode;
     this.rawHeaders = head.rawHeaders;
     this.headers = headersByName(head.rawHeaders);
   }
 
-  /** Hands the body on to a reader, what has come already included. */
-  read(reader: AnswerReader): void {
+  /** Attaches a reader and passes it the buffered chunks. */
+  read(reader: ResponseReader): void {
     this.reader = reader;
-    for (const chunk of this.waiting) {
+    for (const chunk of this.buffered) {
       reader.take(chunk);
     }
-    this.waiting = [];
-    if (this.whole !== undefined) {
-      reader.ended(this.whole);
+    this.buffered = [];
+    if (this.isComplete !== undefined) {
+      reader.ended(this.isComplete);
     }
   }
 
-  /** Reads the body and drops it, so that the connection can be used again. */
+  /** Reads and discards the body, so that the connection can be reused. */
   drop(): void {
     this.read({ended: () => undefined, take: () => undefined});
   }
 
-  /** The connection that it came on. */
+  /** The socket that carries the response. */
   get socket(): Socket {
     return this.source.socket;
   }
 
-  /** Whether no more bytes come. */
-  get ended(): boolean {
-    return this.whole !== undefined;
+  /** Whether the response has ended, complete or not. */
+  get hasEnded(): boolean {
+    return this.isComplete !== undefined;
   }
 
-  /** Holds the rest back until `resume`. */
+  /** Pauses reading from the connection until `resume`. */
   pause(): void {
-    if (!this.ended) {
+    if (!this.hasEnded) {
       this.source.pause();
     }
   }
 
-  /** Lets the rest come. */
+  /** Resumes reading from the connection. */
   resume(): void {
-    if (!this.ended) {
+    if (!this.hasEnded) {
       this.source.resume();
     }
   }
 
-  /** Some bytes have come. */
+  /** Adds a chunk of the body. */
   push(chunk: Buffer): void {
     if (this.reader === undefined) {
-      this.waiting.push(chunk);
+      this.buffered.push(chunk);
     } else {
       this.reader.take(chunk);
     }
   }
 
-  /** No more bytes come. The first end counts. */
-  end(whole: boolean): void {
-    if (this.whole === undefined) {
-      this.whole = whole;
-      this.reader?.ended(whole);
+  /** Ends the response. Further calls have no effect. */
+  end(isComplete: boolean): void {
+    if (this.isComplete === undefined) {
+      this.isComplete = isComplete;
+      this.reader?.ended(isComplete);
     }
   }
 }
@@ -112,11 +112,11 @@
   rawHeaders: readonly string[],
 ): Record<string, string | undefined> {
   const headers: Record<string, string | undefined> = Object.create(null);
-  for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
-    const name = (rawHeaders[at] ?? '').toLowerCase();
-    const value = rawHeaders[at + 1] ?? '';
-    const former = headers[name];
-    headers[name] = former === undefined ? value : `${former}, ${value}`;
+  for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
+    const name = (rawHeaders[index] ?? '').toLowerCase();
+    const value = rawHeaders[index + 1] ?? '';
+    const existing = headers[name];
+    headers[name] = existing === undefined ? value : `${existing}, ${value}`;
   }
   return headers;
 }
--- a/packages/puffinturn-edge/src/connections/UpstreamConnection.ts
+++ b/packages/puffinturn-edge/src/connections/UpstreamConnection.ts
@@ -6,36 +6,34 @@
  */
 
 /**
- * Whether a connection to an upstream ended in order. One connection serves
- * many requests in turn, so it is watched once and not for each of them.
+ * Detects connections that ended by a reset or an error. Listeners are added once per
+ * socket, as one socket serves many requests.
  */
 import type {Socket} from 'node:net';
 
-/** What is known of one connection. */
-export interface UpstreamConnection {
-  /** Whether it was reset or failed otherwise. */
-  harmed: boolean;
+/** Failure state of one connection. */
+export interface ConnectionState {
+  /** Whether the connection was reset or had another error. */
+  hasFailed: boolean;
 }
 
-const connections = new WeakMap<Socket, UpstreamConnection>();
+const states = new WeakMap<Socket, ConnectionState>();
 
 /**
- * The state of a connection, watched from the first call on. A reset that
- * arrives together with the last bytes reaches Node as an end of the stream,
- * since libuv reports a hang-up as an end after a partial read. The operating
- * system knows no peer for a socket that was reset, but still one for a socket
- * whose peer has ended in order.
+ * Returns the state of a socket, tracked from the first call on. After a partial read,
+ * libuv reports a reset as an end of stream. It is recognized by the missing remote
+ * address, which a socket closed normally by its peer still has.
  */
-export function connectionOf(socket: Socket): UpstreamConnection {
-  const known = connections.get(socket);
-  if (known !== undefined) {
-    return known;
+export function getConnectionState(socket: Socket): ConnectionState {
+  const existing = states.get(socket);
+  if (existing !== undefined) {
+    return existing;
   }
-  const connection: UpstreamConnection = {harmed: false};
-  connections.set(socket, connection);
-  socket.on('error', () => (connection.harmed = true));
+  const state: ConnectionState = {hasFailed: false};
+  states.set(socket, state);
+  socket.on('error', () => (state.hasFailed = true));
   socket.prependOnceListener('end', () => {
-    connection.harmed ||= socket.remoteAddress === undefined;
+    state.hasFailed ||= socket.remoteAddress === undefined;
   });
-  return connection;
+  return state;
 }
--- a/packages/puffinturn-edge/src/connections/UpstreamHeaders.ts
+++ b/packages/puffinturn-edge/src/connections/UpstreamHeaders.ts
@@ -5,65 +5,68 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The headers of a request as an upstream gets them. */
+/** Builds the headers of a request to an upstream. */
 import type {CallerDialect, HeaderNames} from '../callers/CallerDialect';
 import type {CallerRequest} from '../callers/CallerRequest';
 import {passesOn} from '../callers/CallerRequest';
 import type {Plan} from '../requests/RequestPlan';
 import type {Placement} from '../upstreams/UpstreamChoice';
 
-/** What the headers are made of. */
-export interface HeaderFacts {
+/** Inputs for the headers of one attempt. */
+export interface HeaderParams {
   readonly caller: CallerRequest;
   readonly dialect: CallerDialect;
   readonly plan: Plan;
   readonly placement: Placement;
-  /** Time left for the request, ms. */
-  readonly leftMs: number;
-  /** The event after which a stream goes on. */
-  readonly resumeAt: string | undefined;
+  /** Time until the deadline of the request, ms. */
+  readonly remainingMs: number;
+  /** ID of the last event the caller received, to resume a stream after it. */
+  readonly lastEventId: string | undefined;
   readonly bodyLength: number;
 }
 
-/** Names and values in turn: the caller's own, then those set here. */
-export function headersFor(facts: HeaderFacts): string[] {
-  const {bodyLength, caller, dialect, resumeAt} = facts;
+/** Returns alternating names and values: the caller's headers, then the edge's. */
+export function buildUpstreamHeaders(params: HeaderParams): string[] {
+  const {bodyLength, caller, dialect, lastEventId} = params;
   const {headers: names} = dialect;
-  const sent = keptHeaders(caller, replacedNames(names, resumeAt));
-  const left = Math.max(1, Math.floor(facts.leftMs));
-  sent.push(names.deadline, String(left));
-  sent.push(names.expectedUpstream, facts.placement.upstream.id);
-  pushPlan(sent, facts);
-  if (resumeAt !== undefined) {
-    sent.push(names.lastEvent, resumeAt);
+  const headers = forwardedHeaders(
+    caller,
+    replacedNamesFor(names, lastEventId),
+  );
+  const remainingMs = Math.max(1, Math.floor(params.remainingMs));
+  headers.push(names.deadline, String(remainingMs));
+  headers.push(names.expectedUpstream, params.placement.upstream.id);
+  addPlanHeaders(headers, params);
+  if (lastEventId !== undefined) {
+    headers.push(names.lastEvent, lastEventId);
   }
   if (hasBody(caller)) {
-    sent.push('Content-Length', String(bodyLength));
+    headers.push('Content-Length', String(bodyLength));
   }
-  sent.push('Connection', 'keep-alive');
-  return sent;
+  headers.push('Connection', 'keep-alive');
+  return headers;
 }
 
-/** Headers of a caller's that are not passed on as they came. */
+/** Lower-case names of caller headers that are not forwarded. */
 interface ReplacedNames {
-  readonly first: ReadonlySet<string>;
-  /** Where a stream goes on at another upstream. */
+  readonly initial: ReadonlySet<string>;
+  /** Used when a stream is resumed at another upstream. */
   readonly resumed: ReadonlySet<string>;
 }
 
-/** By the names that they are made of, so that they are made once. */
-const replacedByNames = new WeakMap<HeaderNames, ReplacedNames>();
+/** Caches the sets per dialect, as they are needed for each request. */
+const replacedNamesCache = new WeakMap<HeaderNames, ReplacedNames>();
 
-function replacedNames(
+function replacedNamesFor(
   names: HeaderNames,
-  resumeAt: string | undefined,
+  lastEventId: string | undefined,
 ): ReadonlySet<string> {
-  const known = replacedByNames.get(names) ?? makeReplaced(names);
-  return resumeAt === undefined ? known.first : known.resumed;
+  const replaced = replacedNamesCache.get(names) ?? buildReplacedNames(names);
+  return lastEventId === undefined ? replaced.initial : replaced.resumed;
 }
 
-function makeReplaced(names: HeaderNames): ReplacedNames {
-  const first = new Set<string>([
+function buildReplacedNames(names: HeaderNames): ReplacedNames {
+  const initial = new Set<string>([
     'content-length',
     'expect',
     names.deadline,
@@ -74,42 +77,42 @@
     names.team,
     ...names.reserved,
   ]);
-  const made = {first, resumed: new Set([...first, names.lastEvent])};
-  replacedByNames.set(names, made);
-  return made;
+  const replaced = {initial, resumed: new Set([...initial, names.lastEvent])};
+  replacedNamesCache.set(names, replaced);
+  return replaced;
 }
 
-function keptHeaders(
+function forwardedHeaders(
   {incoming: {headers, rawHeaders}}: CallerRequest,
   replaced: ReadonlySet<string>,
 ): string[] {
-  const kept: string[] = [];
-  for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
-    const name = rawHeaders[at] ?? '';
+  const forwarded: string[] = [];
+  for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
+    const name = rawHeaders[index] ?? '';
     if (
       !replaced.has(name.toLowerCase()) &&
       passesOn(name, headers.connection)
     ) {
-      kept.push(name, rawHeaders[at + 1] ?? '');
+      forwarded.push(name, rawHeaders[index + 1] ?? '');
     }
   }
-  return kept;
+  return forwarded;
 }
 
-function pushPlan(
-  sent: string[],
-  {dialect, placement, plan: {route, service, team}}: HeaderFacts,
+function addPlanHeaders(
+  headers: string[],
+  {dialect, placement, plan: {route, service, team}}: HeaderParams,
 ): void {
   const {headers: names} = dialect;
   if (team !== undefined) {
-    sent.push(names.team, team.name);
+    headers.push(names.team, team.name);
   }
   if (service.engine !== undefined) {
     const rank = dialect.priorityOf(team?.priority ?? 0, route.priority);
-    sent.push(names.priority, String(rank));
+    headers.push(names.priority, String(rank));
   }
   if (placement.prefixSource !== undefined) {
-    sent.push(names.prefixSource, placement.prefixSource.record.address);
+    headers.push(names.prefixSource, placement.prefixSource.record.address);
   }
 }
 
--- a/packages/puffinturn-edge/src/requests/Attempt.ts
+++ b/packages/puffinturn-edge/src/requests/Attempt.ts
@@ -5,10 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * One request sent to one upstream: its exchange, what the edge counts about it, and
- * what the upstream says of itself along with its answer.
- */
+/** Sends a request to an upstream, records metrics and updates the upstream's state. */
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {Clock} from 'shared';
 
@@ -17,7 +14,7 @@
 import type {ExchangeOutcome} from '../connections/Exchange';
 import {Exchange} from '../connections/Exchange';
 import type {UpstreamAnswer} from '../connections/UpstreamAnswer';
-import {headersFor} from '../connections/UpstreamHeaders';
+import {buildUpstreamHeaders} from '../connections/UpstreamHeaders';
 import {MISDIRECTED} from '../EdgeConstants';
 import type {EdgeMetrics} from '../EdgeMetrics';
 import type {RegionCrossing} from '../regions/RegionCrossing';
@@ -31,7 +28,7 @@
 import {statementOf} from '../upstreams/UpstreamStatement';
 import type {Plan} from './RequestPlan';
 
-/** What an attempt needs of the edge. */
+/** Dependencies of an attempt. */
 export interface AttemptParts {
   readonly clock: Clock;
   readonly crossing: RegionCrossing;
@@ -43,58 +40,61 @@
   readonly metrics: EdgeMetrics;
 }
 
-/** What is sent, and where. */
-export interface AttemptFacts {
+/** The request to send and the upstream to send it to. */
+export interface AttemptParams {
   readonly body: Buffer;
   readonly caller: CallerRequest;
-  /** The version of the configuration that the request came under. */
-  readonly configuration: number;
-  /** Time left for the request, ms. */
-  readonly leftMs: number;
+  /** Version of the configuration that routed the request. */
+  readonly configurationVersion: number;
+  /** Time until the deadline of the request, ms. */
+  readonly remainingMs: number;
   readonly placement: Placement;
   readonly plan: Plan;
-  /** The event after which a stream goes on. */
-  readonly resumeAt: string | undefined;
+  /** ID of the last event the caller received, to resume a stream after it. */
+  readonly lastEventId: string | undefined;
 }
 
-/** See the module comment. It is sent at once. */
+/**
+ * One attempt at one upstream. The constructor sends the request. Response headers may
+ * update the drain state, back-off and rate limit of the upstream.
+ */
 export class Attempt {
-  /** Resolves once it is known how the attempt went. */
+  /** Resolves at the head of the response, or when the attempt fails. */
   readonly outcome: Promise<ExchangeOutcome>;
-  /** The attempt as a roll-out of its service sees it. */
+  /** Reports the result to the rollout of the service. */
   readonly observation: Observation;
   private readonly exchange: Exchange;
   private readonly upstream: EdgeUpstream;
-  /** By the edge's steady clock, ms. */
+  /** Send time, monotonic ms. */
   private readonly sentAt: number;
 
   constructor(
     private readonly parts: AttemptParts,
-    private readonly facts: AttemptFacts,
+    private readonly params: AttemptParams,
   ) {
-    const {placement, plan} = facts;
+    const {placement, plan} = params;
     this.upstream = placement.upstream;
     this.sentAt = parts.clock.now();
     const {doubtful} = this.upstream;
-    this.count(doubtful);
+    this.recordSent(doubtful);
     const reading = new PromptReading(parts.clock, placement, plan.parts);
     this.observation = parts.exposures.sent(
       plan,
       this.upstream,
       reading.unread,
     );
-    this.exchange = this.send();
-    this.outcome = this.follow(reading, doubtful);
+    this.exchange = this.startExchange();
+    this.outcome = this.trackOutcome(reading, doubtful);
   }
 
-  /** Ends the attempt, and its connection unless the answer is whole. */
+  /** Aborts the attempt. Closes the connection unless the response is complete. */
   abort(cause: string): void {
     this.exchange.abort(cause);
   }
 
-  private count(doubtful: boolean): void {
+  private recordSent(doubtful: boolean): void {
     const {crossing, homeProbes, metrics} = this.parts;
-    const {body, plan} = this.facts;
+    const {body, plan} = this.params;
     const {upstream} = this;
     upstream.inFlight += 1;
     if (crossing.isAway(upstream.record.hall)) {
@@ -106,71 +106,76 @@
     }
   }
 
-  private send(): Exchange {
+  private startExchange(): Exchange {
     const {dialect} = this.parts;
-    const {body, caller, leftMs, placement, plan, resumeAt} = this.facts;
+    const {body, caller, remainingMs, placement, plan, lastEventId} =
+      this.params;
     return new Exchange({
       body,
-      headers: headersFor({
+      headers: buildUpstreamHeaders({
         bodyLength: body.length,
         caller,
         dialect,
-        leftMs,
+        remainingMs,
         placement,
         plan,
-        resumeAt,
+        lastEventId,
       }),
       method: caller.method,
-      names: dialect.headers,
+      headerNames: dialect.headers,
       path: caller.path,
       requestId: caller.id,
       upstream: this.upstream,
     });
   }
 
-  private async follow(
+  private async trackOutcome(
     reading: PromptReading,
     doubtful: boolean,
   ): Promise<ExchangeOutcome> {
     const {homeProbes, metrics} = this.parts;
     const {upstream} = this;
     const outcome = await this.exchange.outcome;
-    const isAnswered = outcome.kind === 'answer';
-    reading.end(isAnswered);
-    if (doubtful && isAnswered) {
+    const hasResponse = outcome.kind === 'answer';
+    reading.end(hasResponse);
+    if (doubtful && hasResponse) {
       homeProbes.answered();
     }
     this.observation.began(outcome);
-    if (!isAnswered) {
+    if (!hasResponse) {
       upstream.inFlight -= 1;
     }
-    if (isAnswered || outcome.kind === 'rejected') {
-      this.hear(outcome.answer);
+    if (hasResponse || outcome.kind === 'rejected') {
+      this.applyUpstreamHeaders(outcome.answer);
     }
-    const service = this.facts.plan.service.name;
+    const service = this.params.plan.service.name;
     metrics.attempts.inc({outcome: outcome.kind, service});
     return outcome;
   }
 
-  /** Takes in what the upstream says of itself along with its answer. */
-  private hear(answer: UpstreamAnswer): void {
-    const {statusCode: status} = answer;
+  /** Applies drain, back-off and rate limit headers of a response to the upstream. */
+  private applyUpstreamHeaders(response: UpstreamAnswer): void {
+    const {statusCode: status} = response;
     if (status === MISDIRECTED) {
-      // Another upstream answers there, and speaks of itself.
+      // The response comes from another upstream, so its headers don't apply here.
       return;
     }
     const {dialect, log} = this.parts;
-    const {caller, configuration} = this.facts;
+    const {caller, configurationVersion} = this.params;
     const {upstream} = this;
     const {sequence, state} = upstream.record;
-    const {leaving, limit, restMs} = statementOf(answer, dialect.headers);
-    const leaves = leaving && upstream.saysLeaving();
-    const rests = restMs !== undefined && upstream.rests(restMs);
+    const {leaving, limit, restMs} = statementOf(response, dialect.headers);
+    const startedDraining = leaving && upstream.saysLeaving();
+    const startedBackOff = restMs !== undefined && upstream.rests(restMs);
     const {sentAt} = this;
-    const limits = upstream.limits.hearAnswer({named: limit, sentAt, status});
-    if (leaves || rests || limits) {
+    const limitChanged = upstream.limits.hearAnswer({
+      named: limit,
+      sentAt,
+      status,
+    });
+    if (startedDraining || startedBackOff || limitChanged) {
       log.note({
-        configuration,
+        configuration: configurationVersion,
         event: 'upstream-told',
         leaving,
         limitPerS: upstream.limits.limit.perSecond,
@@ -182,7 +187,7 @@
         upstream: upstream.id,
       });
     }
-    if (limits) {
+    if (limitChanged) {
       this.parts.limitReports.changed(upstream);
     }
   }
--- a/packages/puffinturn-edge/src/requests/CrashingRequests.ts
+++ b/packages/puffinturn-edge/src/requests/CrashingRequests.ts
@@ -6,8 +6,8 @@
  */
 
 /**
- * Which requests this edge must not run, as they crash the upstreams that run them.
- * What is seen here is told to the core until it is taken.
+ * Quarantines requests that crash upstreams. Crashes seen by this edge are reported
+ * to the control boxes and retried until one of them accepts the report.
  */
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {CrashReply, CrashRequest} from 'puffinturn-fleet';
@@ -27,35 +27,35 @@
 import type {EdgeMetrics} from '../EdgeMetrics';
 import type {EdgeUpstream} from '../upstreams/EdgeUpstream';
 
-/** Longest time for the answer of one control box, ms. */
-const ANSWER_MS = 500;
+/** Timeout for the reply of one control box, ms. */
+const RESPONSE_TIMEOUT_MS = 500;
 
-/** Pause after a round in which no control box took the report, ms. */
-const RETRY_MS = 250;
+/** Delay before a report that no control box accepted is sent again, ms. */
+const RETRY_INTERVAL_MS = 250;
 
-/** Longest time between two looks whether there is something to tell, ms. */
-const IDLE_MS = 60_000;
+/** Longest interval between checks for unsent reports, ms. */
+const MAX_IDLE_MS = 60_000;
 
-/** Fingerprints named in one line of the log; the count tells of the others. */
-const LOGGED_AT_MOST = 16;
+/** Maximum number of fingerprints in one log line, which also has their count. */
+const MAX_LOGGED_FINGERPRINTS = 16;
 
-/** What CrashingRequests are made of. */
+/** Dependencies of CrashingRequests. */
 export interface CrashingRequestsParts {
   readonly box: string;
   readonly clock: Clock;
   readonly link: Link;
   readonly log: DecisionLog;
   readonly metrics: EdgeMetrics;
-  /** Control boxes, the one to ask first at the front. */
+  /** Control boxes in the order in which they are called. */
   readonly controls: () => readonly string[];
 }
 
-/** See the module comment. */
+/** Quarantine state of this edge, and the reporter of crashes it has seen. */
 export class CrashingRequests implements AsyncDisposable {
   private readonly evidence: CrashEvidence;
   private readonly watch: CrashWatch<EdgeUpstream>;
-  private told = NO_QUARANTINE;
-  private readonly news = new Condition();
+  private adopted = NO_QUARANTINE;
+  private readonly reportPending = new Condition();
   private readonly tasks = new TaskGroup();
 
   constructor(private readonly parts: CrashingRequestsParts) {
@@ -63,47 +63,47 @@
     this.evidence = new CrashEvidence(clock);
     this.watch = new CrashWatch({
       clock,
-      crashed: (crash, upstream) => this.crashed(crash, upstream),
+      crashed: (crash, upstream) => this.recordCrash(crash, upstream),
       probe: ({host, port}) => probeListener(host, port),
     });
-    this.tasks.start((signal) => this.run(signal));
+    this.tasks.start((signal) => this.sendReports(signal));
   }
 
-  /** What the core told last. */
+  /** The newest quarantine received from another box. */
   get quarantine(): Quarantine {
-    return this.told;
+    return this.adopted;
   }
 
-  /** Whether no request is quarantined or suspected, so that none need be looked up. */
+  /** Whether no request is quarantined or suspected, so that look-ups can be skipped. */
   get isEmpty(): boolean {
     return this.evidence.isEmpty;
   }
 
-  /** Whether a request must not be run. */
+  /** Whether a request must not be sent to any upstream. */
   isQuarantined(fingerprint: string): boolean {
     return this.evidence.isQuarantined(fingerprint);
   }
 
-  /** Whether one more crash would have a request quarantined. */
-  isLastTry(fingerprint: string): boolean {
+  /** Whether one more crash would quarantine a request. */
+  isOneCrashFromQuarantine(fingerprint: string): boolean {
     return this.evidence.isLastTry(fingerprint);
   }
 
-  /** Takes over what the core or another edge has, unless that is older. */
-  adopt(found: Quarantine, source: string): void {
+  /** Adopts the quarantine of another box if its revision is newer. */
+  adopt(update: Quarantine, source: string): void {
     const {log, metrics} = this.parts;
-    const {revision: former} = this.told;
-    if (found.revision <= former) {
+    const {revision: previousRevision} = this.adopted;
+    if (update.revision <= previousRevision) {
       return;
     }
-    const {fingerprints, revision, suspects} = found;
-    this.told = found;
-    this.evidence.adopt(found);
+    const {fingerprints, revision, suspects} = update;
+    this.adopted = update;
+    this.evidence.adopt(update);
     metrics.quarantined.set(fingerprints.length);
     log.note({
       count: fingerprints.length,
       event: 'quarantine-adopted',
-      former,
+      former: previousRevision,
       newest: fingerprints.at(-1),
       revision,
       source,
@@ -111,30 +111,30 @@
     });
   }
 
-  /** Notes that a request broke off at an upstream. */
-  broke(upstream: EdgeUpstream, fingerprint: string): void {
+  /** Records a request whose connection broke, and checks if the upstream crashed. */
+  recordBrokenRequest(upstream: EdgeUpstream, fingerprint: string): void {
     this.watch.broke(upstream, fingerprint);
   }
 
-  /** Notes a crash and which requests of this edge were there. */
-  crashed(crash: Crash, {record}: Pick<EdgeUpstream, 'record'>): void {
+  /** Records a crash and the requests of this edge that were in flight. */
+  recordCrash(crash: Crash, {record}: Pick<EdgeUpstream, 'record'>): void {
     const {log, metrics} = this.parts;
     log.note({
       bornAt: record.bornAt,
       count: crash.fingerprints.length,
       event: 'upstream-crashed',
-      fingerprints: crash.fingerprints.slice(0, LOGGED_AT_MOST),
+      fingerprints: crash.fingerprints.slice(0, MAX_LOGGED_FINGERPRINTS),
       upstream: record.id,
     });
     metrics.crashes.inc({service: record.service});
     this.evidence.crashed(crash);
-    this.news.notify();
+    this.reportPending.notify();
   }
 
-  /** Notes that a request got a whole answer. */
-  served(fingerprint: string): void {
+  /** Records a complete response, which clears the request of suspicion. */
+  recordSuccess(fingerprint: string): void {
     if (this.evidence.served(fingerprint)) {
-      this.news.notify();
+      this.reportPending.notify();
     }
   }
 
@@ -143,28 +143,37 @@
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  private async run(signal: AbortSignal): Promise<void> {
+  private async sendReports(signal: AbortSignal): Promise<void> {
     const {evidence} = this;
     const {clock} = this.parts;
     while (!signal.aborted) {
       const {untold} = evidence;
       if (untold === undefined) {
-        await sleepUnlessNotified(clock, this.news, IDLE_MS, signal);
-      } else if (await this.tell(evidence.reportOf(untold))) {
+        await sleepUnlessNotified(
+          clock,
+          this.reportPending,
+          MAX_IDLE_MS,
+          signal,
+        );
+      } else if (await this.sendReport(evidence.reportOf(untold))) {
         evidence.told(untold);
       } else {
-        await clock.sleep(RETRY_MS, signal);
+        await clock.sleep(RETRY_INTERVAL_MS, signal);
       }
     }
   }
 
-  private async tell(report: CrashReport): Promise<boolean> {
+  private async sendReport(report: CrashReport): Promise<boolean> {
     const {box, controls, link} = this.parts;
     const request: CrashRequest = {box, report};
     const reply = await askControls<CrashReply>(
       link,
       controls(),
-      {answerMs: ANSWER_MS, request, service: FLEET_SERVICE.reportCrashes},
+      {
+        answerMs: RESPONSE_TIMEOUT_MS,
+        request,
+        service: FLEET_SERVICE.reportCrashes,
+      },
       ({taken}) => taken,
     );
     return reply !== undefined;
--- a/packages/puffinturn-edge/src/requests/Forwarding.ts
+++ b/packages/puffinturn-edge/src/requests/Forwarding.ts
@@ -6,10 +6,9 @@
  */
 
 /**
- * Serves one request: finds its route, team and service, reserves tokens,
- * and sends it to upstreams until one has answered or no further try is allowed.
- * A request that may not be repeated is sent again only where the first upstream
- * surely did not run it.
+ * Serves one request: resolves route, team and service, reserves tokens and tries
+ * upstreams until one responds or no retry is allowed. A request that is not repeatable
+ * is retried only if the upstream did not run it.
  */
 import type {TokenFacts} from 'puffinturn-decisions';
 import type {Route} from 'puffinturn-fleet';
@@ -21,7 +20,7 @@
 import type {CallerRequest} from '../callers/CallerRequest';
 import {FinalAnswer} from '../callers/FinalAnswer';
 import {isReadLate} from '../callers/ReadLateness';
-import type {AnswerOutcome, ExchangeOutcome} from '../connections/Exchange';
+import type {ExchangeOutcome, ResponseOutcome} from '../connections/Exchange';
 import {INVALID_HEADER} from '../connections/Exchange';
 import type {UpstreamAnswer} from '../connections/UpstreamAnswer';
 import {
@@ -49,11 +48,11 @@
 import {Attempt} from './Attempt';
 import type {CrashingRequests} from './CrashingRequests';
 import type {Plan} from './RequestPlan';
-import {planFor} from './RequestPlan';
+import {planRequest} from './RequestPlan';
 import type {RetryBudgets} from './RetryBudgets';
 import type {RouteTable} from './RouteTable';
 
-/** What serving needs of the edge. */
+/** Dependencies for forwarding a request. */
 export interface ForwardingParts extends AttemptParts, SelectionParts {
   readonly totals: Totals;
   readonly allowances: Allowances;
@@ -62,48 +61,48 @@
   readonly regionTraffic: RegionTraffic;
 }
 
-/** Why a request that crashes upstreams is refused, in one word. */
+/** Cause of the error response for a quarantined request. */
 const QUARANTINED = 'quarantined';
 
-/** Time after a deadline at which the final answer is sent, ms. */
-const FINAL_GRACE_MS = 20;
+/** Delay of the timeout response after the deadline, ms. */
+const DEADLINE_GRACE_MS = 20;
 
-/** Upstreams that held a request back, as its last line names them at the most. */
-const LOGGED_HELD_BACK = 4;
+/** Maximum number of upstreams without a permit in one log line. */
+const MAX_LOGGED_UPSTREAMS = 4;
 
-/** Least time left with which a request is sent to an upstream, ms. */
-const LEAST_LEFT_MS = 10;
+/** Minimum time before the deadline for one more attempt, ms. */
+const MIN_REMAINING_MS = 10;
 
-/** See the module comment. */
+/** Forwards one request, with retries. */
 export class Forwarding {
   private plan: Plan | undefined;
   private body: Buffer = Buffer.alloc(0);
-  private current: Attempt | undefined;
+  private currentAttempt: Attempt | undefined;
   private relay: AnswerRelay | undefined;
-  private upstream: EdgeUpstream | undefined;
-  private readonly tried = new Set<EdgeUpstream>();
-  /** Upstreams that take no more requests for the moment. */
-  private readonly heldBack = new Set<EdgeUpstream>();
-  private attempts = 0;
-  private unsent = 0;
+  private lastUpstream: EdgeUpstream | undefined;
+  private readonly triedUpstreams = new Set<EdgeUpstream>();
+  /** Upstreams that granted no permit for this request. */
+  private readonly deniedUpstreams = new Set<EdgeUpstream>();
+  private attemptCount = 0;
+  private unsentCount = 0;
   private mayHaveRun = false;
-  private knownFingerprint: string | undefined;
-  private readonly final: FinalAnswer;
+  private cachedFingerprint: string | undefined;
+  private readonly finalResponse: FinalAnswer;
 
   constructor(
     private readonly parts: ForwardingParts,
     private readonly table: RouteTable,
     private readonly caller: CallerRequest,
   ) {
-    this.final = new FinalAnswer(caller);
+    this.finalResponse = new FinalAnswer(caller);
   }
 
-  /** Serves the request to its end. */
+  /** Serves the request and resolves when it has ended. */
   async run(): Promise<void> {
-    const plan = this.makePlan();
+    const plan = this.createPlan();
     if (plan === undefined) {
       this.caller.incoming.resume();
-      this.note();
+      this.recordEnd();
       return;
     }
     const isLeastUrgent = this.table.isLeastUrgent(plan.route);
@@ -112,14 +111,19 @@
       plan,
       isLeastUrgent,
     );
-    this.caller.response.once('close', () => this.callerClosed());
+    this.caller.response.once('close', () => this.onCallerClosed());
     const timer = setTimeout(
-      () => this.expire(),
-      this.leftMs(plan.route) + FINAL_GRACE_MS,
+      () => this.onDeadline(),
+      this.remainingMs(plan.route) + DEADLINE_GRACE_MS,
     );
     try {
-      const isWanted = (await this.readBody()) && (await this.callerStays());
-      if (isWanted && this.mayRun(plan) && (await this.reserve(tokens))) {
+      const isReady =
+        (await this.readBody()) && (await this.isCallerConnected());
+      if (
+        isReady &&
+        this.passesQuarantine(plan) &&
+        (await this.reserveTokens(tokens))
+      ) {
         await this.forward(plan);
       }
     } finally {
@@ -127,42 +131,42 @@
       const charged = tokens.settle({
         events: this.relay?.events ?? 0,
         passedOn: this.relay?.begun ?? false,
-        whole: this.final.cause === 'served',
+        whole: this.finalResponse.cause === 'served',
       });
-      this.note(charged, tokens.facts);
+      this.recordEnd(charged, tokens.facts);
     }
   }
 
-  private makePlan(): Plan | undefined {
+  private createPlan(): Plan | undefined {
     const {dialect, random} = this.parts;
     const fraction = random.fraction();
-    const plan = planFor(this.caller, this.table, dialect, fraction);
+    const plan = planRequest(this.caller, this.table, dialect, fraction);
     if (plan.isErr()) {
       const {cause, retryAfterS, status} = plan.error;
-      this.final.refuse(status, cause, retryAfterS);
+      this.finalResponse.refuse(status, cause, retryAfterS);
       return undefined;
     }
     this.plan = plan.value;
     if (this.isReadLate(plan.value.route)) {
       this.caller.closing = true;
-      this.final.refuse(503, 'read-late', RETRY_AFTER_READ_LATE_S);
+      this.finalResponse.refuse(503, 'read-late', RETRY_AFTER_READ_LATE_S);
       return undefined;
     }
     return plan.value;
   }
 
-  /** Whether too much of its time went by before the request was read. */
+  /** Whether too much of the timeout had passed when the request was read. */
   private isReadLate(route: Route): boolean {
-    const limitMs = this.limitMs(route);
-    return isReadLate(limitMs - this.leftMs(route), limitMs, route);
+    const timeoutMs = this.timeoutMs(route);
+    return isReadLate(timeoutMs - this.remainingMs(route), timeoutMs, route);
   }
 
-  private leftMs(route: Route): number {
-    const passed = this.parts.clock.now() - this.caller.startedAt;
-    return this.limitMs(route) - passed;
+  private remainingMs(route: Route): number {
+    const elapsedMs = this.parts.clock.now() - this.caller.startedAt;
+    return this.timeoutMs(route) - elapsedMs;
   }
 
-  private limitMs({timeoutMs}: Route): number {
+  private timeoutMs({timeoutMs}: Route): number {
     return Math.min(timeoutMs, this.caller.deadlineMs ?? Infinity);
   }
 
@@ -171,158 +175,177 @@
     const body = await this.caller.readBody(maxBodyBytes);
     if (body.isErr()) {
       if (body.error.kind === 'body-too-large') {
-        this.final.refuse(413, body.error.kind);
+        this.finalResponse.refuse(413, body.error.kind);
       } else {
-        this.final.end(body.error.kind);
+        this.finalResponse.end(body.error.kind);
         this.caller.response.destroy();
       }
       return false;
     }
     this.body = body.value;
-    return !this.final.ended;
+    return !this.finalResponse.ended;
   }
 
-  private async callerStays(): Promise<boolean> {
+  private async isCallerConnected(): Promise<boolean> {
     if (!(await this.caller.stays())) {
-      this.final.end(CALLER_LEFT);
+      this.finalResponse.end(CALLER_LEFT);
     }
-    return !this.final.ended;
+    return !this.finalResponse.ended;
   }
 
   // Tokens
 
-  private async reserve(tokens: RequestTokens): Promise<boolean> {
+  private async reserveTokens(tokens: RequestTokens): Promise<boolean> {
     const outcome = await tokens.reserve();
-    if (!this.final.ended && outcome !== RESERVE.held) {
-      this.refuseTokens(outcome);
+    if (!this.finalResponse.ended && outcome !== RESERVE.held) {
+      this.rejectWithoutTokens(outcome);
     }
-    return !this.final.ended;
+    return !this.finalResponse.ended;
   }
 
-  private refuseTokens(
+  private rejectWithoutTokens(
     outcome: Exclude<ReserveOutcome, typeof RESERVE.held>,
   ): void {
     switch (outcome) {
       case RESERVE.exhausted:
-        this.final.refuse(402, 'budget-exhausted');
+        this.finalResponse.refuse(402, 'budget-exhausted');
         return;
       case RESERVE.unavailable:
-        this.final.refuse(503, 'budget-unreachable', RETRY_AFTER_TOKENS_S);
+        this.finalResponse.refuse(
+          503,
+          'budget-unreachable',
+          RETRY_AFTER_TOKENS_S,
+        );
     }
   }
 
   // Attempts
 
   /**
-   * Refuses a request that crashes the upstreams that run it: each copy of it would end
-   * one more, and all that runs there (thirteen in 13 s under one request, by the logs).
+   * Rejects a quarantined request and returns false. Each retry would crash another
+   * upstream, together with all requests in flight there.
    */
-  private mayRun(plan: Plan): boolean {
+  private passesQuarantine(plan: Plan): boolean {
     const {crashing} = this.parts;
-    if (crashing.isEmpty || !crashing.isQuarantined(this.fingerprint(plan))) {
+    if (
+      crashing.isEmpty ||
+      !crashing.isQuarantined(this.getFingerprint(plan))
+    ) {
       return true;
     }
     if (this.mayHaveRun) {
-      this.final.giveUp(QUARANTINED, true);
+      this.finalResponse.giveUp(QUARANTINED, true);
     } else {
-      this.final.refuse(400, QUARANTINED);
+      this.finalResponse.refuse(400, QUARANTINED);
     }
     return false;
   }
 
   private async forward(plan: Plan): Promise<void> {
-    const {parts, tried} = this;
-    const sending: RequestSize = {
+    const {parts, triedUpstreams} = this;
+    const requestSize: RequestSize = {
       bodyBytes: this.body.length,
-      heldBack: this.heldBack,
+      heldBack: this.deniedUpstreams,
       isLeastUrgent: this.table.isLeastUrgent(plan.route),
     };
-    while (!this.final.ended && this.mayRun(plan)) {
-      const placement = selectUpstream(parts, plan, tried, sending);
+    while (!this.finalResponse.ended && this.passesQuarantine(plan)) {
+      const placement = selectUpstream(
+        parts,
+        plan,
+        triedUpstreams,
+        requestSize,
+      );
       if (placement === undefined) {
-        const {cause, retryAfterS} = lackOf(parts, plan, sending);
-        this.final.giveUp(cause, this.mayHaveRun, retryAfterS);
+        const {cause, retryAfterS} = lackOf(parts, plan, requestSize);
+        this.finalResponse.giveUp(cause, this.mayHaveRun, retryAfterS);
         return;
       }
-      if (this.leftMs(plan.route) < LEAST_LEFT_MS) {
-        this.final.giveUp('no-time-left', this.mayHaveRun);
+      if (this.remainingMs(plan.route) < MIN_REMAINING_MS) {
+        this.finalResponse.giveUp('no-time-left', this.mayHaveRun);
         return;
       }
-      if (!(await this.isAdmitted(plan, placement.upstream, sending))) {
+      if (!(await this.acquirePermit(plan, placement.upstream, requestSize))) {
         continue;
       }
-      if (!this.mayArrive(plan)) {
-        this.final.giveUp('retry-budget', this.mayHaveRun);
+      if (!this.consumeRetryBudget(plan)) {
+        this.finalResponse.giveUp('retry-budget', this.mayHaveRun);
         return;
       }
-      const outcome = await this.attempt(plan, placement);
-      const done = await this.take(plan, placement.upstream, outcome);
-      if (done) {
+      const outcome = await this.startAttempt(plan, placement);
+      const hasEnded = await this.handleOutcome(
+        plan,
+        placement.upstream,
+        outcome,
+      );
+      if (hasEnded) {
         return;
       }
     }
   }
 
   /**
-   * Whether an upstream takes one more request. Asked before each send, whatever the
-   * send is for: an overloaded upstream bears so many from all edges together, and each
-   * of these sees too few of them to hold back by itself.
+   * Acquires a permit before each attempt, retries included. The rate limit of an
+   * upstream applies to all edges together, so no edge can enforce it alone.
    */
-  private async isAdmitted(
+  private async acquirePermit(
     plan: Plan,
     upstream: EdgeUpstream,
-    sending: RequestSize,
+    requestSize: RequestSize,
   ): Promise<boolean> {
-    const facts = admissionFacts(plan, sending);
-    const admitted = this.parts.admission.admit(upstream, facts);
+    const admission = admissionFacts(plan, requestSize);
+    const admitted = this.parts.admission.admit(upstream, admission);
     if (admitted === true) {
       return true;
     }
     const isGranted = await admitted;
-    // It may have said meanwhile that it leaves, or wants rest.
-    const takes = isGranted && upstream.serves && upstream.restLeftMs === 0;
-    if (!takes) {
-      this.heldBack.add(upstream);
+    // The upstream may have started to drain or back off during the wait.
+    const isAdmitted =
+      isGranted && upstream.serves && upstream.restLeftMs === 0;
+    if (!isAdmitted) {
+      this.deniedUpstreams.add(upstream);
     }
     this.parts.metrics.permits.inc({
       outcome: isGranted ? 'granted' : 'refused',
       service: plan.service.name,
     });
-    return takes && !this.final.ended;
+    return isAdmitted && !this.finalResponse.ended;
   }
 
-  /** Whether one more arrival at the service is within the shared budget. */
-  private mayArrive({service}: Plan): boolean {
+  /** Takes a retry from the budget of the service, except for the first attempt. */
+  private consumeRetryBudget({service}: Plan): boolean {
     const {retryBudgets} = this.parts;
-    if (this.attempts === 0) {
-      if (this.unsent === 0) {
-        retryBudgets.earn(service.name);
+    if (this.attemptCount === 0) {
+      if (this.unsentCount === 0) {
+        retryBudgets.recordRequest(service.name);
       }
       return true;
     }
-    return retryBudgets.spend(service.name);
+    return retryBudgets.tryConsume(service.name);
   }
 
-  private attempt(plan: Plan, placement: Placement): Promise<ExchangeOutcome> {
+  private startAttempt(
+    plan: Plan,
+    placement: Placement,
+  ): Promise<ExchangeOutcome> {
     const {body, caller, relay, table} = this;
     const {upstream} = placement;
-    this.upstream = upstream;
-    this.tried.add(upstream);
-    this.attempts += 1;
-    this.current = new Attempt(this.parts, {
+    this.lastUpstream = upstream;
+    this.triedUpstreams.add(upstream);
+    this.attemptCount += 1;
+    this.currentAttempt = new Attempt(this.parts, {
       body,
       caller,
-      configuration: table.version,
-      leftMs: this.leftMs(plan.route),
+      configurationVersion: table.version,
+      remainingMs: this.remainingMs(plan.route),
       placement,
       plan,
-      resumeAt: relay?.lastEventId,
+      lastEventId: relay?.lastEventId,
     });
-    return this.current.outcome;
+    return this.currentAttempt.outcome;
   }
 
-  /** Acts on an outcome; true when the request has come to its end. */
-  private async take(
+  /** Handles the outcome of an attempt. Returns true when the request has ended. */
+  private async handleOutcome(
     plan: Plan,
     upstream: EdgeUpstream,
     outcome: ExchangeOutcome,
@@ -330,155 +353,172 @@
     switch (outcome.kind) {
       case 'answer':
         this.mayHaveRun = true;
-        return this.pass(plan, upstream, outcome);
+        return this.relayResponse(plan, upstream, outcome);
       case 'rejected': {
         const {statusCode} = outcome.answer;
         if (statusCode === MISDIRECTED) {
-          // Another upstream answered; the one that was meant got nothing.
-          this.attempts -= 1;
-          this.unsent += 1;
+          // Another upstream has this address now, so the request did not run.
+          this.attemptCount -= 1;
+          this.unsentCount += 1;
           upstream.isReplaced();
         } else {
           upstream.full();
         }
-        return this.again(plan, upstream, `rejected-${statusCode}`, true);
+        return this.retryOrGiveUp(
+          plan,
+          upstream,
+          `rejected-${statusCode}`,
+          true,
+        );
       }
       case 'unsent':
-        this.attempts -= 1;
-        this.unsent += 1;
-        if (!this.final.ended) {
+        this.attemptCount -= 1;
+        this.unsentCount += 1;
+        if (!this.finalResponse.ended) {
           upstream.unreachable();
         }
-        return this.again(plan, upstream, outcome.cause, true);
+        return this.retryOrGiveUp(plan, upstream, outcome.cause, true);
       case 'broken':
         this.mayHaveRun = true;
-        if (!this.final.ended && outcome.cause !== INVALID_HEADER) {
-          this.brokeAt(plan, upstream, outcome.cause);
+        if (!this.finalResponse.ended && outcome.cause !== INVALID_HEADER) {
+          this.recordBrokenResponse(plan, upstream, outcome.cause);
         }
-        return this.again(plan, upstream, outcome.cause, false);
+        return this.retryOrGiveUp(plan, upstream, outcome.cause, false);
     }
   }
 
-  private noteServed(plan: Plan, status: number): void {
+  private recordSuccess(plan: Plan, status: number): void {
     if (status < FIRST_ERROR_STATUS) {
-      this.parts.crashing.served(this.fingerprint(plan));
+      this.parts.crashing.recordSuccess(this.getFingerprint(plan));
     }
   }
 
-  private brokeAt(plan: Plan, upstream: EdgeUpstream, cause: string): void {
+  private recordBrokenResponse(
+    plan: Plan,
+    upstream: EdgeUpstream,
+    cause: string,
+  ): void {
     upstream.broke(cause);
-    this.parts.crashing.broke(upstream, this.fingerprint(plan));
+    this.parts.crashing.recordBrokenRequest(
+      upstream,
+      this.getFingerprint(plan),
+    );
   }
 
-  private fingerprint({team}: Plan): string {
+  private getFingerprint({team}: Plan): string {
     const {body, caller} = this;
-    this.knownFingerprint ??= fingerprintOf({
+    this.cachedFingerprint ??= fingerprintOf({
       body,
       caller: team?.name ?? '',
       host: caller.header('host') ?? '',
       method: caller.method,
       path: caller.path,
     });
-    return this.knownFingerprint;
+    return this.cachedFingerprint;
   }
 
-  /** Whether to try again; where not, the final answer is sent at once. */
-  private again(
+  /**
+   * Decides whether to retry a failed attempt. Returns true when the request has ended,
+   * after an error response if it had none.
+   */
+  private retryOrGiveUp(
     plan: Plan,
     upstream: EdgeUpstream,
     cause: string,
-    notRun: boolean,
+    wasNotRun: boolean,
   ): boolean {
     const {route} = plan;
-    const allowed = notRun || route.repetition !== REPETITION.never;
-    const retry =
-      !this.final.ended &&
-      allowed &&
-      this.mayGoOn(route) &&
-      this.attempts < route.maxAttempts &&
-      this.unsent < MAX_UNSENT &&
-      // Without the retry that would have it quarantined, 4 in place of 5 of eight
-      // upstreams end (mean of six runs, three edges, 5 or 3 copies a second).
-      (notRun || !this.parts.crashing.isLastTry(this.fingerprint(plan)));
+    const isRepeatable = wasNotRun || route.repetition !== REPETITION.never;
+    const willRetry =
+      !this.finalResponse.ended &&
+      isRepeatable &&
+      this.canContinueResponse(route) &&
+      this.attemptCount < route.maxAttempts &&
+      this.unsentCount < MAX_UNSENT &&
+      // If one more crash would quarantine the request, a retry could crash an upstream.
+      (wasNotRun ||
+        !this.parts.crashing.isOneCrashFromQuarantine(
+          this.getFingerprint(plan),
+        ));
     this.parts.log.note({
       cause,
       configuration: this.table.version,
       event: 'attempt-failed',
-      fingerprint: notRun ? undefined : this.fingerprint(plan),
+      fingerprint: wasNotRun ? undefined : this.getFingerprint(plan),
       inFlight: upstream.inFlight,
-      mayHaveRun: !notRun,
+      mayHaveRun: !wasNotRun,
       request: this.caller.id,
-      retry,
+      retry: willRetry,
       upstream: upstream.id,
     });
-    if (!retry && !this.final.ended) {
-      this.final.giveUp(cause, this.mayHaveRun);
+    if (!willRetry && !this.finalResponse.ended) {
+      this.finalResponse.giveUp(cause, this.mayHaveRun);
     }
-    return !retry;
+    return !willRetry;
   }
 
-  /** Whether another answer could follow what was passed on already. */
-  private mayGoOn({repetition}: Route): boolean {
+  /** Whether another upstream can continue the response that the caller has so far. */
+  private canContinueResponse({repetition}: Route): boolean {
     const {relay} = this;
     const isResumable =
       repetition === REPETITION.resumable && relay?.lastEventId !== undefined;
     return relay?.begun !== true || isResumable;
   }
 
-  private async pass(
+  private async relayResponse(
     plan: Plan,
     upstream: EdgeUpstream,
-    {answer}: AnswerOutcome,
+    {answer: response}: ResponseOutcome,
   ): Promise<boolean> {
-    const relay = this.relayFor(plan, answer);
-    const status = answer.statusCode;
-    const {socket} = answer;
+    const relay = this.getRelay(plan, response);
+    const status = response.statusCode;
+    const {socket} = response;
     const {events: eventsBefore} = relay;
-    const ended = await relay
-      .pass(answer, this.retriesError(plan, upstream, status))
+    const relayEnd = await relay
+      .pass(response, this.shouldRetryError(plan, upstream, status))
       .finally(() => (upstream.inFlight -= 1));
     if (this.parts.crossing.isAway(upstream.record.hall)) {
       this.parts.regionTraffic.count(socket);
     }
-    this.current?.observation.ended({
-      end: ended,
+    this.currentAttempt?.observation.ended({
+      end: relayEnd,
       events: relay.events - eventsBefore,
       status,
-      timedOut: this.final.cause === 'timeout',
+      timedOut: this.finalResponse.cause === 'timeout',
     });
-    switch (ended) {
+    switch (relayEnd) {
       case RELAY.whole:
         if (status < FIRST_ERROR_STATUS) {
           upstream.succeeded();
         } else {
           upstream.answeredError();
         }
-        this.noteServed(plan, status);
-        this.final.end('served');
+        this.recordSuccess(plan, status);
+        this.finalResponse.end('served');
         return true;
       case RELAY.stopped:
         return true;
       case RELAY.broken:
-        return this.afterBreak(plan, upstream, status);
+        return this.handleBrokenResponse(plan, upstream, status);
     }
   }
 
-  private afterBreak(
+  private handleBrokenResponse(
     plan: Plan,
     upstream: EdgeUpstream,
     status: number,
   ): boolean {
     if (status >= FIRST_ERROR_STATUS) {
       upstream.answeredError();
-      return this.again(plan, upstream, `status-${status}`, false);
+      return this.retryOrGiveUp(plan, upstream, `status-${status}`, false);
     }
-    this.current?.abort('broke-off');
-    this.brokeAt(plan, upstream, 'broke-off');
-    return this.again(plan, upstream, 'broke-off', false);
+    this.currentAttempt?.abort('broke-off');
+    this.recordBrokenResponse(plan, upstream, 'broke-off');
+    return this.retryOrGiveUp(plan, upstream, 'broke-off', false);
   }
 
-  /** An error is tried elsewhere only where the upstream is its likely cause. */
-  private retriesError(
+  /** Whether to retry an error response: only if the upstream's error rate is high. */
+  private shouldRetryError(
     {route}: Plan,
     upstream: EdgeUpstream,
     status: number,
@@ -487,77 +527,84 @@
       status >= FIRST_ERROR_STATUS &&
       status !== 504 &&
       route.repetition !== REPETITION.never &&
-      this.attempts < route.maxAttempts &&
+      this.attemptCount < route.maxAttempts &&
       this.parts.pool.isGrey(upstream)
     );
   }
 
-  private relayFor({route}: Plan, answer: UpstreamAnswer): AnswerRelay {
+  private getRelay({route}: Plan, response: UpstreamAnswer): AnswerRelay {
     if (this.relay?.begun === true) {
       return this.relay;
     }
-    const firstByte = (): void => {
-      const took = this.parts.clock.now() - this.caller.startedAt;
-      this.parts.metrics.firstByte.observe({route: route.name}, took / 1_000);
+    const onFirstByte = (): void => {
+      const elapsedMs = this.parts.clock.now() - this.caller.startedAt;
+      this.parts.metrics.firstByte.observe(
+        {route: route.name},
+        elapsedMs / 1_000,
+      );
     };
     const isStream =
-      answer.headers['content-type']?.startsWith('text/event-stream');
+      response.headers['content-type']?.startsWith('text/event-stream');
     this.relay =
-      isStream === true && answer.statusCode === 200
-        ? new StreamRelay(this.caller, firstByte)
-        : new WholeRelay(this.caller, firstByte);
+      isStream === true && response.statusCode === 200
+        ? new StreamRelay(this.caller, onFirstByte)
+        : new WholeRelay(this.caller, onFirstByte);
     return this.relay;
   }
 
-  // Ends
+  // End of the request
 
-  private expire(): void {
-    if (this.final.ended) {
+  private onDeadline(): void {
+    if (this.finalResponse.ended) {
       return;
     }
-    const sent = this.mayHaveRun || this.current !== undefined;
-    this.final.refuse(sent ? 504 : 503, 'timeout', sent ? undefined : 1);
+    const wasSent = this.mayHaveRun || this.currentAttempt !== undefined;
+    this.finalResponse.refuse(
+      wasSent ? 504 : 503,
+      'timeout',
+      wasSent ? undefined : 1,
+    );
     this.relay?.stop();
-    this.current?.abort('timeout');
+    this.currentAttempt?.abort('timeout');
   }
 
-  private callerClosed(): void {
-    if (!this.final.ended && this.caller.abandoned) {
-      this.final.end(CALLER_LEFT);
+  private onCallerClosed(): void {
+    if (!this.finalResponse.ended && this.caller.abandoned) {
+      this.finalResponse.end(CALLER_LEFT);
       this.relay?.stop();
-      this.current?.abort(CALLER_LEFT);
+      this.currentAttempt?.abort(CALLER_LEFT);
     }
   }
 
-  /** The first few upstreams that had no permit; undefined where all had one. */
-  private get heldBackBy(): readonly string[] | undefined {
-    const held = [...this.heldBack].slice(0, LOGGED_HELD_BACK);
-    return held.length === 0 ? undefined : held.map(({id}) => id);
+  /** IDs of upstreams without a permit, for the log; undefined if there were none. */
+  private get deniedUpstreamIds(): readonly string[] | undefined {
+    const denied = [...this.deniedUpstreams].slice(0, MAX_LOGGED_UPSTREAMS);
+    return denied.length === 0 ? undefined : denied.map(({id}) => id);
   }
 
-  private note(charged = 0, facts?: TokenFacts): void {
-    const {attempts, caller, plan, relay, upstream, table} = this;
-    const {cause} = this.final;
+  private recordEnd(charged = 0, tokenFacts?: TokenFacts): void {
+    const {attemptCount, caller, plan, relay, lastUpstream, table} = this;
+    const {cause} = this.finalResponse;
     const {clock, log, metrics, totals} = this.parts;
     const status = caller.response.headersSent ? caller.response.statusCode : 0;
     const route = plan?.route.name ?? '';
     metrics.answers.inc({cause, route, status: String(status)});
     totals.count(status, cause);
     log.note({
-      attempts,
+      attempts: attemptCount,
       cause,
       charged,
       configuration: table.version,
       event: 'request-ended',
       events: relay?.events ?? 0,
-      fingerprint: this.knownFingerprint,
-      heldBackBy: this.heldBackBy,
+      fingerprint: this.cachedFingerprint,
+      heldBackBy: this.deniedUpstreamIds,
       request: caller.id,
       route,
-      upstream: upstream?.id,
+      upstream: lastUpstream?.id,
       status,
       team: plan?.team?.name,
-      tokens: facts,
+      tokens: tokenFacts,
       tookMs: Math.round(clock.now() - caller.startedAt),
     });
   }
--- a/packages/puffinturn-edge/src/requests/RequestPlan.ts
+++ b/packages/puffinturn-edge/src/requests/RequestPlan.ts
@@ -20,41 +20,41 @@
 import {RETRY_AFTER_MISSING_S} from '../EdgeConstants';
 import type {RouteTable} from './RouteTable';
 
-/** What is known of a request before it is sent anywhere. */
+/** Route, team, service and limits of a request, resolved before the first attempt. */
 export interface Plan {
   readonly route: Route;
   readonly team: Team | undefined;
   readonly service: Service;
   readonly tokens: TokenBounds | undefined;
   readonly parts: readonly PromptPart[];
-  /** Regions that may serve it, by its route and its team; undefined for all. */
+  /** Regions that route and team both allow; undefined for all. */
   readonly allowedRegions?: readonly string[] | undefined;
 }
 
-/** Why a request is answered without being sent. */
+/** Error response for a request that can't be forwarded. */
 export interface Refusal {
   readonly status: number;
   readonly cause: 'no-route' | 'no-service' | 'unknown-key';
   readonly retryAfterS: number | undefined;
 }
 
-/** Plans a request; `fraction` in [0, 1) draws the service of a split route. */
-export function planFor(
+/** Resolves a request. `fraction` in [0, 1) selects a target of a weighted route. */
+export function planRequest(
   caller: CallerRequest,
   table: RouteTable,
   dialect: CallerDialect,
   fraction: number,
 ): Result<Plan, Refusal> {
   const host = (caller.header('host') ?? '').replace(/:\d+$/, '');
-  const route = table.find(host, caller.path);
+  const route = table.findRoute(host, caller.path);
   if (route === undefined) {
     return refusal(404, 'no-route');
   }
-  const team = table.teamOf(caller.header(dialect.headers.key));
-  if (team === undefined && table.needsKey(route)) {
+  const team = table.findTeam(caller.header(dialect.headers.key));
+  if (team === undefined && table.requiresKey(route)) {
     return refusal(401, 'unknown-key');
   }
-  const service = table.serviceFor(route, fraction);
+  const service = table.pickService(route, fraction);
   if (service === undefined) {
     return refusal(503, 'no-service', RETRY_AFTER_MISSING_S);
   }
--- a/packages/puffinturn-edge/src/requests/RetryBudgets.ts
+++ b/packages/puffinturn-edge/src/requests/RetryBudgets.ts
@@ -6,49 +6,52 @@
  */
 
 /**
- * The retry budget of each service. It is one figure over all edges; each edge
- * takes its part, as the number of edges that it last knew of gives it.
+ * Retry budgets by service. The configured limit holds for all edges together, so each
+ * edge uses its share, given the number of known edges.
  */
 import {ShareRetryBudget} from 'puffinturn-routing';
 
-/** The bound over all edges. */
+/** Limit on retries of a service, over all edges. */
 export interface RetryBound {
-  /** Retries for each request. */
+  /** Retries per request. */
   readonly ratio: number;
-  /** Retries beyond that in a window. */
+  /** Additional retries per window. */
   readonly extra: number;
 }
 
-/** Part of the bound that is used, since edges can come and go. */
-const USED_PART = 0.6;
+/** Share of the limit in use; the rest allows for edges that are not known yet. */
+const USABLE_SHARE = 0.6;
 
-/** See the module comment. */
+/** Limits retries, so that failures of a service don't multiply its load. */
 export class RetryBudgets {
   private readonly budgets = new Map<string, ShareRetryBudget>();
 
   constructor(
-    private readonly bound: RetryBound,
-    private readonly edges: () => number,
+    private readonly limit: RetryBound,
+    private readonly edgeCount: () => number,
   ) {}
 
-  /** Notes the first arrival of a request at a service. */
-  earn(service: string): void {
-    this.budgetOf(service).earn();
+  /** Adds the first attempt of a request to the budget of its service. */
+  recordRequest(service: string): void {
+    this.getBudget(service).earn();
   }
 
-  /** Takes one further arrival; false when there is none left. */
-  spend(service: string): boolean {
-    return this.budgetOf(service).spend();
+  /** Takes one retry from the budget; false if it is exhausted. */
+  tryConsume(service: string): boolean {
+    return this.getBudget(service).spend();
   }
 
-  private budgetOf(service: string): ShareRetryBudget {
-    const known = this.budgets.get(service);
-    if (known !== undefined) {
-      return known;
+  private getBudget(service: string): ShareRetryBudget {
+    const existing = this.budgets.get(service);
+    if (existing !== undefined) {
+      return existing;
     }
-    const {extra, ratio} = this.bound;
-    const part = (extra * USED_PART) / Math.max(1, this.edges());
-    const budget = new ShareRetryBudget(ratio * USED_PART, Math.max(1, part));
+    const {extra, ratio} = this.limit;
+    const ownExtra = (extra * USABLE_SHARE) / Math.max(1, this.edgeCount());
+    const budget = new ShareRetryBudget(
+      ratio * USABLE_SHARE,
+      Math.max(1, ownExtra),
+    );
     this.budgets.set(service, budget);
     return budget;
   }
--- a/packages/puffinturn-edge/src/requests/RouteTable.ts
+++ b/packages/puffinturn-edge/src/requests/RouteTable.ts
@@ -10,30 +10,30 @@
 import {regionsInBoth, routePlace} from 'puffinturn-fleet';
 import {drawByWeight} from 'shared';
 
-/** One configuration, prepared for look-ups. */
+/** Indexes one configuration for look-ups by host, key and name. */
 export class RouteTable {
-  /** The version in force. */
+  /** Version of the configuration. */
   readonly version: number;
-  private readonly byHost = new Map<string, Route[]>();
-  private readonly byKey = new Map<string, Team>();
-  private readonly byName = new Map<string, Service>();
-  private readonly regionsByPlace = new Map<string, readonly string[]>();
+  private readonly routesByHost = new Map<string, Route[]>();
+  private readonly teamsByKey = new Map<string, Team>();
+  private readonly services = new Map<string, Service>();
+  private readonly regionsByRoute = new Map<string, readonly string[]>();
   private readonly regionsByTeam = new Map<string, readonly string[]>();
-  /** Ranks of the most and the least urgent routes to engines. */
-  private readonly ranks: {readonly first: number; readonly last: number};
+  /** Range of priorities of the routes to engines; a lower number is more urgent. */
+  private readonly engineRanks: {readonly min: number; readonly max: number};
 
   constructor(readonly configuration: FleetConfiguration) {
     this.version = configuration.version;
     for (const route of configuration.routes) {
       const host = route.host.toLowerCase();
-      const routes = this.byHost.get(host) ?? [];
+      const routes = this.routesByHost.get(host) ?? [];
       routes.push(route);
-      this.byHost.set(host, routes);
+      this.routesByHost.set(host, routes);
       if (route.allowedRegions !== undefined) {
-        this.regionsByPlace.set(routePlace(route), route.allowedRegions);
+        this.regionsByRoute.set(routePlace(route), route.allowedRegions);
       }
     }
-    for (const routes of this.byHost.values()) {
+    for (const routes of this.routesByHost.values()) {
       routes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
     }
     for (const team of configuration.teams ?? []) {
@@ -41,72 +41,72 @@
         this.regionsByTeam.set(team.name, team.allowedRegions);
       }
       for (const key of team.keys) {
-        this.byKey.set(key, team);
+        this.teamsByKey.set(key, team);
       }
     }
     for (const service of configuration.services) {
-      this.byName.set(service.name, service);
+      this.services.set(service.name, service);
     }
     const ranks = configuration.routes
-      .filter((route) => this.reachesEngine(route))
+      .filter((route) => this.targetsEngine(route))
       .map(({priority}) => priority);
-    this.ranks = {first: Math.min(...ranks), last: Math.max(...ranks)};
+    this.engineRanks = {min: Math.min(...ranks), max: Math.max(...ranks)};
   }
 
   /**
-   * Whether requests of a route give way where tokens run short: those of the
-   * least urgent rank, if there is a more urgent one.
+   * Whether a route has the least urgent rank of at least two. Its requests are
+   * shed first when capacity runs short.
    */
   isLeastUrgent({priority}: Route): boolean {
-    const {first, last} = this.ranks;
-    return priority === last && first < last;
+    const {min, max} = this.engineRanks;
+    return priority === max && min < max;
   }
 
-  /** The route with the longest prefix that begins the path. */
-  find(host: string, path: string): Route | undefined {
-    return this.byHost
+  /** Finds the route with the longest matching path prefix. */
+  findRoute(host: string, path: string): Route | undefined {
+    return this.routesByHost
       .get(host.toLowerCase())
       ?.find(({pathPrefix}) => path.startsWith(pathPrefix));
   }
 
-  /** Whether a request of this route must carry a key. */
-  needsKey(route: Route): boolean {
+  /** Whether requests of a route need an API key. */
+  requiresKey(route: Route): boolean {
     return this.configuration.teams !== undefined && !route.anonymous;
   }
 
-  /** The team that holds a key. */
-  teamOf(key: string | undefined): Team | undefined {
-    return key === undefined ? undefined : this.byKey.get(key);
+  /** Finds the team that owns an API key. */
+  findTeam(key: string | undefined): Team | undefined {
+    return key === undefined ? undefined : this.teamsByKey.get(key);
   }
 
   /**
-   * The regions that this configuration allows a request of a route and a team
-   * of another version; undefined for all.
+   * Regions that this configuration allows for a route and a team, which may come from
+   * another version of the configuration; undefined for all.
    */
   allowedRegions(
     route: Route,
     team: Team | undefined,
   ): readonly string[] | undefined {
     return regionsInBoth(
-      this.regionsByPlace.get(routePlace(route)),
+      this.regionsByRoute.get(routePlace(route)),
       team === undefined ? undefined : this.regionsByTeam.get(team.name),
     );
   }
 
-  /** A service by its name. */
+  /** Finds a service by name. */
   service(name: string): Service | undefined {
-    return this.byName.get(name);
+    return this.services.get(name);
   }
 
-  private reachesEngine({targets}: Route): boolean {
+  private targetsEngine({targets}: Route): boolean {
     return targets.some(({service, weight}) => {
-      return weight > 0 && this.byName.get(service)?.engine !== undefined;
+      return weight > 0 && this.services.get(service)?.engine !== undefined;
     });
   }
 
-  /** The service of a route, drawn by weight with `fraction` in [0, 1). */
-  serviceFor({targets}: Route, fraction: number): Service | undefined {
-    const drawn = drawByWeight(targets, ({weight}) => weight, fraction);
-    return drawn === undefined ? undefined : this.service(drawn.service);
+  /** Selects the service of a route by weight, with `fraction` in [0, 1). */
+  pickService({targets}: Route, fraction: number): Service | undefined {
+    const target = drawByWeight(targets, ({weight}) => weight, fraction);
+    return target === undefined ? undefined : this.service(target.service);
   }
 }
