--- a/packages/puffinturn-edge/src/ControlQuestions.ts
+++ b/packages/puffinturn-edge/src/ControlQuestions.ts
@@ -6,61 +6,60 @@
  */
 
 /**
- * Asks the leader through any control box: for tokens of budgets, for requests to a new
- * version, or to take a report. Each box passes the question on to the leader that it
- * knows.
+ * Sends requests to the leader of the control plane through any control box, which
+ * forwards them to the leader.
  */
 import type {Link} from 'puffinturn-wire';
 
-/** Control boxes that one question is offered to before a pause. */
-const CONTROLS_TRIED = 3;
+/** Maximum number of control boxes tried for one request. */
+const MAX_ATTEMPTS = 3;
 
-/** What is asked, and how. */
+/** A request to the control plane. */
 export interface ControlQuestion {
   readonly service: string;
   readonly request: unknown;
-  /** Longest time for the answer of one control box, ms. */
+  /** Timeout for the reply of one control box, ms. */
   readonly answerMs: number;
-  /** Told of each control box that does not answer. */
+  /** Called for each control box that fails to reply. */
   readonly onSilent?: () => void;
 }
 
-/** A reply without grants means that the question may be asked again. */
-interface GrantReply<Grants> {
+/** A reply without grants means that the request can be repeated. */
+interface GrantsReply<Grants> {
   readonly grants: Grants | null | undefined;
 }
 
-/** The first reply of a control box that settles a question; undefined for none. */
+/** Returns the first reply that `isAccepted` accepts; undefined if there is none. */
 export async function askControls<Reply>(
   link: Link,
-  controls: readonly string[],
+  controlBoxes: readonly string[],
   {answerMs, onSilent, request, service}: ControlQuestion,
-  settles: (reply: Reply) => boolean,
+  isAccepted: (reply: Reply) => boolean,
 ): Promise<Reply | undefined> {
-  for (const control of controls.slice(0, CONTROLS_TRIED)) {
-    const answer = await link.call(control, service, request, answerMs);
-    if (answer.isErr()) {
+  for (const box of controlBoxes.slice(0, MAX_ATTEMPTS)) {
+    const result = await link.call(box, service, request, answerMs);
+    if (result.isErr()) {
       onSilent?.();
       continue;
     }
-    const reply = answer.value as Reply;
-    if (settles(reply)) {
+    const reply = result.value as Reply;
+    if (isAccepted(reply)) {
       return reply;
     }
   }
   return undefined;
 }
 
-/** The first grants that one of the control boxes brings; undefined for none. */
+/** Returns the grants of the first reply that has any; undefined if there is none. */
 export async function askForGrants<Grants>(
   link: Link,
-  controls: readonly string[],
-  question: ControlQuestion,
+  controlBoxes: readonly string[],
+  request: ControlQuestion,
 ): Promise<Grants | undefined> {
-  const reply = await askControls<GrantReply<Grants>>(
+  const reply = await askControls<GrantsReply<Grants>>(
     link,
-    controls,
-    question,
+    controlBoxes,
+    request,
     ({grants}) => grants !== undefined && grants !== null,
   );
   return reply?.grants ?? undefined;
--- a/packages/puffinturn-edge/src/Edge.ts
+++ b/packages/puffinturn-edge/src/Edge.ts
@@ -6,8 +6,8 @@
  */
 
 /**
- * An edge: takes callers' requests and serves them from the configuration, the
- * upstreams and the allowances that it holds, however long the core is away.
+ * An edge: accepts requests and forwards them to upstreams. It serves from its cached
+ * configuration, upstreams and token allowances while the control plane is unreachable.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
@@ -36,22 +36,22 @@
 import type {Link} from 'puffinturn-wire';
 import type {Clock, Random} from 'shared';
 
-import {BacklogLines} from './callers/BacklogLines';
-import type {BacklogWatch} from './callers/BacklogWatch';
+import {BacklogLogger} from './callers/BacklogLines';
+import type {BacklogMonitor} from './callers/BacklogWatch';
 import type {CallerDialect} from './callers/CallerDialect';
 import {CallerRequest} from './callers/CallerRequest';
 import type {HttpAddress, HttpListenFailure} from './callers/EdgeHttp';
 import {headerBytes, HttpListener} from './callers/EdgeHttp';
-import {StepAside} from './callers/StepAside';
+import {OverloadWithdrawal} from './callers/StepAside';
 import {RETRY_AFTER_MISSING_S, RETRY_AFTER_STOPPING_S} from './EdgeConstants';
 import {EdgeMetrics} from './EdgeMetrics';
-import {EdgeNews} from './EdgeNews';
+import {EdgeUpdates} from './EdgeNews';
 import {KnownBoxes} from './KnownBoxes';
 import {Neighbours} from './Neighbours';
 import {CrossingEpisodes} from './regions/CrossingEpisodes';
 import {RegionCrossing} from './regions/RegionCrossing';
 import {RegionTraffic} from './regions/RegionTraffic';
-import {Renewal} from './Renewal';
+import {WakeRefresh} from './Renewal';
 import {CrashingRequests} from './requests/CrashingRequests';
 import type {ForwardingParts} from './requests/Forwarding';
 import {Forwarding} from './requests/Forwarding';
@@ -69,7 +69,7 @@
 import {ExpectedTime, ShorterWait} from './upstreams/UpstreamChoice';
 import {UpstreamPool} from './upstreams/UpstreamPool';
 
-/** What an edge is made of. */
+/** Dependencies and addresses of an edge. */
 export interface EdgeParts {
   readonly self: BoxRecord;
   readonly seeds: () => readonly string[];
@@ -83,75 +83,75 @@
   readonly callers: HttpAddress;
   readonly ready: HttpAddress & {readonly path: string};
   readonly metrics: HttpAddress & {readonly path: string};
-  /** The region of each hall; they may change. */
+  /** The region of each hall; may change at run time. */
   readonly regions: Regions;
 }
 
-/** Without an answer by barrier, an edge is ready after this time, ms. */
-const SETTLE_MS = 2_500;
+/** Time after which a starting edge is ready even if its state may be stale, ms. */
+const READY_FALLBACK_MS = 2_500;
 
 /**
- * Without an answer of the core for this time after its start, an edge takes
- * what it serves from from other edges, ms; the core answers sooner in all calm.
+ * Time without a reply of the control plane after which a starting edge accepts state
+ * from other edges, ms; a reachable control plane replies sooner.
  */
-const NEEDS_STATE_MS = 400;
+const HANDOVER_DELAY_MS = 400;
 
-/** Control boxes asked for news at a time; the others stand by. */
-const CONTROLS_ASKED = 2;
+/** Control boxes polled for updates at a time; the others are on standby. */
+const MAX_POLLED_CONTROL_BOXES = 2;
 
-/** Least time that a stopping edge goes on taking requests, ms. */
-const LINGER_MS = 3_000;
+/** Maximum time that a draining edge still accepts requests, ms. */
+const DRAIN_NOTICE_MS = 3_000;
 
-/** A stopping edge that had no request for this long has nothing to do, ms. */
-const QUIET_MS = 700;
+/** Time without requests after which a drain is complete, ms. */
+const DRAIN_IDLE_MS = 700;
 
-/** How often a stopping edge looks whether it is done, ms. */
-const LOOK_MS = 50;
+/** Interval at which completion of a drain is checked, ms. */
+const DRAIN_CHECK_INTERVAL_MS = 50;
 
-/** Time of the grace that is left unused, ms. */
-const CLOSING_MS = 250;
+/** Part of the grace period that is reserved for shutting down, ms. */
+const SHUTDOWN_RESERVE_MS = 250;
 
-/** See the module comment. */
+/** Serves requests, and follows the state of the fleet. */
 export class Edge implements AsyncDisposable {
   readonly metrics = new EdgeMetrics();
   readonly pool: UpstreamPool;
-  /** Requests that must not be run. */
-  readonly crashing: CrashingRequests;
+  /** Requests that are quarantined because they crash upstreams. */
+  readonly crashingRequests: CrashingRequests;
   private readonly allowances: Allowances;
   private readonly exposures: Exposures;
   private readonly exposureExchange: ExposureExchange;
   private readonly totals: Totals;
-  private readonly episodes: CrossingEpisodes;
-  private readonly watch: FleetWatch;
-  private readonly neighbours: Neighbours;
-  private readonly stepAside: StepAside;
+  private readonly crossingEpisodes: CrossingEpisodes;
+  private readonly fleetWatch: FleetWatch;
+  private readonly neighbourRecovery: Neighbours;
+  private readonly withdrawal: OverloadWithdrawal;
   private readonly permits: Permits;
   private readonly limitReports: LimitReports;
   private readonly forwarding: ForwardingParts;
   private readonly listeners: HttpListener[] = [];
-  /** How long callers wait to be read; nothing is known before all listen. */
-  private backlog: BacklogWatch | undefined;
-  /** When it began to learn what it serves from: its start, or a wake-up. */
+  /** Undefined until all servers listen. */
+  private backlogMonitor: BacklogMonitor | undefined;
+  /** Time of the start or of the last wake-up, monotonic ms. */
   private startedAt: number;
-  private readonly renewal: Renewal;
-  private readonly boxes: KnownBoxes;
-  /** Whether another edge handed over what is served from. */
-  private handedOver = false;
-  private table: RouteTable | undefined;
-  private open = 0;
+  private readonly wakeRefresh: WakeRefresh;
+  private readonly knownBoxes: KnownBoxes;
+  /** Whether the state was received from another edge. */
+  private hasHandover = false;
+  private routeTable: RouteTable | undefined;
+  private openRequests = 0;
   private lastRequestAt: number;
-  private stopping = false;
-  /** Whether callers have had time to go elsewhere since the stop began. */
-  private lingering = false;
-  private wasReady = false;
+  private isStopping = false;
+  /** Whether new requests are rejected; set late in a drain. */
+  private rejectsRequests = false;
+  private lastReportedReady = false;
 
   private constructor(private readonly parts: EdgeParts) {
     const {clock, link, log, random, regions, self} = parts;
     this.startedAt = clock.now();
     this.lastRequestAt = this.startedAt;
-    this.boxes = new KnownBoxes(parts);
+    this.knownBoxes = new KnownBoxes(parts);
     this.pool = new UpstreamPool(clock, log);
-    // The watch asks at once which roll-outs are held.
+    // Must exist before the fleet watch, which reads the roll-out revision at once.
     this.exposures = new Exposures({
       clock,
       log,
@@ -159,20 +159,20 @@
       pool: this.pool,
       random,
     });
-    this.crashing = new CrashingRequests({
+    this.crashingRequests = new CrashingRequests({
       box: self.box,
       clock,
-      controls: () => this.controls(),
+      controls: () => this.controlBoxes(),
       link,
       log,
       metrics: this.metrics,
     });
-    this.watch = new FleetWatch({
-      askedAtOnce: CONTROLS_ASKED,
+    this.fleetWatch = new FleetWatch({
+      askedAtOnce: MAX_POLLED_CONTROL_BOXES,
       clock,
       link,
       log,
-      news: new EdgeNews(this),
+      news: new EdgeUpdates(this),
       regions,
       seeds: parts.seeds,
       self,
@@ -180,51 +180,51 @@
     this.allowances = new Allowances({
       box: self.box,
       clock,
-      controls: () => this.controls(),
+      controls: () => this.controlBoxes(),
       hall: self.hall,
       life: lifeOf(self),
       link,
       log,
-      peers: () => this.boxes.peers,
+      peers: () => this.knownBoxes.peers,
       regions,
     });
     this.exposureExchange = new ExposureExchange({
       box: self.box,
       clock,
-      controls: () => this.controls(),
+      controls: () => this.controlBoxes(),
       exposures: this.exposures,
       life: lifeOf(self),
       link,
     });
     this.totals = new Totals(clock, log, () => this.allowances.status());
-    this.episodes = new CrossingEpisodes(clock, log);
-    this.neighbours = new Neighbours({
+    this.crossingEpisodes = new CrossingEpisodes(clock, log);
+    this.neighbourRecovery = new Neighbours({
       clock,
-      edges: () => this.boxes.peers,
-      inTouch: () => this.watch.inTouch,
+      edges: () => this.knownBoxes.peers,
+      inTouch: () => this.fleetWatch.inTouch,
       link,
       needsState: () => this.needsState,
       regions,
       self,
-      state: () => this.state(),
-      take: (state, source) => this.takeOver(state, source),
+      state: () => this.handoverState(),
+      take: (state, source) => this.applyHandover(state, source),
     });
-    this.stepAside = new StepAside({
-      ageMs: () => this.backlog?.ageMs ?? 0,
+    this.withdrawal = new OverloadWithdrawal({
       clock,
-      edges: () => this.boxes.peers,
+      isServing: () => this.canServe,
       link,
       log,
-      ready: () => this.serves,
+      otherEdges: () => this.knownBoxes.peers,
+      queueAgeMs: () => this.backlogMonitor?.queueAgeMs ?? 0,
       self,
     });
-    this.renewal = new Renewal({
+    this.wakeRefresh = new WakeRefresh({
       clock,
       link,
       log,
+      onWake: () => (this.startedAt = clock.now()),
       pool: this.pool,
-      watch: this.watch,
-      woke: () => (this.startedAt = clock.now()),
+      watch: this.fleetWatch,
     });
     this.permits = new Permits({
       areTogether: (hall, other) => regions.areTogether(hall, other),
@@ -235,7 +235,7 @@
       limitOf: (id) => this.pool.limitOf(id),
       link,
       onCount: (count) => log.note({...count, event: 'permits-counted'}),
-      peers: () => this.boxes.peers,
+      peers: () => this.knownBoxes.peers,
       self,
     });
     const admission = new PermitAdmission(this.permits);
@@ -243,7 +243,7 @@
       admission,
       box: self.box,
       clock,
-      controls: () => this.controls(),
+      controls: () => this.controlBoxes(),
       link,
       pool: this.pool,
     });
@@ -253,39 +253,47 @@
       clock,
       crossing: new RegionCrossing({
         clock,
-        edges: () => this.boxes.edgesOfRegion,
-        episodes: this.episodes,
+        edges: () => this.knownBoxes.regionEdgeCount,
+        episodes: this.crossingEpisodes,
         hall: self.hall,
         regions,
       }),
       dialect: parts.dialect,
       engineChoice: new ExpectedTime(),
-      crashing: this.crashing,
+      crashing: this.crashingRequests,
       homeProbes: new HomeProbes(clock),
       exposures: this.exposures,
       limitReports: this.limitReports,
       log,
       metrics: this.metrics,
-      newestRegions: (route, team) => this.table?.allowedRegions(route, team),
+      newestRegions: (route, team) =>
+        this.routeTable?.allowedRegions(route, team),
       plainChoice: new ShorterWait(random),
       pool: this.pool,
       random,
       regionTraffic: new RegionTraffic(this.metrics),
       regions,
-      retryBudgets: new RetryBudgets(parts.retryBound, () => this.boxes.edges),
-      returnTimes: new ReturnTimes(clock, random, () => this.boxes.edges),
+      retryBudgets: new RetryBudgets(
+        parts.retryBound,
+        () => this.knownBoxes.edgeCount,
+      ),
+      returnTimes: new ReturnTimes(
+        clock,
+        random,
+        () => this.knownBoxes.edgeCount,
+      ),
       hall: self.hall,
       totals: this.totals,
     };
   }
 
-  /** Starts to listen and to follow the fleet. */
+  /** Starts the servers and following the state of the fleet. */
   static open(parts: EdgeParts): ResultAsync<Edge, HttpListenFailure> {
     const edge = new Edge(parts);
     return safeTry(async function* () {
       edge.listeners.push(
         yield* HttpListener.open(parts.callers, (request, response) =>
-          edge.take(request, response),
+          edge.handleRequest(request, response),
         ),
         yield* HttpListener.open(parts.ready, (request, response) =>
           edge.answerReady(request, response),
@@ -294,211 +302,237 @@
           edge.answerMetrics(request, response),
         ),
       );
-      const lines = new BacklogLines(parts.log);
-      edge.backlog = edge.listeners[0]?.watchBacklog(parts.clock, (ageMs) =>
-        lines.update(ageMs, edge.open),
+      const backlogLogger = new BacklogLogger(parts.log);
+      edge.backlogMonitor = edge.listeners[0]?.monitorBacklog(
+        parts.clock,
+        (queueAgeMs) => backlogLogger.update(queueAgeMs, edge.openRequests),
       );
       return ok<Edge, HttpListenFailure>(edge);
     });
   }
 
-  /** The version in force here, or -Infinity. */
+  /** Version of the current configuration; -Infinity if there is none. */
   get configurationVersion(): number {
-    return this.table?.version ?? -Infinity;
+    return this.routeTable?.version ?? -Infinity;
   }
 
-  /** Whether this edge should get new connections. */
+  /** Whether load balancers should send new connections to this edge. */
   get ready(): boolean {
-    return this.serves && !this.stepAside.aside;
+    return this.canServe && !this.withdrawal.isWithdrawn;
   }
 
-  /** Whether this edge can serve and means to go on. */
-  private get serves(): boolean {
-    if (this.stopping || this.table === undefined) {
+  /** Whether this edge has a state to serve from and is not draining. */
+  private get canServe(): boolean {
+    if (this.isStopping || this.routeTable === undefined) {
       return false;
     }
-    const settled = this.parts.clock.now() - this.startedAt > SETTLE_MS;
+    const isPastFallback =
+      this.parts.clock.now() - this.startedAt > READY_FALLBACK_MS;
     return (
-      this.watch.current ||
-      (this.handedOver && !this.watch.inTouch) ||
-      (settled && this.watch.answered > 0)
+      this.fleetWatch.current ||
+      (this.hasHandover && !this.fleetWatch.inTouch) ||
+      (isPastFallback && this.fleetWatch.answered > 0)
     );
   }
 
-  /** Puts a configuration in force, unless a newer one is. */
+  /** Applies a configuration if it is newer than the current one. */
   configure(configuration: FleetConfiguration, source: string): void {
-    const former = this.table?.version;
-    if (former !== undefined && configuration.version <= former) {
+    const previousVersion = this.routeTable?.version;
+    if (
+      previousVersion !== undefined &&
+      configuration.version <= previousVersion
+    ) {
       return;
     }
-    this.table = new RouteTable(configuration);
+    this.routeTable = new RouteTable(configuration);
     this.allowances.configure(configuration.teams ?? []);
-    this.listeners[0]?.limit(configuration.limits);
+    this.listeners[0]?.applyLimits(configuration.limits);
     this.metrics.configurationVersion.set(configuration.version);
     this.parts.log.note({
       event: 'configuration-adopted',
-      former,
+      former: previousVersion,
       source,
       version: configuration.version,
     });
   }
 
-  /** Puts a change in force where its base is; else a later answer brings it. */
-  change(change: ConfigurationChange, source: string): void {
-    const held = this.table?.configuration;
-    if (held?.version === change.base) {
-      this.configure(applyChange(held, change), source);
+  /** Applies a configuration change if its base is the current version. */
+  applyConfigurationChange(change: ConfigurationChange, source: string): void {
+    const current = this.routeTable?.configuration;
+    if (current?.version === change.base) {
+      this.configure(applyChange(current, change), source);
     }
   }
 
-  /** Puts evacuations in force, unless newer ones are. */
-  evacuate(found: Evacuations, source: string): void {
-    this.pool.evacuate(found, source, (service) => {
-      return this.table?.service(service)?.coldStart?.durationMs ?? 0;
+  /** Applies evacuations if they are newer than the current ones. */
+  applyEvacuations(evacuations: Evacuations, source: string): void {
+    this.pool.evacuate(evacuations, source, (service) => {
+      return this.routeTable?.service(service)?.coldStart?.durationMs ?? 0;
     });
   }
 
-  /** The revision of the roll-outs in force here. */
+  /** Revision of the current roll-outs. */
   get rolloutRevision(): number {
     return this.exposures.rollouts.revision;
   }
 
-  /** Puts roll-outs in force, unless newer ones are. */
-  rollOut(found: Rollouts, source: string): void {
-    this.exposures.adopt(found, source);
+  /** Applies roll-outs if they are newer than the current ones. */
+  applyRollouts(rollouts: Rollouts, source: string): void {
+    this.exposures.adopt(rollouts, source);
   }
 
-  /** Takes over who else is alive. */
+  /** Replaces the list of boxes. */
   learnBoxes(records: readonly BoxRecord[]): void {
-    this.boxes.learn(records);
+    this.knownBoxes.update(records);
   }
 
   /**
-   * Stops within the grace: not ready at once, goes on serving until callers
-   * were sent elsewhere and nothing is open, then hands its allowances back.
+   * Drains within the grace period: reports not ready, serves until load balancers
+   * have had time to react, then rejects new requests, returns its token allowances
+   * and waits for open requests.
    */
   async drain(graceMs: number): Promise<void> {
     const {clock, log} = this.parts;
-    const began = clock.now();
-    const until = began + graceMs - CLOSING_MS;
-    this.stopping = true;
-    const detail = `${this.open} open`;
+    const startedAt = clock.now();
+    const deadline = startedAt + graceMs - SHUTDOWN_RESERVE_MS;
+    this.isStopping = true;
+    const detail = `${this.openRequests} open requests`;
     log.note({detail, event: 'process-changed', phase: 'draining'});
-    await clock.sleep(Math.min(LINGER_MS, graceMs / 2));
-    this.lingering = true;
+    await clock.sleep(Math.min(DRAIN_NOTICE_MS, graceMs / 2));
+    this.rejectsRequests = true;
     this.listeners[0]?.closeIdle();
-    const returned = this.allowances.close();
-    while (clock.now() < until) {
-      const quiet = clock.now() - this.lastRequestAt >= QUIET_MS;
-      if (this.open === 0 && quiet) {
+    const allowancesReturned = this.allowances.close();
+    while (clock.now() < deadline) {
+      const isIdle = clock.now() - this.lastRequestAt >= DRAIN_IDLE_MS;
+      if (this.openRequests === 0 && isIdle) {
         break;
       }
-      await clock.sleep(LOOK_MS);
+      await clock.sleep(DRAIN_CHECK_INTERVAL_MS);
     }
-    await Promise.race([returned, clock.sleep(CLOSING_MS / 2)]);
-    const cut = `${this.open} cut`;
-    log.note({detail: cut, event: 'process-changed', phase: 'stopped'});
+    await Promise.race([
+      allowancesReturned,
+      clock.sleep(SHUTDOWN_RESERVE_MS / 2),
+    ]);
+    const abortedDetail = `${this.openRequests} requests aborted`;
+    log.note({
+      detail: abortedDetail,
+      event: 'process-changed',
+      phase: 'stopped',
+    });
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    this.backlog?.[Symbol.dispose]();
-    await this.renewal[Symbol.asyncDispose]();
+    this.backlogMonitor?.[Symbol.dispose]();
+    await this.wakeRefresh[Symbol.asyncDispose]();
     await Promise.all(
       this.listeners.map((listener) => listener[Symbol.asyncDispose]()),
     );
     await this.totals[Symbol.asyncDispose]();
-    await this.episodes[Symbol.asyncDispose]();
-    await this.crashing[Symbol.asyncDispose]();
+    await this.crossingEpisodes[Symbol.asyncDispose]();
+    await this.crashingRequests[Symbol.asyncDispose]();
     await this.limitReports[Symbol.asyncDispose]();
     this.permits[Symbol.dispose]();
     await this.allowances[Symbol.asyncDispose]();
     await this.exposureExchange[Symbol.asyncDispose]();
-    await this.neighbours[Symbol.asyncDispose]();
-    await this.stepAside[Symbol.asyncDispose]();
-    await this.watch[Symbol.asyncDispose]();
+    await this.neighbourRecovery[Symbol.asyncDispose]();
+    await this.withdrawal[Symbol.asyncDispose]();
+    await this.fleetWatch[Symbol.asyncDispose]();
     this.pool[Symbol.dispose]();
   }
 
   private get needsState(): boolean {
-    const age = this.parts.clock.now() - this.startedAt;
+    const elapsedMs = this.parts.clock.now() - this.startedAt;
     return (
-      this.table === undefined &&
-      this.watch.answered === 0 &&
-      age > NEEDS_STATE_MS &&
-      !this.stopping
+      this.routeTable === undefined &&
+      this.fleetWatch.answered === 0 &&
+      elapsedMs > HANDOVER_DELAY_MS &&
+      !this.isStopping
     );
   }
 
-  private state(): HandOver | undefined {
-    const configuration = this.table?.configuration;
+  private handoverState(): HandOver | undefined {
+    const configuration = this.routeTable?.configuration;
     return configuration === undefined
       ? undefined
       : {
-          boxes: this.boxes.all,
+          boxes: this.knownBoxes.all,
           configuration,
           evacuations: this.pool.evacuations,
-          quarantine: this.crashing.quarantine,
+          quarantine: this.crashingRequests.quarantine,
           rollouts: this.exposures.rollouts,
           upstreams: this.pool.records(),
         };
   }
 
-  private takeOver(state: HandOver, source: string): void {
-    this.learnBoxes(state.boxes);
-    this.watch.learn(state.boxes);
-    this.rollOut(state.rollouts ?? NO_ROLLOUTS, source);
-    this.pool.merge(state.upstreams, source);
-    this.configure(state.configuration, source);
-    this.evacuate(state.evacuations ?? NO_EVACUATIONS, source);
-    this.crashing.adopt(state.quarantine ?? NO_QUARANTINE, source);
-    this.handedOver = true;
+  private applyHandover(handover: HandOver, source: string): void {
+    this.learnBoxes(handover.boxes);
+    this.fleetWatch.learn(handover.boxes);
+    this.applyRollouts(handover.rollouts ?? NO_ROLLOUTS, source);
+    this.pool.merge(handover.upstreams, source);
+    this.configure(handover.configuration, source);
+    this.applyEvacuations(handover.evacuations ?? NO_EVACUATIONS, source);
+    this.crashingRequests.adopt(handover.quarantine ?? NO_QUARANTINE, source);
+    this.hasHandover = true;
   }
 
-  private controls(): string[] {
-    const {controls, leader} = this.watch;
+  /** Control boxes in the order in which they are tried, the leader first. */
+  private controlBoxes(): string[] {
+    const {controls, leader} = this.fleetWatch;
     return leader === undefined || !controls.includes(leader)
       ? controls
       : [leader, ...controls.filter((box) => box !== leader)];
   }
 
-  private take(request: IncomingMessage, response: ServerResponse): void {
-    const {pending} = this.renewal;
+  private handleRequest(
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): void {
+    const {pending} = this.wakeRefresh;
     if (pending === undefined) {
-      this.takeNow(request, response);
+      this.serveRequest(request, response);
     } else {
-      void pending.then(() => this.takeNow(request, response));
+      void pending.then(() => this.serveRequest(request, response));
     }
   }
 
-  private takeNow(request: IncomingMessage, response: ServerResponse): void {
+  private serveRequest(
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): void {
     const {clock, dialect} = this.parts;
     const now = clock.now();
     this.lastRequestAt = now;
-    const came = this.backlog?.arrivalOf(request.socket) ?? now;
-    const caller = new CallerRequest(request, response, dialect.headers, came);
-    caller.closing = this.stopping;
+    const arrivedAt =
+      this.backlogMonitor?.estimateArrival(request.socket) ?? now;
+    const caller = new CallerRequest(
+      request,
+      response,
+      dialect.headers,
+      arrivedAt,
+    );
+    caller.closing = this.isStopping;
     request.on('error', () => undefined);
     response.on('error', () => undefined);
-    if (this.table === undefined) {
+    if (this.routeTable === undefined) {
       this.refuse(caller, 503, 'no-configuration', RETRY_AFTER_MISSING_S);
       return;
     }
-    const {maxHeaderBytes} = this.table.configuration.limits;
+    const {maxHeaderBytes} = this.routeTable.configuration.limits;
     if (headerBytes(request) > maxHeaderBytes) {
       this.refuse(caller, 431, 'headers-too-large');
       return;
     }
-    if (this.lingering) {
+    if (this.rejectsRequests) {
       this.refuse(caller, 503, 'stopping', RETRY_AFTER_STOPPING_S);
       return;
     }
-    this.open += 1;
-    void new Forwarding(this.forwarding, this.table, caller)
+    this.openRequests += 1;
+    void new Forwarding(this.forwarding, this.routeTable, caller)
       .run()
-      .finally(() => (this.open -= 1));
+      .finally(() => (this.openRequests -= 1));
   }
 
-  /** Answers a request that is not looked into. */
+  /** Rejects a request without reading its body. */
   private refuse(
     caller: CallerRequest,
     status: number,
@@ -519,8 +553,8 @@
       response.writeHead(404).end();
       return;
     }
-    if (this.ready !== this.wasReady) {
-      this.wasReady = this.ready;
+    if (this.ready !== this.lastReportedReady) {
+      this.lastReportedReady = this.ready;
       const phase = this.ready ? 'ready' : 'not-ready';
       const detail = `configuration ${this.configurationVersion}`;
       log.note({detail, event: 'process-changed', phase});
@@ -536,21 +570,21 @@
       allowance,
       backlogAge,
       charged,
-      inTouch,
-      limits,
-      open,
-      regionCalls,
+      controlReachable,
+      crossRegionCallBytes,
+      limitedUpstreams,
+      openRequests,
       registry,
     } = this.metrics;
     if (request.url !== this.parts.metrics.path) {
       response.writeHead(404).end();
       return;
     }
-    open.set(this.open);
-    regionCalls.set(this.boxes.bytesToOtherRegions);
-    limits.set(this.pool.limitedUpstreams);
-    backlogAge.set((this.backlog?.ageMs ?? 0) / 1_000);
-    inTouch.set(this.watch.inTouch ? 1 : 0);
+    openRequests.set(this.openRequests);
+    crossRegionCallBytes.set(this.knownBoxes.crossRegionBytes);
+    limitedUpstreams.set(this.pool.limitedUpstreams);
+    backlogAge.set((this.backlogMonitor?.queueAgeMs ?? 0) / 1_000);
+    controlReachable.set(this.fleetWatch.inTouch ? 1 : 0);
     for (const tokens of this.allowances.status()) {
       const {held, reserved, team} = tokens;
       charged.set({team}, tokens.charged);
--- a/packages/puffinturn-edge/src/EdgeConstants.ts
+++ b/packages/puffinturn-edge/src/EdgeConstants.ts
@@ -5,125 +5,116 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Figures of the edge, with unit and reason. */
+/** Constants of the edge. */
 
-/** Time for a connection to an upstream to come up, ms; a dark one never does. */
+/** Timeout for connecting to an upstream, ms. */
 export const CONNECT_MS = 400;
 
 /**
- * Time for the rest of an answer that says that it did not run the request, ms; its
- * connection would be held for good by one whose body never ends.
+ * Timeout for the body of a response that rejects a request, ms. Prevents a body that
+ * never ends from blocking its connection.
  */
 export const REJECTION_BODY_MS = 400;
 
-/** Connections that never came up before a request is given up. */
+/** Failed connection attempts after which a request fails. */
 export const MAX_UNSENT = 4;
 
-/** Answers up to this many bytes are checked whole before they are passed on. */
+/** Responses up to this size are buffered until they are complete, bytes. */
 export const WHOLE_ANSWER_BYTES = 256 * 1024;
 
-/** Idle connections to upstreams are closed after this time, ms. */
+/** Time after which idle connections to upstreams are closed, ms. */
 export const IDLE_CONNECTION_MS = 4_000;
 
-/** First pause of an upstream that can't be reached, ms; doubles each time. */
+/** Initial back-off of a failing upstream, ms; doubles with each failure. */
 export const FIRST_PAUSE_MS = 250;
 
-/** Longest pause of an upstream that can't be reached, ms. */
+/** Maximum back-off of a failing upstream, ms. */
 export const LONGEST_PAUSE_MS = 2_000;
 
-/** Broken answers in a row after which an upstream pauses. */
+/** Consecutive failures after which the back-off of an upstream starts. */
 export const BROKEN_BEFORE_PAUSE = 2;
 
-/** Pause after an upstream said that it is full, ms. */
+/** Back-off after an upstream reports that it has no capacity, ms. */
 export const FULL_PAUSE_MS = 60;
 
-/** `Retry-After` of a request for which there was no room, s. */
+/** `Retry-After` when no upstream has capacity, s. */
 export const RETRY_AFTER_BUSY_S = 0.3;
 
-/** `Retry-After` of a request that came to an edge about to end, s. */
+/** `Retry-After` of a draining edge, s. */
 export const RETRY_AFTER_STOPPING_S = 0.05;
 
 /**
- * `Retry-After` of a request that was read too late, s. Its next try goes to
- * another edge, and has little time.
+ * `Retry-After` of a request that waited too long to be read, s. Short, because the
+ * retry goes to another edge and has little time left.
  */
 export const RETRY_AFTER_READ_LATE_S = 0.05;
 
-/** `Retry-After` while a dependency is missing, s. */
+/** `Retry-After` while the configuration, the service or its upstreams are missing, s. */
 export const RETRY_AFTER_MISSING_S = 1;
 
-/** `Retry-After` while tokens can't be had; most cuts last for seconds, s. */
+/** `Retry-After` while tokens can't be obtained, s; most outages last for seconds. */
 export const RETRY_AFTER_TOKENS_S = 3;
 
-/** Requests to one engine beyond this share of the mean go elsewhere. */
+/** Maximum load of one engine, as a multiple of the mean load. */
 export const BOUNDED_LOAD = 1.25;
 
-/**
- * Time that tokens held for a team should last, s; most cuts end within 9 s, and
- * what is held lies between REFILL_BELOW and RETURN_ABOVE of this. Gain over 10 s:
- * 98 instead of 96 in 100 served in a cut (mean of five seeds of the day in
- * TokensAfterLoss.test.ts without losses, as below).
- */
+/** Seconds of demand that held tokens should cover; longer than most outages. */
 export const ALLOWANCE_SECONDS = 12;
 
 /**
- * Share of a team's prepaid tokens that all halls hold before any demand is
- * known, so that a cut right then finds some. An edge of eight that dies then
- * takes 1 in 100 of the budgets with it; with a share of 0.4, a tenth of them.
+ * Share of a team's prepaid tokens that all halls together hold before any demand is
+ * measured, so that an early outage can be bridged. A larger share would lose more
+ * tokens when an edge crashes.
  */
 export const ALLOWANCE_FLOOR_SHARE = 0.08;
 
 /**
- * Demand that an edge keeps tokens for which is not its hall's holder, s. The
- * holder lends more within milliseconds; what all edges keep dies with them.
- * Gain over 2 s: 98 instead of 96 in 100 served in a cut, as holders have more.
+ * Seconds of demand covered by an edge that is not the token holder of its hall. Short,
+ * because the holder lends more within milliseconds.
  */
 export const FLOAT_SECONDS = 1;
 
-/**
- * More tokens are asked for below this part of what is to be held: a cut may
- * come just before. Gain over 0.7: 98 instead of 97 in 100 served in a cut.
- */
+/** Share of the target amount below which tokens are refilled. */
 export const REFILL_BELOW = 0.85;
 
-/** Tokens go back to the core above this multiple of what is to be held. */
+/** Multiple of the target amount above which tokens are returned to the control plane. */
 export const RETURN_ABOVE = 1.5;
 
-/** Time after its start from which an edge holds tokens for its hall, ms. */
+/** Time after its start from which an edge can hold tokens for its hall, ms. */
 export const HOLD_AFTER_MS = 800;
 
-/** How often allowances are weighed where nothing calls for it, ms. */
+/** Interval at which allowances are checked without any other trigger, ms. */
 export const ALLOWANCE_TICK_MS = 1_000;
 
-/** Pause before an exchange with the core that had no answer goes out again, ms. */
+/** Delay before a failed exchange with the control plane is retried, ms. */
 export const EXCHANGE_AGAIN_MS = 125;
 
-/** Time in which tokens that became free are gathered to be handed on, ms. */
+/** Time over which freed tokens are collected before they are distributed, ms. */
 export const HAND_ON_AFTER_MS = 250;
 
-/** Time constant of the measured demand, ms. */
+/** Time constant of the exponential average of the demand, ms. */
 export const DEMAND_WINDOW_MS = 6_000;
 
-/** Longest time a request waits for tokens, ms. */
+/** Maximum time that a request waits for tokens, ms. */
 export const ALLOWANCE_WAIT_MS = 150;
 
-/** Longest time for one exchange with the core, ms. */
+/** Timeout for an exchange with the control plane, ms. */
 export const EXCHANGE_MS = 1_500;
 
-/** Longest time for another edge to lend what it has, ms; busy ones take 100. */
+/** Timeout for borrowing tokens that another edge holds, ms. */
 export const BORROW_MS = 200;
 
-/** Longest time for the holder of the hall to lend, asking others first, ms. */
+/** Timeout for borrowing from the hall's token holder, which may ask other edges, ms. */
 export const GATHER_MS = 500;
 
-/** How long a budget found exhausted is taken to stay so, ms. */
+/** Time for which an exhausted budget is not requested again, ms. */
 export const EXHAUSTED_MS = 800;
 
-/** Status of an upstream that is not the one that was meant. */
+/** HTTP status 421, Misdirected Request: another upstream was meant. */
 export const MISDIRECTED = 421;
 
-/** Statuses from here on are errors of the upstream's own. */
+/** Lowest HTTP status of a server error. */
 export const FIRST_ERROR_STATUS = 500;
 
-/** Cause of an attempt or a request that ended as its caller left. */
+/** Cause of an attempt or a request that ended because its caller disconnected. */
 export const CALLER_LEFT = 'caller-left';
--- a/packages/puffinturn-edge/src/EdgeMetrics.ts
+++ b/packages/puffinturn-edge/src/EdgeMetrics.ts
@@ -5,15 +5,15 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Counters and histograms of an edge. */
+/** Prometheus metrics of an edge. */
 import {Counter, Gauge, Histogram, Registry} from 'prom-client';
 
-/** Bounds of latency buckets, s. */
+/** Upper bounds of the latency histogram buckets, s. */
 const LATENCY_BUCKETS_S = [
   0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 15,
 ];
 
-/** See the module comment. */
+/** The metrics of one edge and their registry. */
 export class EdgeMetrics {
   readonly registry = new Registry();
   readonly answers = new Counter({
@@ -58,7 +58,7 @@
     name: 'puffinturn_edge_first_byte_seconds',
     registers: [this.registry],
   });
-  readonly limits = new Gauge({
+  readonly limitedUpstreams = new Gauge({
     help: 'Upstreams that name a limit of requests a second, as known here',
     name: 'puffinturn_edge_limited_upstreams',
     registers: [this.registry],
@@ -69,7 +69,7 @@
     name: 'puffinturn_edge_permits_total',
     registers: [this.registry],
   });
-  readonly open = new Gauge({
+  readonly openRequests = new Gauge({
     help: 'Requests being served',
     name: 'puffinturn_edge_open_requests',
     registers: [this.registry],
@@ -80,7 +80,7 @@
     name: 'puffinturn_edge_region_bytes_total',
     registers: [this.registry],
   });
-  readonly regionCalls = new Gauge({
+  readonly crossRegionCallBytes = new Gauge({
     help: 'Bytes of calls sent to boxes of other regions since the start',
     name: 'puffinturn_edge_region_call_bytes',
     registers: [this.registry],
@@ -113,7 +113,7 @@
     name: 'puffinturn_edge_charged_tokens',
     registers: [this.registry],
   });
-  readonly inTouch = new Gauge({
+  readonly controlReachable = new Gauge({
     help: '1 while some control box answers',
     name: 'puffinturn_edge_in_touch',
     registers: [this.registry],
--- a/packages/puffinturn-edge/src/EdgeNews.ts
+++ b/packages/puffinturn-edge/src/EdgeNews.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Hands what control boxes tell on to an edge. */
+/** Applies updates from control boxes to an edge. */
 import type {
   BoxRecord,
   ConfigurationChange,
@@ -19,8 +19,8 @@
 
 import type {Edge} from './Edge';
 
-/** See the module comment. */
-export class EdgeNews extends FleetNews {
+/** Adapts an edge to the interface for fleet updates. */
+export class EdgeUpdates extends FleetNews {
   constructor(private readonly edge: Edge) {
     super();
   }
@@ -29,39 +29,42 @@
     return this.edge.configurationVersion;
   }
 
-  override configuration(found: FleetConfiguration, source: string): void {
-    this.edge.configure(found, source);
+  override configuration(
+    configuration: FleetConfiguration,
+    source: string,
+  ): void {
+    this.edge.configure(configuration, source);
   }
 
   override configurationChange(
     change: ConfigurationChange,
     source: string,
   ): void {
-    this.edge.change(change, source);
+    this.edge.applyConfigurationChange(change, source);
   }
 
   override get evacuationRevision(): number {
     return this.edge.pool.evacuations.revision;
   }
 
-  override evacuations(found: Evacuations, source: string): void {
-    this.edge.evacuate(found, source);
+  override evacuations(evacuations: Evacuations, source: string): void {
+    this.edge.applyEvacuations(evacuations, source);
   }
 
   override get rolloutRevision(): number {
     return this.edge.rolloutRevision;
   }
 
-  override rollouts(found: Rollouts, source: string): void {
-    this.edge.rollOut(found, source);
+  override rollouts(rollouts: Rollouts, source: string): void {
+    this.edge.applyRollouts(rollouts, source);
   }
 
   override get quarantineRevision(): number {
-    return this.edge.crashing.quarantine.revision;
+    return this.edge.crashingRequests.quarantine.revision;
   }
 
-  override quarantine(found: Quarantine, source: string): void {
-    this.edge.crashing.adopt(found, source);
+  override quarantine(quarantine: Quarantine, source: string): void {
+    this.edge.crashingRequests.adopt(quarantine, source);
   }
 
   override upstreams(records: readonly UpstreamRecord[], source: string): void {
--- a/packages/puffinturn-edge/src/KnownBoxes.ts
+++ b/packages/puffinturn-edge/src/KnownBoxes.ts
@@ -5,63 +5,70 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The boxes that an edge knows of, as the core told last. */
+/** The boxes known to an edge, from the last list received. */
 import type {BoxRecord, Regions} from 'puffinturn-fleet';
 import {BOX_ROLE} from 'puffinturn-fleet';
 import type {Link} from 'puffinturn-wire';
 
-/** What KnownBoxes rest on. */
+/** Dependencies of KnownBoxes. */
 export interface KnownBoxesParts {
   readonly self: BoxRecord;
   readonly link: Link;
   readonly regions: Regions;
 }
 
-/** See the module comment. */
+/** Holds the list of boxes and derives counts of edges from it. */
 export class KnownBoxes {
   private records: readonly BoxRecord[] = [];
-  private otherEdges: readonly BoxRecord[] = [];
+  private peerRecords: readonly BoxRecord[] = [];
 
   constructor(private readonly parts: KnownBoxesParts) {}
 
-  /** All boxes. */
+  /** All boxes, this one included. */
   get all(): readonly BoxRecord[] {
     return this.records;
   }
 
-  /** The other edges; a new array where the list has changed. */
+  /** The other edges; the array is replaced, not modified, on an update. */
   get peers(): readonly BoxRecord[] {
-    return this.otherEdges;
+    return this.peerRecords;
   }
 
-  /** How many edges there are, this one included. */
-  get edges(): number {
-    return this.otherEdges.length + 1;
+  /** Number of edges, this one included. */
+  get edgeCount(): number {
+    return this.peerRecords.length + 1;
   }
 
-  /** How many of them the own region has. */
-  get edgesOfRegion(): number {
-    const near = this.otherEdges.filter(({hall}) => this.isNear(hall));
-    return near.length + 1;
+  /** Number of edges in this edge's region, this one included. */
+  get regionEdgeCount(): number {
+    const peersInRegion = this.peerRecords.filter(({hall}) =>
+      this.isInOwnRegion(hall),
+    );
+    return peersInRegion.length + 1;
   }
 
-  /** Bytes of calls, and of answers to calls, to boxes of other regions. */
-  get bytesToOtherRegions(): number {
-    const away = this.records.filter(({hall}) => !this.isNear(hall));
-    const sent = this.parts.link.sentByPeer();
-    return away.reduce((sum, {box}) => sum + (sent.get(box) ?? 0), 0);
+  /** Bytes of calls and replies sent to boxes in other regions. */
+  get crossRegionBytes(): number {
+    const remoteBoxes = this.records.filter(
+      ({hall}) => !this.isInOwnRegion(hall),
+    );
+    const sentBytes = this.parts.link.sentByPeer();
+    return remoteBoxes.reduce(
+      (sum, {box}) => sum + (sentBytes.get(box) ?? 0),
+      0,
+    );
   }
 
-  /** Takes over who is alive. */
-  learn(records: readonly BoxRecord[]): void {
+  /** Replaces the list of boxes. */
+  update(records: readonly BoxRecord[]): void {
     const {self} = this.parts;
     this.records = records;
-    this.otherEdges = records.filter(
+    this.peerRecords = records.filter(
       ({box, role}) => role === BOX_ROLE.edge && box !== self.box,
     );
   }
 
-  private isNear(hall: string): boolean {
+  private isInOwnRegion(hall: string): boolean {
     const {regions, self} = this.parts;
     return regions.areTogether(self.hall, hall);
   }
--- a/packages/puffinturn-edge/src/Neighbours.ts
+++ b/packages/puffinturn-edge/src/Neighbours.ts
@@ -6,12 +6,11 @@
  */
 
 /**
- * Edges look after the next ones in a ring over all edges, region by region and
- * hall by hall, so that few greetings cross between regions, and a region that has
- * lost all it knew is still reached. One that was restarted while the core can't be
- * reached knows nothing to serve from; its neighbours notice and hand it the
- * configuration, the upstreams and the list of boxes. Costs two short calls a turn,
- * whatever the fleet's size.
+ * Restores the state of edges that restart while the control plane is unreachable. All
+ * edges form a ring, ordered by region and hall so that few probes cross regions. Each
+ * edge probes its successors in the ring, and sends the configuration, upstreams and
+ * list of boxes to a successor that has no state. The cost per edge does not depend on
+ * the number of edges.
  */
 import type {BoxRecord, GreetReply, HandOver, Regions} from 'puffinturn-fleet';
 import {FLEET_SERVICE} from 'puffinturn-fleet';
@@ -19,45 +18,43 @@
 import type {Clock} from 'shared';
 import {DisposableList, TaskGroup} from 'shared';
 
-/**
- * How often the neighbours are greeted while the core can't be reached, ms: a
- * small part of the time that a restart takes.
- */
-const GREET_EVERY_MS = 500;
+/** Probe interval while the control plane is unreachable, ms; well below a restart. */
+const OUTAGE_PROBE_INTERVAL_MS = 500;
 
-/** The same in all calm, ms; a restarted edge then has all from the core. */
-const GREET_CALM_MS = 4_000;
+/** Probe interval while the control plane is reachable, ms. */
+const PROBE_INTERVAL_MS = 4_000;
 
-/** How often to look which of both holds, ms. */
-const LOOK_MS = 1_000;
+/** Interval at which reachability is checked while the control plane is reachable, ms. */
+const CHECK_INTERVAL_MS = 1_000;
 
-/** Longest time for the answer to a greeting, ms. */
-const GREET_MS = 150;
+/** Timeout for the reply to a probe, ms. */
+const PROBE_TIMEOUT_MS = 150;
 
-/** Longest time for a hand-over, ms; it can be some hundred kilobytes. */
-const HAND_OVER_MS = 1_000;
+/** Timeout for sending the state, ms; it can have hundreds of kilobytes. */
+const HANDOVER_TIMEOUT_MS = 1_000;
 
-/** Edges that each one looks after; two, so that one may be down as well. */
-const NEIGHBOURS = 2;
+/** Number of successors that each edge probes; with two, one may be down. */
+const NEIGHBOUR_COUNT = 2;
 
-/** What Neighbours are made of. */
+/** Dependencies of the neighbour recovery. */
 export interface NeighboursParts {
   readonly self: BoxRecord;
   readonly regions: Regions;
   readonly clock: Clock;
   readonly link: Link;
-  /** The other edges. */
+  /** Edges of all halls, without this one. */
   readonly edges: () => readonly BoxRecord[];
-  /** Whether the core can be reached. */
+  /** Whether the control plane is reachable. */
   readonly inTouch: () => boolean;
-  /** Whether this edge has nothing to serve from and can't reach the core. */
+  /** Whether this edge has no configuration and can't reach the control plane. */
   readonly needsState: () => boolean;
-  /** What to hand over; undefined while there is nothing. */
+  /** The state to send to an edge that has none; undefined if this edge has none. */
   readonly state: () => HandOver | undefined;
-  readonly take: (state: HandOver, source: string) => void;
+  /** Applies the state received from another edge. */
+  readonly take: (handover: HandOver, source: string) => void;
 }
 
-/** See the module comment. */
+/** Probes the successors in the ring, and serves the probes of other edges. */
 export class Neighbours implements AsyncDisposable {
   private readonly tasks = new TaskGroup();
   private readonly handlers = new DisposableList();
@@ -77,7 +74,7 @@
         return null;
       }),
     );
-    this.tasks.start((signal) => this.greet(signal));
+    this.tasks.start((signal) => this.run(signal));
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -85,52 +82,68 @@
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  private async greet(signal: AbortSignal): Promise<void> {
+  private async run(signal: AbortSignal): Promise<void> {
     const {clock, inTouch, needsState} = this.parts;
-    let greetedAt = clock.now();
+    let probedAt = clock.now();
     while (!signal.aborted) {
-      await clock.sleep(inTouch() ? LOOK_MS : GREET_EVERY_MS, signal);
-      const calm = inTouch() && clock.now() - greetedAt < GREET_CALM_MS;
-      if (signal.aborted || calm || needsState()) {
+      await clock.sleep(
+        inTouch() ? CHECK_INTERVAL_MS : OUTAGE_PROBE_INTERVAL_MS,
+        signal,
+      );
+      const isWithinInterval =
+        inTouch() && clock.now() - probedAt < PROBE_INTERVAL_MS;
+      if (signal.aborted || isWithinInterval || needsState()) {
         continue;
       }
-      greetedAt = clock.now();
-      await Promise.all(this.next().map((box) => this.lookAfter(box)));
+      probedAt = clock.now();
+      await Promise.all(
+        this.successors().map((box) => this.probeNeighbour(box)),
+      );
     }
   }
 
-  private async lookAfter(box: string): Promise<void> {
+  private async probeNeighbour(box: string): Promise<void> {
     const {link, state} = this.parts;
-    const answer = await link.call(box, FLEET_SERVICE.greet, null, GREET_MS);
-    const found = state();
-    if (answer.isErr() || found === undefined) {
+    const reply = await link.call(
+      box,
+      FLEET_SERVICE.greet,
+      null,
+      PROBE_TIMEOUT_MS,
+    );
+    const handover = state();
+    if (reply.isErr() || handover === undefined) {
       return;
     }
-    if ((answer.value as GreetReply).needsState) {
-      await link.call(box, FLEET_SERVICE.handOver, found, HAND_OVER_MS);
+    if ((reply.value as GreetReply).needsState) {
+      await link.call(
+        box,
+        FLEET_SERVICE.handOver,
+        handover,
+        HANDOVER_TIMEOUT_MS,
+      );
     }
   }
 
-  /** The edges that follow this one in the ring. */
-  private next(): readonly string[] {
+  /** Returns the edges that follow this one in the ring. */
+  private successors(): readonly string[] {
     const {edges, regions, self} = this.parts;
-    const boxes = new Map(
-      edges().map((edge) => [placeOf(edge, regions), edge.box]),
+    const boxByKey = new Map(
+      edges().map((edge) => [ringKey(edge, regions), edge.box]),
     );
-    const ring = [...boxes.keys()].sort();
-    const own = placeOf(self, regions);
-    const following = [
-      ...ring.filter((place) => place > own),
-      ...ring.filter((place) => place < own),
+    const sortedKeys = [...boxByKey.keys()].sort();
+    const ownKey = ringKey(self, regions);
+    const successorKeys = [
+      ...sortedKeys.filter((key) => key > ownKey),
+      ...sortedKeys.filter((key) => key < ownKey),
     ];
-    return following
-      .slice(0, NEIGHBOURS)
-      .flatMap((place) => boxes.get(place) ?? []);
+    return successorKeys
+      .slice(0, NEIGHBOUR_COUNT)
+      .flatMap((key) => boxByKey.get(key) ?? []);
   }
 }
 
-/** Orders edges region by region and hall by hall. */
-function placeOf({box, hall}: BoxRecord, regions: Regions): string {
+/** Sort key that orders edges by region, hall and box. */
+function ringKey({box, hall}: BoxRecord, regions: Regions): string {
   const region = regions.several ? `${regions.regionOf(hall)} ` : '';
   return `${region}${hall} ${box}`;
 }
--- a/packages/puffinturn-edge/src/Renewal.ts
+++ b/packages/puffinturn-edge/src/Renewal.ts
@@ -6,9 +6,9 @@
  */
 
 /**
- * After a suspension of the machine nothing that an edge knows is as fresh as it seems:
- * connections may have ended unheard, and changes were made meanwhile. Requests wait
- * until the core has told what is new, for a short time.
+ * Refreshes the state of an edge after its machine was suspended. Connections may be
+ * dead and the state outdated, so requests wait until the control plane has confirmed
+ * the current state or a timeout expires.
  */
 import type {FleetWatch, WakeUpParts} from 'puffinturn-fleet';
 import {wakeUp} from 'puffinturn-fleet';
@@ -18,56 +18,60 @@
 import type {UpstreamPool} from './upstreams/UpstreamPool';
 
 /**
- * Longest time that requests wait, ms: a few round trips. A core that has not told by
- * then can't be reached, and the edge serves from what it holds, as in any cut.
+ * Maximum time that requests wait for the refresh, ms: a few round trips. After that
+ * the edge serves from its cached state, as in any outage of the control plane.
  */
-const RENEWAL_MS = 500;
+const REFRESH_TIMEOUT_MS = 500;
 
-/** How often to look whether it has told, ms. */
-const RENEWAL_LOOK_MS = 10;
+/** Interval at which completion of the refresh is checked, ms. */
+const REFRESH_POLL_MS = 10;
 
-/** What a Renewal is made of. */
-export interface RenewalParts extends WakeUpParts {
+/** Dependencies of WakeRefresh. */
+export interface WakeRefreshParts extends WakeUpParts {
   readonly clock: Clock;
   readonly pool: UpstreamPool;
   readonly watch: FleetWatch;
-  /** Told of each wake-up before anything is asked. */
-  readonly woke: () => void;
+  /** Called on each wake-up, before the refresh starts. */
+  readonly onWake: () => void;
 }
 
-/** See the module comment. */
-export class Renewal implements AsyncDisposable {
-  private readonly suspension: SuspensionWatch;
-  private running: Promise<void> | undefined;
+/** Detects a suspension and holds requests back until the state is current. */
+export class WakeRefresh implements AsyncDisposable {
+  private readonly suspensionWatch: SuspensionWatch;
+  private refreshing: Promise<void> | undefined;
 
-  constructor(private readonly parts: RenewalParts) {
-    this.suspension = new SuspensionWatch(parts.clock, (ms) => this.begin(ms));
+  constructor(private readonly parts: WakeRefreshParts) {
+    this.suspensionWatch = new SuspensionWatch(parts.clock, (ms) =>
+      this.startRefresh(ms),
+    );
   }
 
-  /** Ends once what is known may be relied on; undefined where it may be now. */
+  /** Resolves when the refresh in progress ends; undefined if there is none. */
   get pending(): Promise<void> | undefined {
-    this.suspension.look();
-    return this.running;
+    this.suspensionWatch.look();
+    return this.refreshing;
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    await this.suspension[Symbol.asyncDispose]();
+    await this.suspensionWatch[Symbol.asyncDispose]();
   }
 
-  private begin(missedMs: number): void {
-    const {pool, watch, woke} = this.parts;
-    woke();
+  private startRefresh(missedMs: number): void {
+    const {onWake, pool, watch} = this.parts;
+    onWake();
     watch.distrust();
     wakeUp(this.parts, missedMs);
     pool.dropIdle();
-    this.running ??= this.renew().finally(() => (this.running = undefined));
+    this.refreshing ??= this.waitUntilCurrent().finally(
+      () => (this.refreshing = undefined),
+    );
   }
 
-  private async renew(): Promise<void> {
+  private async waitUntilCurrent(): Promise<void> {
     const {clock, watch} = this.parts;
-    const until = clock.now() + RENEWAL_MS;
-    while (!watch.current && clock.now() < until) {
-      await clock.sleep(RENEWAL_LOOK_MS);
+    const deadline = clock.now() + REFRESH_TIMEOUT_MS;
+    while (!watch.current && clock.now() < deadline) {
+      await clock.sleep(REFRESH_POLL_MS);
     }
   }
 }
--- a/packages/puffinturn-edge/src/Totals.ts
+++ b/packages/puffinturn-edge/src/Totals.ts
@@ -6,24 +6,24 @@
  */
 
 /**
- * Totals of an edge for its log, once a second while requests come: every
- * answer, also those that had no line of their own, and the tokens at hand.
+ * Logs totals of an edge once a second while there are requests: responses by status
+ * and cause, including those that are not logged one by one, and tokens of teams.
  */
 import type {AnswerCount, DecisionLog, TeamTokens} from 'puffinturn-decisions';
 import {largestTeams} from 'puffinturn-decisions';
 import type {Clock} from 'shared';
 import {TaskGroup} from 'shared';
 
-/** Time over which answers are counted, ms. */
-const TOTALS_EVERY_MS = 1_000;
+/** Interval over which responses are counted, ms. */
+const TOTALS_INTERVAL_MS = 1_000;
 
-/** Kinds of answers that a line tells apart; any other cause is `other`. */
-const MAX_KINDS = 24;
+/** Maximum number of status and cause pairs in a line; the rest count as OTHER_CAUSE. */
+const MAX_DISTINCT_RESPONSES = 24;
 
-/** The cause of answers beyond those kinds. */
-const OTHER = 'other';
+/** Cause logged for responses beyond MAX_DISTINCT_RESPONSES. */
+const OTHER_CAUSE = 'other';
 
-/** See the module comment. */
+/** Counts responses and writes the totals to the log. */
 export class Totals implements AsyncDisposable {
   private readonly tasks = new TaskGroup();
   private answers = new Map<string, AnswerCount>();
@@ -31,38 +31,41 @@
   constructor(
     private readonly clock: Clock,
     private readonly log: DecisionLog,
-    private readonly tokens: () => readonly TeamTokens[],
+    private readonly tokensByTeam: () => readonly TeamTokens[],
   ) {}
 
-  /** Counts one answer; the first one after a pause starts the next second. */
+  /** Counts a response; the first one after an idle period starts an interval. */
   count(status: number, cause: string): void {
     if (this.answers.size === 0) {
-      this.tasks.start((signal) => this.writeLater(signal));
+      this.tasks.start((signal) => this.logAfterInterval(signal));
     }
     const isKnown = this.answers.has(keyOf(status, cause));
-    const named = isKnown || this.answers.size < MAX_KINDS ? cause : OTHER;
-    const key = keyOf(status, named);
+    const countedCause =
+      isKnown || this.answers.size < MAX_DISTINCT_RESPONSES
+        ? cause
+        : OTHER_CAUSE;
+    const key = keyOf(status, countedCause);
     const count = (this.answers.get(key)?.count ?? 0) + 1;
-    this.answers.set(key, {cause: named, count, status});
+    this.answers.set(key, {cause: countedCause, count, status});
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  private async writeLater(signal: AbortSignal): Promise<void> {
-    await this.clock.sleep(TOTALS_EVERY_MS, signal);
+  private async logAfterInterval(signal: AbortSignal): Promise<void> {
+    await this.clock.sleep(TOTALS_INTERVAL_MS, signal);
     const answers = [...this.answers.values()];
     this.answers = new Map();
     this.log.note({answers, event: 'answers-counted'});
-    const all = this.tokens();
-    if (all.length > 0) {
+    const teamTokens = this.tokensByTeam();
+    if (teamTokens.length > 0) {
       this.log.note({
-        charged: sumOf(all, ({charged}) => charged),
+        charged: sumBy(teamTokens, ({charged}) => charged),
         event: 'tokens-counted',
-        held: sumOf(all, ({held}) => held),
-        reserved: sumOf(all, ({reserved}) => reserved),
-        teams: largestTeams(all, ({charged, held}) => held + charged),
+        held: sumBy(teamTokens, ({held}) => held),
+        reserved: sumBy(teamTokens, ({reserved}) => reserved),
+        teams: largestTeams(teamTokens, ({charged, held}) => held + charged),
       });
     }
   }
@@ -72,9 +75,9 @@
   return `${status} ${cause}`;
 }
 
-function sumOf(
-  all: readonly TeamTokens[],
+function sumBy(
+  teamTokens: readonly TeamTokens[],
   amountOf: (tokens: TeamTokens) => number,
 ): number {
-  return all.reduce((sum, tokens) => sum + amountOf(tokens), 0);
+  return teamTokens.reduce((sum, tokens) => sum + amountOf(tokens), 0);
 }
--- a/packages/puffinturn-edge/src/__tests__/unit/AcceptBacklog.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/AcceptBacklog.test.ts
@@ -5,152 +5,156 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/** Guards against queued requests that are taken for new ones, and the reverse. */
 import {ManualClock} from 'shared';
 
-import type {Arrival} from '../../callers/AcceptBacklog';
+import type {AcceptedConnection} from '../../callers/AcceptBacklog';
 import {AcceptBacklog, NEGLIGIBLE_AGE_MS} from '../../callers/AcceptBacklog';
 
-/** Time of one turn of the event loop, ms. */
-const TURN_MS = 40;
+/** Duration of an event loop iteration, ms. */
+const ITERATION_MS = 40;
 
-/** A loop whose turns accept what a test says. */
-class Loop {
+/** An event loop that accepts connections under control of the test. */
+class SimulatedLoop {
   readonly clock = new ManualClock();
   readonly backlog = new AcceptBacklog(this.clock);
 
-  /** One turn that accepts a connection; its request is read in the next one. */
-  async accept(): Promise<Arrival> {
-    const arrival = this.backlog.accepted();
-    await this.turn();
-    return arrival;
+  /** Runs an iteration that accepts a connection; its request is read by the next one. */
+  async accept(): Promise<AcceptedConnection> {
+    const accepted = this.backlog.recordAccept();
+    await this.iterate();
+    return accepted;
   }
 
-  async turn(ms = TURN_MS): Promise<boolean> {
+  async iterate(ms = ITERATION_MS): Promise<boolean> {
     await this.clock.advance(ms);
-    return this.backlog.turned();
+    return this.backlog.endIteration();
   }
 
-  age(arrival?: Arrival): number {
-    return this.clock.now() - this.backlog.arrivalOf(arrival);
+  estimatedAge(accepted?: AcceptedConnection): number {
+    return this.clock.now() - this.backlog.estimateArrival(accepted);
   }
 }
 
 describe('AcceptBacklog', () => {
-  test('a calm loop takes requests as it reads them', async () => {
-    const loop = new Loop();
+  test('reports no age while the queue is empty', async () => {
+    const loop = new SimulatedLoop();
     for (let count = 0; count < 20; count += 1) {
-      await loop.turn();
-      await loop.turn();
-      expect(loop.age(await loop.accept())).toBe(0);
+      await loop.iterate();
+      await loop.iterate();
+      expect(loop.estimatedAge(await loop.accept())).toBe(0);
     }
-    expect(loop.backlog.ageMs).toBe(0);
+    expect(loop.backlog.queueAgeMs).toBe(0);
   });
 
-  test('what comes after a pause is not taken to have come before it', async () => {
-    const loop = new Loop();
-    await loop.turn();
-    expect(await loop.turn(10 * TURN_MS)).toBe(true);
-    await loop.turn(0);
-    await loop.clock.advance(TURN_MS);
-    expect(loop.age()).toBe(0);
-    expect(loop.age(loop.backlog.accepted())).toBe(0);
+  test('dates requests that arrive after a pause to after the pause', async () => {
+    const loop = new SimulatedLoop();
+    await loop.iterate();
+    expect(await loop.iterate(10 * ITERATION_MS)).toBe(true);
+    await loop.iterate(0);
+    await loop.clock.advance(ITERATION_MS);
+    expect(loop.estimatedAge()).toBe(0);
+    expect(loop.estimatedAge(loop.backlog.recordAccept())).toBe(0);
   });
 
-  test('a queue that was never empty is as old as its first wait', async () => {
-    const loop = new Loop();
-    await loop.turn();
-    const emptyAt = loop.clock.now();
-    await loop.turn();
+  test('reports the time since the queue was last empty', async () => {
+    const loop = new SimulatedLoop();
+    await loop.iterate();
+    const queueEmptyAt = loop.clock.now();
+    await loop.iterate();
     for (let count = 0; count < 50; count += 1) {
-      const arrival = await loop.accept();
-      const expected = loop.clock.now() - emptyAt;
-      expect(loop.age(arrival)).toBe(
-        expected < NEGLIGIBLE_AGE_MS ? 0 : expected,
+      const accepted = await loop.accept();
+      const expectedAge = loop.clock.now() - queueEmptyAt;
+      expect(loop.estimatedAge(accepted)).toBe(
+        expectedAge < NEGLIGIBLE_AGE_MS ? 0 : expectedAge,
       );
     }
-    expect(loop.backlog.ageMs).toBe(51 * TURN_MS);
+    expect(loop.backlog.queueAgeMs).toBe(51 * ITERATION_MS);
   });
 
-  test('an empty turn ends it, and asks for no further look', async () => {
-    const loop = new Loop();
+  test('reports no age after an iteration without connections', async () => {
+    const loop = new SimulatedLoop();
     for (let count = 0; count < 50; count += 1) {
-      loop.backlog.accepted();
-      expect(await loop.turn()).toBe(true);
+      loop.backlog.recordAccept();
+      expect(await loop.iterate()).toBe(true);
     }
-    expect(await loop.turn()).toBe(false);
-    expect(loop.backlog.ageMs).toBe(0);
-    expect(loop.age(await loop.accept())).toBe(0);
+    expect(await loop.iterate()).toBe(false);
+    expect(loop.backlog.queueAgeMs).toBe(0);
+    expect(loop.estimatedAge(await loop.accept())).toBe(0);
   });
 
-  test('what comes while a turn without connections lasts is as old as it', async () => {
-    const loop = new Loop();
-    await loop.turn();
-    await loop.turn(3_000);
-    const arrival = await loop.accept();
-    expect(loop.age(arrival)).toBeGreaterThanOrEqual(3_000);
+  test('dates connections to the start of a long iteration', async () => {
+    const loop = new SimulatedLoop();
+    await loop.iterate();
+    await loop.iterate(3_000);
+    const accepted = await loop.accept();
+    expect(loop.estimatedAge(accepted)).toBeGreaterThanOrEqual(3_000);
   });
 
-  test('a mark tells the age of all that are accepted after it', async () => {
-    const loop = new Loop();
+  test('bounds the age of connections accepted after a probe', async () => {
+    const loop = new SimulatedLoop();
     for (let count = 0; count < 50; count += 1) {
       await loop.accept();
     }
-    const mark = loop.backlog.mark();
+    const probe = loop.backlog.startProbe();
     for (let count = 0; count < 10; count += 1) {
       await loop.accept();
     }
-    loop.backlog.acceptedMark(mark);
-    await loop.turn();
-    expect(loop.age(await loop.accept())).toBe(12 * TURN_MS);
+    loop.backlog.recordProbeAccept(probe);
+    await loop.iterate();
+    expect(loop.estimatedAge(await loop.accept())).toBe(12 * ITERATION_MS);
   });
 
-  test('a mark that is older than an empty turn tells nothing', async () => {
-    const loop = new Loop();
-    const mark = loop.backlog.mark();
+  test('ignores a probe that is older than an empty iteration', async () => {
+    const loop = new SimulatedLoop();
+    const probe = loop.backlog.startProbe();
     for (let count = 0; count < 20; count += 1) {
-      await loop.turn();
+      await loop.iterate();
     }
-    loop.backlog.acceptedMark(mark);
-    await loop.turn();
-    expect(loop.backlog.ageMs).toBe(0);
+    loop.backlog.recordProbeAccept(probe);
+    await loop.iterate();
+    expect(loop.backlog.queueAgeMs).toBe(0);
   });
 
-  test('no request is taken to be younger than it is', async () => {
-    const loop = new Loop();
-    // A mark after each tenth connection; the queue grows all the time.
-    const queue: {readonly cameAt: number; readonly isMark: boolean}[] = [];
-    const marks: ReturnType<AcceptBacklog['mark']>[] = [];
-    for (let turn = 0; turn < 400; turn += 1) {
-      const cameAt = loop.clock.now();
-      queue.push({cameAt, isMark: false}, {cameAt, isMark: turn % 10 === 0});
-      if (turn % 10 === 0) {
-        marks.push(loop.backlog.mark());
+  test('never underestimates the age of a request', async () => {
+    const loop = new SimulatedLoop();
+    // Every tenth iteration adds a probe; the queue grows all the time.
+    const queue: {readonly arrivedAt: number; readonly isProbe: boolean}[] = [];
+    const probes: ReturnType<AcceptBacklog['startProbe']>[] = [];
+    for (let iteration = 0; iteration < 400; iteration += 1) {
+      const arrivedAt = loop.clock.now();
+      queue.push(
+        {arrivedAt, isProbe: false},
+        {arrivedAt, isProbe: iteration % 10 === 0},
+      );
+      if (iteration % 10 === 0) {
+        probes.push(loop.backlog.startProbe());
       }
-      const next = queue.shift();
-      const mark = next?.isMark === true ? marks.shift() : undefined;
-      if (mark !== undefined) {
-        loop.backlog.acceptedMark(mark);
-        await loop.turn();
+      const first = queue.shift();
+      const probe = first?.isProbe === true ? probes.shift() : undefined;
+      if (probe !== undefined) {
+        loop.backlog.recordProbeAccept(probe);
+        await loop.iterate();
         continue;
       }
-      const arrival = await loop.accept();
-      const age = loop.clock.now() - (next?.cameAt ?? 0);
-      const told = loop.age(arrival);
-      expect(told + NEGLIGIBLE_AGE_MS).toBeGreaterThan(age);
-      expect(told).toBeLessThanOrEqual(age + 21 * TURN_MS);
+      const accepted = await loop.accept();
+      const age = loop.clock.now() - (first?.arrivedAt ?? 0);
+      const estimatedAge = loop.estimatedAge(accepted);
+      expect(estimatedAge + NEGLIGIBLE_AGE_MS).toBeGreaterThan(age);
+      expect(estimatedAge).toBeLessThanOrEqual(age + 21 * ITERATION_MS);
     }
   });
 
-  test('what a caller sends later is no older than two turns', async () => {
-    const loop = new Loop();
-    let arrival: Arrival | undefined;
+  test('dates later requests of a connection within two iterations', async () => {
+    const loop = new SimulatedLoop();
+    let accepted: AcceptedConnection | undefined;
     for (let count = 0; count < 50; count += 1) {
-      arrival = await loop.accept();
+      accepted = await loop.accept();
     }
     await loop.accept();
-    expect(loop.age(arrival)).toBe(0);
-    await loop.turn(500);
-    await loop.turn(500);
-    expect(loop.age(undefined)).toBe(500);
+    expect(loop.estimatedAge(accepted)).toBe(0);
+    await loop.iterate(500);
+    await loop.iterate(500);
+    expect(loop.estimatedAge(undefined)).toBe(500);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/BacklogLines.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/BacklogLines.test.ts
@@ -5,16 +5,17 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/** Guards against a log line for every change of the queue age. */
 import {KeptDecisionLog} from 'puffinturn-decisions';
 
-import {BacklogLines} from '../../callers/BacklogLines';
+import {BacklogLogger} from '../../callers/BacklogLines';
 
 describe('BacklogLines', () => {
-  test('say once that an edge is behind, and once that it has caught up', () => {
+  test('logs one line for an overload and one for the recovery', () => {
     const log = new KeptDecisionLog();
-    const lines = new BacklogLines(log);
+    const logger = new BacklogLogger(log);
     for (const ageMs of [0, 400, 800.4, 3_000, 300, 0, 200, 0]) {
-      lines.update(ageMs, 7);
+      logger.update(ageMs, 7);
     }
     expect(log.lines).toEqual([
       {ageMs: 800, event: 'backlog-changed', open: 7, phase: 'behind'},
--- a/packages/puffinturn-edge/src/__tests__/unit/BacklogWatch.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/BacklogWatch.test.ts
@@ -5,89 +5,93 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against wrong arrival times of requests that wait behind a blocked event loop.
+ */
 import type {AddressInfo, Socket} from 'node:net';
 import {connect} from 'node:net';
 
 import {SystemClock} from 'shared';
 
 import {NEGLIGIBLE_AGE_MS} from '../../callers/AcceptBacklog';
-import type {BacklogWatch} from '../../callers/BacklogWatch';
+import type {BacklogMonitor} from '../../callers/BacklogWatch';
 import {HttpListener} from '../../callers/EdgeHttp';
-import {eventLoopTurns} from '../../callers/EventLoopTurns';
+import {waitForLoopIterations} from '../../callers/EventLoopTurns';
 
 const HOST = '127.0.0.1';
 
-/** Time for which the loop is kept busy, ms; far more than counts as nothing. */
-const BUSY_MS = 600;
+/** Time for which the event loop is blocked, ms; well above NEGLIGIBLE_AGE_MS. */
+const BLOCKED_MS = 600;
 
-const CALLERS = 12;
+const CALLER_COUNT = 12;
 
 const clock = new SystemClock();
 
-/** Time of work in a turn of a busy loop, ms. */
-const TURN_MS = 6;
+/** Duration of blocking work in each iteration under load, ms. */
+const ITERATION_WORK_MS = 6;
 
-/** Turns that accept one of two new callers each. */
-const TURNS = 150;
+/** Iterations under load; each adds two connections and accepts one. */
+const ITERATIONS = 150;
 
-/** Keeps the event loop from turning. */
-function beBusy(ms = BUSY_MS): void {
-  const until = clock.now() + ms;
-  while (clock.now() < until) {
-    // Nothing else runs meanwhile.
+/** Blocks the event loop. */
+function blockEventLoop(ms = BLOCKED_MS): void {
+  const endsAt = clock.now() + ms;
+  while (clock.now() < endsAt) {
+    // Busy wait.
   }
 }
 
-/** A listener that notes when each request is taken to have come. */
-class Site implements AsyncDisposable {
-  readonly cameAt = new Map<string, number>();
+/** A listener that records the estimated arrival of each request. */
+class ObservedServer implements AsyncDisposable {
+  readonly arrivedAt = new Map<string, number>();
   readonly sentAt = new Map<string, number>();
   private readonly sockets: Socket[] = [];
-  private watch: BacklogWatch | undefined;
+  private monitor: BacklogMonitor | undefined;
   private listener: HttpListener | undefined;
 
   async open(): Promise<void> {
     const opened = await HttpListener.open(
       {host: HOST, port: 0},
       (request, response) => {
-        const came = this.watch?.arrivalOf(request.socket) ?? clock.now();
-        this.cameAt.set(request.url ?? '', came);
+        const arrivedAt =
+          this.monitor?.estimateArrival(request.socket) ?? clock.now();
+        this.arrivedAt.set(request.url ?? '', arrivedAt);
         response.end();
       },
     );
     this.listener = opened._unsafeUnwrap();
-    this.watch = this.listener.watchBacklog(clock);
+    this.monitor = this.listener.monitorBacklog(clock);
   }
 
-  get ageMs(): number {
-    return this.watch?.ageMs ?? Infinity;
+  get queueAgeMs(): number {
+    return this.monitor?.queueAgeMs ?? Infinity;
   }
 
-  /** Connects and sends a request; both are under way as this returns. */
+  /** Opens a connection and writes a request; resolves before either completes. */
   async send(path: string): Promise<Socket> {
     const {port = 0} = this.listener ?? ({} as Partial<AddressInfo>);
     const socket = connect(port, HOST);
     this.sockets.push(socket);
-    this.ask(socket, path);
-    // The connection is asked for in the next tick.
+    this.writeRequest(socket, path);
+    // The socket starts to connect in a nextTick callback.
     await Promise.resolve();
     return socket;
   }
 
-  ask(socket: Socket, path: string): void {
+  writeRequest(socket: Socket, path: string): void {
     this.sentAt.set(path, clock.now());
     socket.write(`GET ${path} HTTP/1.1\r\nHost: a\r\n\r\n`);
   }
 
-  /** Resolves once the requests of all paths were read. */
-  async read(count: number): Promise<void> {
-    while (this.cameAt.size < count) {
-      await eventLoopTurns(1);
+  /** Waits until `count` requests were read. */
+  async waitForRequests(count: number): Promise<void> {
+    while (this.arrivedAt.size < count) {
+      await waitForLoopIterations(1);
     }
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    this.watch?.[Symbol.dispose]();
+    this.monitor?.[Symbol.dispose]();
     for (const socket of this.sockets) {
       socket.destroy();
     }
@@ -96,68 +100,70 @@
 }
 
 describe('BacklogWatch', () => {
-  test('requests that came while the loop was busy are not taken for new', async () => {
-    await using site = new Site();
-    await site.open();
-    for (let at = 0; at < CALLERS; at += 1) {
-      await site.send(`/${at}`);
+  test('dates requests on new connections to a blocked iteration', async () => {
+    await using server = new ObservedServer();
+    await server.open();
+    for (let caller = 0; caller < CALLER_COUNT; caller += 1) {
+      await server.send(`/${caller}`);
     }
-    beBusy();
-    const readableAt = clock.now();
-    await site.read(CALLERS);
-    for (const came of site.cameAt.values()) {
-      expect(came).toBeLessThan(readableAt - BUSY_MS / 2);
+    blockEventLoop();
+    const unblockedAt = clock.now();
+    await server.waitForRequests(CALLER_COUNT);
+    for (const arrivedAt of server.arrivedAt.values()) {
+      expect(arrivedAt).toBeLessThan(unblockedAt - BLOCKED_MS / 2);
     }
   });
 
-  test('a request on a kept connection that came meanwhile is not either', async () => {
-    await using site = new Site();
-    await site.open();
-    const socket = await site.send('/first');
-    await site.read(1);
-    await eventLoopTurns(20);
-    site.ask(socket, '/second');
-    beBusy();
-    const readableAt = clock.now();
-    await site.read(2);
-    expect(site.cameAt.get('/second')).toBeLessThan(readableAt - BUSY_MS / 2);
+  test('dates requests on open connections to a blocked iteration', async () => {
+    await using server = new ObservedServer();
+    await server.open();
+    const socket = await server.send('/first');
+    await server.waitForRequests(1);
+    await waitForLoopIterations(20);
+    server.writeRequest(socket, '/second');
+    blockEventLoop();
+    const unblockedAt = clock.now();
+    await server.waitForRequests(2);
+    expect(server.arrivedAt.get('/second')).toBeLessThan(
+      unblockedAt - BLOCKED_MS / 2,
+    );
   });
 
-  test('an edge that has caught up knows it', async () => {
-    await using site = new Site();
-    await site.open();
-    for (let at = 0; at < CALLERS; at += 1) {
-      await site.send(`/${at}`);
+  test('reports no queue age after the queue was emptied', async () => {
+    await using server = new ObservedServer();
+    await server.open();
+    for (let caller = 0; caller < CALLER_COUNT; caller += 1) {
+      await server.send(`/${caller}`);
     }
-    beBusy();
-    await site.read(CALLERS);
-    while (site.ageMs > 0) {
-      await eventLoopTurns(1);
+    blockEventLoop();
+    await server.waitForRequests(CALLER_COUNT);
+    while (server.queueAgeMs > 0) {
+      await waitForLoopIterations(1);
     }
-    expect(site.ageMs).toBe(0);
+    expect(server.queueAgeMs).toBe(0);
   });
 
-  test('marks bound the age of a queue that is never empty', async () => {
-    await using site = new Site();
-    await site.open();
-    const began = clock.now();
-    for (let turn = 0; turn < TURNS; turn += 1) {
-      await site.send(`/${turn}-a`);
-      await site.send(`/${turn}-b`);
-      beBusy(TURN_MS);
-      await eventLoopTurns(1);
+  test('uses probes to bound the age of a queue that is never empty', async () => {
+    await using server = new ObservedServer();
+    await server.open();
+    const startedAt = clock.now();
+    for (let iteration = 0; iteration < ITERATIONS; iteration += 1) {
+      await server.send(`/${iteration}-a`);
+      await server.send(`/${iteration}-b`);
+      blockEventLoop(ITERATION_WORK_MS);
+      await waitForLoopIterations(1);
     }
     const sendingEndedAt = clock.now();
-    while (site.cameAt.size < 2 * TURNS) {
-      beBusy(TURN_MS);
-      await eventLoopTurns(1);
+    while (server.arrivedAt.size < 2 * ITERATIONS) {
+      blockEventLoop(ITERATION_WORK_MS);
+      await waitForLoopIterations(1);
     }
-    // The last ones came late in the time in which the queue was never empty.
-    const last = site.cameAt.get(`/${TURNS - 1}-b`);
-    expect(last).toBeGreaterThan((began + sendingEndedAt) / 2);
-    for (const [path, came] of site.cameAt) {
-      const sentAt = site.sentAt.get(path) ?? 0;
-      expect(came).toBeLessThan(sentAt + NEGLIGIBLE_AGE_MS);
+    // The last requests were sent in the second half of the overload.
+    const last = server.arrivedAt.get(`/${ITERATIONS - 1}-b`);
+    expect(last).toBeGreaterThan((startedAt + sendingEndedAt) / 2);
+    for (const [path, arrivedAt] of server.arrivedAt) {
+      const sentAt = server.sentAt.get(path) ?? 0;
+      expect(arrivedAt).toBeLessThan(sentAt + NEGLIGIBLE_AGE_MS);
     }
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/CallerRequest.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/CallerRequest.test.ts
@@ -5,13 +5,16 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against forwarding requests with incomplete or oversized bodies.
+ */
 import {createServer} from 'node:http';
 import type {AddressInfo, Socket} from 'node:net';
 import {connect} from 'node:net';
 
 import {CallerRequest} from '../../callers/CallerRequest';
 
-const NAMES = {
+const HEADER_NAMES = {
   deadline: 'x-deadline',
   expectedUpstream: 'x-upstream',
   key: 'x-key',
@@ -29,41 +32,41 @@
 };
 
 const MAX_BYTES = 10;
-const CHUNKED =
+const CHUNKED_HEAD =
   'POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n';
 
-/** What was read of a body that a caller sends, and what the caller got. */
-async function bodyOf(
-  text: string,
-  then: (socket: Socket) => void = () => undefined,
-): Promise<{readonly read: string; readonly got: string}> {
-  let seen: (read: string) => void = () => undefined;
-  const read = new Promise<string>((resolve) => (seen = resolve));
+/** Sends a request; returns the outcome of reading its body, and the HTTP response. */
+async function sendRequest(
+  request: string,
+  afterSend: (socket: Socket) => void = () => undefined,
+): Promise<{readonly read: string; readonly httpResponse: string}> {
+  let resolveRead: (read: string) => void = () => undefined;
+  const read = new Promise<string>((resolve) => (resolveRead = resolve));
   const server = createServer((incoming, response) => {
     incoming.on('error', () => undefined);
-    const caller = new CallerRequest(incoming, response, NAMES, 0);
+    const caller = new CallerRequest(incoming, response, HEADER_NAMES, 0);
     void caller.readBody(MAX_BYTES).then((body) => {
-      const word = body.isOk() ? `body ${body.value}` : body.error.kind;
-      seen(word);
+      const outcome = body.isOk() ? `body ${body.value}` : body.error.kind;
+      resolveRead(outcome);
       caller.closing = true;
-      caller.refuse(body.isOk() ? 200 : 413, word);
+      caller.refuse(body.isOk() ? 200 : 413, outcome);
     });
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const {port} = server.address() as AddressInfo;
-  let got = '';
+  let httpResponse = '';
   await new Promise<void>((resolve) => {
     const socket = connect(port, '127.0.0.1', () => {
-      socket.write(text);
-      then(socket);
+      socket.write(request);
+      afterSend(socket);
     });
-    socket.on('data', (chunk: Buffer) => (got += chunk.toString()));
+    socket.on('data', (chunk: Buffer) => (httpResponse += chunk.toString()));
     socket.on('error', () => undefined);
     socket.on('close', () => resolve());
   });
   server.closeAllConnections();
   await new Promise((resolve) => server.close(resolve));
-  return {got, read: await read};
+  return {httpResponse, read: await read};
 }
 
 describe('CallerRequest', () => {
@@ -74,9 +77,9 @@
       'POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nabcd',
       'body abcd',
     ],
-    ['chunks', `${CHUNKED}2\r\nab\r\n2\r\ncd\r\n0\r\n\r\n`, 'body abcd'],
-  ])('reads a body with %s', async (_, text, read) => {
-    expect((await bodyOf(text)).read).toBe(read);
+    ['chunks', `${CHUNKED_HEAD}2\r\nab\r\n2\r\ncd\r\n0\r\n\r\n`, 'body abcd'],
+  ])('reads a body with %s', async (_, request, read) => {
+    expect((await sendRequest(request)).read).toBe(read);
   });
 
   test.each([
@@ -84,16 +87,16 @@
       'a length',
       'POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\nabcd',
     ],
-    ['chunks', `${CHUNKED}6\r\nabcdef\r\n6\r\nabcdef\r\n`],
-  ])('a body that is too long by %s is answered so', async (_, text) => {
-    const {got, read} = await bodyOf(text);
+    ['chunks', `${CHUNKED_HEAD}6\r\nabcdef\r\n6\r\nabcdef\r\n`],
+  ])('rejects a body that is too long by %s', async (_, request) => {
+    const {httpResponse, read} = await sendRequest(request);
     expect(read).toBe('body-too-large');
-    expect(got.startsWith('HTTP/1.1 413 ')).toBe(true);
-    expect(got).toContain('Connection: close');
+    expect(httpResponse.startsWith('HTTP/1.1 413 ')).toBe(true);
+    expect(httpResponse).toContain('Connection: close');
   });
 
-  test('a body that breaks off is no body', async () => {
-    const {read} = await bodyOf(`${CHUNKED}2\r\nab\r\n`, (socket) =>
+  test('rejects a body that ends early', async () => {
+    const {read} = await sendRequest(`${CHUNKED_HEAD}2\r\nab\r\n`, (socket) =>
       setTimeout(() => socket.destroy(), 20),
     );
     expect(read).toBe('body-broken');
--- a/packages/puffinturn-edge/src/__tests__/unit/ReadLateness.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ReadLateness.test.ts
@@ -5,20 +5,39 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/** Guards against serving requests too late, and rejecting them too early. */
 import {isReadLate} from '../../callers/ReadLateness';
 
 describe('isReadLate', () => {
   test.each([
-    ['a new one', 0, 5_000, 800, false],
-    ['one that can be answered in time', 390, 5_000, 800, false],
-    ['one that another edge may still answer in time', 410, 5_000, 800, true],
-    ['one whose age is not told apart from a new one', 340, 5_000, 300, false],
-    ['one that is past such an objective', 360, 5_000, 300, true],
-    ['one of a route without an objective', 2_400, 5_000, 0, false],
-    ['one with less than half of its time left', 2_600, 5_000, 0, true],
-    ['one whose caller waits for a moment only', 260, 500, 800, true],
-    ['one past its time', 6_000, 5_000, 0, true],
-  ])('%s', (_, ageMs, limitMs, objectiveMs, late) => {
-    expect(isReadLate(ageMs, limitMs, {objectiveMs})).toBe(late);
+    ['accepts a new request', 0, 5_000, 800, false],
+    ['accepts a request within half of the objective', 390, 5_000, 800, false],
+    ['rejects a request past half of the objective', 410, 5_000, 800, true],
+    [
+      'accepts a wait below the resolution of the estimate',
+      340,
+      5_000,
+      300,
+      false,
+    ],
+    [
+      'rejects a wait above the resolution and the objective',
+      360,
+      5_000,
+      300,
+      true,
+    ],
+    [
+      'accepts a long wait on a route without an objective',
+      2_400,
+      5_000,
+      0,
+      false,
+    ],
+    ['rejects a request past half of its time limit', 2_600, 5_000, 0, true],
+    ['rejects a request past half of a short deadline', 260, 500, 800, true],
+    ['rejects a request past its time limit', 6_000, 5_000, 0, true],
+  ])('%s', (_, waitedMs, timeLimitMs, objectiveMs, isLate) => {
+    expect(isReadLate(waitedMs, timeLimitMs, {objectiveMs})).toBe(isLate);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/Suspension.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/Suspension.test.ts
@@ -5,11 +5,15 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against serving stale state after a suspension, and against waiting for a
+ * control plane that is unreachable.
+ */
 import {SystemClock} from 'shared';
 
 import {ServingEdge, streams} from '../utils/ServingEdge';
 
-/** A machine's clocks across a suspension: only the time of day goes on. */
+/** A clock whose wall time advances during a suspension, but not its monotonic time. */
 class SuspendableClock extends SystemClock {
   private suspendedMs = 0;
 
@@ -22,7 +26,7 @@
   }
 }
 
-describe('An edge whose machine was suspended', () => {
+describe('Edge after a suspension', () => {
   let clock: SuspendableClock;
   let serving: ServingEdge;
 
@@ -35,26 +39,26 @@
 
   afterEach(() => serving[Symbol.asyncDispose]());
 
-  function phases(): string[] {
+  function loggedPhases(): string[] {
     return serving.log.lines.flatMap((line) =>
       line.event === 'process-changed' ? [line.phase] : [],
     );
   }
 
-  test('asks for all anew before it answers', async () => {
+  test('refreshes its state before it serves requests', async () => {
     expect((await serving.ask('first')).status).toBe(200);
-    // What the edge holds changes a turn of the event loop after it has noticed.
+    // The state changes one event loop iteration after the edge detects the suspension.
     serving.link.redial = () =>
       void setImmediate(() => serving.configure({pathPrefix: '/elsewhere/'}));
     clock.suspend(5_000);
     expect((await serving.ask('second')).status).toBe(404);
-    expect(phases()).toContain('woke');
+    expect(loggedPhases()).toContain('woke');
   });
 
-  test('serves from what it holds where the core does not answer', async () => {
+  test('serves from its cached state if the control plane does not reply', async () => {
     clock.suspend(5_000);
     expect((await serving.ask('first')).status).toBe(200);
     expect((await serving.ask('second')).status).toBe(200);
-    expect(phases().filter((phase) => phase === 'woke')).toHaveLength(1);
+    expect(loggedPhases().filter((phase) => phase === 'woke')).toHaveLength(1);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/Totals.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/Totals.test.ts
@@ -5,6 +5,9 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against responses missing from the totals, and against lines of unbounded size.
+ */
 import type {TeamTokens} from 'puffinturn-decisions';
 import {KeptDecisionLog} from 'puffinturn-decisions';
 import {ManualClock} from 'shared';
@@ -16,7 +19,7 @@
 }
 
 describe('Totals', () => {
-  test('count every answer of a second once, and nothing in a pause', async () => {
+  test('logs each response once, and nothing while idle', async () => {
     const clock = new ManualClock();
     const log = new KeptDecisionLog();
     await using totals = new Totals(clock, log, () => []);
@@ -42,7 +45,7 @@
     ]);
   });
 
-  test('tell few kinds of answers apart, and count all', async () => {
+  test('limits the number of causes in a line, and counts all responses', async () => {
     const clock = new ManualClock();
     const log = new KeptDecisionLog();
     await using totals = new Totals(clock, log, () => []);
@@ -56,10 +59,12 @@
     expect(answers.reduce((sum, {count}) => sum + count, 0)).toBe(1_000);
   });
 
-  test('add up the tokens of all teams and name those with most', async () => {
+  test('logs the sum of all tokens, and the largest teams', async () => {
     const clock = new ManualClock();
     const log = new KeptDecisionLog();
-    const teams = Array.from({length: 40}, (_, at) => tokensOf(`t${at}`, at));
+    const teams = Array.from({length: 40}, (_, index) =>
+      tokensOf(`t${index}`, index),
+    );
     await using totals = new Totals(clock, log, () => teams);
     totals.count(200, 'served');
     await clock.advance(1_000);
@@ -70,8 +75,8 @@
       held: (39 * 40) / 2,
       reserved: 80,
     });
-    const named = line?.event === 'tokens-counted' ? line.teams : [];
-    expect(named).toHaveLength(12);
-    expect(named[0]?.team).toBe('t39');
+    const loggedTeams = line?.event === 'tokens-counted' ? line.teams : [];
+    expect(loggedTeams).toHaveLength(12);
+    expect(loggedTeams[0]?.team).toBe('t39');
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/utils/EdgeFixture.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/EdgeFixture.ts
@@ -8,7 +8,7 @@
 import type {FleetConfiguration, UpstreamRecord} from 'puffinturn-fleet';
 import {UPSTREAM_STATE} from 'puffinturn-fleet';
 
-/** A configuration with limits and nothing else. */
+/** Creates a configuration with minimal limits and no routes, services or teams. */
 export function configurationOf(
   version: number,
   fields: Partial<FleetConfiguration> = {},
@@ -28,7 +28,7 @@
   };
 }
 
-/** An upstream of service `s` in hall `a` with defaults. */
+/** Creates a ready upstream of service `s` in hall `a`. */
 export function upstreamOf(
   id: string,
   fields: Partial<UpstreamRecord> = {},
--- a/packages/puffinturn-edge/src/__tests__/utils/PlainDialect.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/PlainDialect.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** A dialect with short names, for edges that serve over loopback. */
+/** A protocol with short header names, for edges under test. */
 import type {
   HeaderNames,
   PromptPart,
@@ -15,7 +15,7 @@
 
 type HeaderLookup = (name: string) => string | undefined;
 
-/** See the module comment. Parts are given as `id:tokens,id:tokens`. */
+/** Reads prompt parts from `x-parts: id:tokens,id:tokens`. */
 export class PlainDialect extends CallerDialect {
   override readonly headers: HeaderNames = {
     deadline: 'x-deadline',
--- a/packages/puffinturn-edge/src/callers/AcceptBacklog.ts
+++ b/packages/puffinturn-edge/src/callers/AcceptBacklog.ts
@@ -6,106 +6,112 @@
  */
 
 /**
- * How long connections have waited to be accepted. They are served first come,
- * first served, and a turn of the event loop accepts one, so a busy edge reads a
- * request long after it was sent. Three things bound when a connection came: a
- * turn that brought none, as the queue was empty then; a mark, a connection of the
- * edge's own whose start is known; and the connections before it.
+ * Estimates how long connections wait in the listen queue before they are accepted.
+ * The queue is first in, first out, and one connection is accepted per event loop
+ * iteration. An iteration that accepted nothing shows that the queue was empty. A
+ * probe, a connection that the edge makes to itself, bounds the arrival of every
+ * connection accepted after it.
  */
 import type {Clock} from 'shared';
 
-/** What is known of a connection's coming as it is accepted. */
-export interface Arrival {
-  /** It came no earlier, monotonic ms. */
-  readonly notBefore: number;
-  /** The turn of the event loop that accepted it. */
-  readonly turn: number;
+/** Arrival bound of an accepted connection. */
+export interface AcceptedConnection {
+  /** Lower bound of the arrival time, monotonic ms. */
+  readonly earliestArrival: number;
+  /** Event loop iteration that accepted it. */
+  readonly iteration: number;
 }
 
-/** A connection of the edge's own, made to learn how long others wait. */
-export interface BacklogMark {
-  /** When it was made, monotonic ms. */
-  readonly madeAt: number;
+/** A connection that the edge makes to itself to measure the queueing delay. */
+export interface BacklogProbe {
+  /** Monotonic ms. */
+  readonly startedAt: number;
 }
 
-/**
- * Ages below this count as nothing, ms: a calm loop is looked at every 50 ms and
- * can't tell shorter ones apart, and callers wait for seconds.
- */
+/** Ages below this are reported as 0, ms: an idle loop is sampled every 50 ms only. */
 export const NEGLIGIBLE_AGE_MS = 150;
 
-/** Least time between two marks, ms; one costs a turn that would accept a caller. */
-export const MARK_EVERY_MS = 200;
+/** Minimum time between probes, ms; each probe takes the place of one caller. */
+export const PROBE_INTERVAL_MS = 200;
 
-/** How finely ages are known, ms: a small part of any deadline. */
-export const TOLD_APART_MS = NEGLIGIBLE_AGE_MS + MARK_EVERY_MS;
+/** Resolution of the age estimate, ms. */
+export const AGE_RESOLUTION_MS = NEGLIGIBLE_AGE_MS + PROBE_INTERVAL_MS;
 
-/** See the module comment. */
+/** Estimates the queueing delay from accepted connections and probes. */
 export class AcceptBacklog {
-  /** What is accepted from now on came no earlier. */
-  private since: number;
-  /** Ends of the last turn that was looked at, and of the one before. */
-  private turnedAt: number;
-  private turnedBefore: number;
-  private turn = 0;
-  private acceptedInTurn = 0;
+  /** Lower bound of the arrival time of connections accepted from now on. */
+  private earliestArrival: number;
+  /** End of the last observed iteration, and of the one before, monotonic ms. */
+  private iterationEndedAt: number;
+  private previousIterationEndedAt: number;
+  private iteration = 0;
+  private acceptedInIteration = 0;
 
   constructor(private readonly clock: Clock) {
-    this.since = clock.now();
-    this.turnedAt = this.since;
-    this.turnedBefore = this.since;
+    this.earliestArrival = clock.now();
+    this.iterationEndedAt = this.earliestArrival;
+    this.previousIterationEndedAt = this.earliestArrival;
   }
 
-  /** The greatest age of a connection that would be accepted now, ms. */
-  get ageMs(): number {
-    const age = this.clock.now() - this.since;
+  /** Upper bound of the wait of a connection accepted now, ms; 0 if negligible. */
+  get queueAgeMs(): number {
+    const age = this.clock.now() - this.earliestArrival;
     return age < NEGLIGIBLE_AGE_MS ? 0 : age;
   }
 
-  /** Notes that a connection was accepted. */
-  accepted(): Arrival {
-    this.acceptedInTurn += 1;
-    return {notBefore: this.since, turn: this.turn};
+  /** Records that a caller's connection was accepted. */
+  recordAccept(): AcceptedConnection {
+    this.acceptedInIteration += 1;
+    return {earliestArrival: this.earliestArrival, iteration: this.iteration};
   }
 
-  /** Makes a mark; the connection is to be made at once. */
-  mark(): BacklogMark {
-    return {madeAt: this.clock.now()};
+  /** Starts a probe, whose connection must be opened immediately. */
+  startProbe(): BacklogProbe {
+    return {startedAt: this.clock.now()};
   }
 
-  /** Notes that the connection of a mark was accepted. */
-  acceptedMark({madeAt}: BacklogMark): void {
-    this.acceptedInTurn += 1;
-    this.since = Math.max(this.since, madeAt);
+  /** Records that the connection of a probe was accepted. */
+  recordProbeAccept({startedAt}: BacklogProbe): void {
+    this.acceptedInIteration += 1;
+    this.earliestArrival = Math.max(this.earliestArrival, startedAt);
   }
 
   /**
-   * Notes that a turn of the event loop has taken what there was. Returns whether
-   * the next turn is to be looked at as well, as more may be waiting.
+   * Records the end of an event loop iteration. Returns true if more connections may
+   * be waiting, so the next iteration must be observed too.
    */
-  turned(): boolean {
-    const isEmpty = this.acceptedInTurn === 0;
+  endIteration(): boolean {
+    const isEmpty = this.acceptedInIteration === 0;
     if (isEmpty) {
-      this.since = Math.max(this.since, this.turnedAt);
+      this.earliestArrival = Math.max(
+        this.earliestArrival,
+        this.iterationEndedAt,
+      );
     }
-    this.turn += 1;
-    this.acceptedInTurn = 0;
-    this.turnedBefore = this.turnedAt;
-    this.turnedAt = this.clock.now();
-    // What comes after a long turn is to be dated by its end.
-    const wasLong = this.turnedAt - this.turnedBefore >= NEGLIGIBLE_AGE_MS;
+    this.iteration += 1;
+    this.acceptedInIteration = 0;
+    this.previousIterationEndedAt = this.iterationEndedAt;
+    this.iterationEndedAt = this.clock.now();
+    // Connections that arrive after a long iteration are dated by its end.
+    const wasLong =
+      this.iterationEndedAt - this.previousIterationEndedAt >=
+      NEGLIGIBLE_AGE_MS;
     return !isEmpty || wasLong;
   }
 
   /**
-   * When a request that is read now presumably came. `arrival` is that of its
-   * connection where it is the first request there: one that was there as soon as
-   * it could be read came with the connection, any other one within two turns.
+   * Estimates when the request that is read now arrived, monotonic ms. `accepted` is
+   * set for the first request of a connection. If that request is read by the iteration
+   * after the accept, it is taken to have arrived with the connection. Any other
+   * request is taken to have arrived within the last two iterations.
    */
-  arrivalOf(arrival: Arrival | undefined): number {
+  estimateArrival(accepted: AcceptedConnection | undefined): number {
     const now = this.clock.now();
-    const cameAlong = arrival !== undefined && this.turn <= arrival.turn + 1;
-    const notBefore = cameAlong ? arrival.notBefore : this.turnedBefore;
-    return now - notBefore < NEGLIGIBLE_AGE_MS ? now : notBefore;
+    const arrivedWithConnection =
+      accepted !== undefined && this.iteration <= accepted.iteration + 1;
+    const earliestArrival = arrivedWithConnection
+      ? accepted.earliestArrival
+      : this.previousIterationEndedAt;
+    return now - earliestArrival < NEGLIGIBLE_AGE_MS ? now : earliestArrival;
   }
 }
--- a/packages/puffinturn-edge/src/callers/AnswerRelay.ts
+++ b/packages/puffinturn-edge/src/callers/AnswerRelay.ts
@@ -6,196 +6,197 @@
  */
 
 /**
- * Passes an upstream's answer on to the caller. Short answers are checked whole
- * first; streams pass event by event and may go on with another upstream's
- * answer under the head of the first.
+ * Relays upstream responses to the caller. Short responses are buffered until complete.
+ * Event streams are relayed event by event, and may continue with the response of
+ * another upstream after a failure.
  */
 import {EventCutter} from '../connections/EventStream';
 import type {UpstreamAnswer} from '../connections/UpstreamAnswer';
 import {WHOLE_ANSWER_BYTES} from '../EdgeConstants';
-import {CallerBody} from './CallerBody';
+import {ResponseBodyWriter} from './CallerBody';
 import type {CallerRequest} from './CallerRequest';
-import {joined, passesOn} from './CallerRequest';
+import {concatChunks, passesOn} from './CallerRequest';
 
-/** How passing an answer on has ended. */
+/** Outcomes of relaying a response. */
 export const RELAY = {
-  /** The upstream broke off; nothing that looks complete was sent. */
+  /** The response was incomplete, discarded or of the wrong type; a retry is possible. */
   broken: 'broken',
-  /** The request had ended by other means. */
+  /** The request ended before the response did. */
   stopped: 'stopped',
-  /** The whole answer was passed on. */
+  /** The complete response was relayed. */
   whole: 'whole',
 } as const;
 
-/** One of RELAY. */
+/** An outcome of relaying a response. */
 export type RelayEnd = (typeof RELAY)[keyof typeof RELAY];
 
-/** See the module comment. */
+/** Relays the responses of one or more attempts to one caller. */
 export abstract class AnswerRelay {
-  /** Events passed on so far. */
+  /** Number of events relayed so far. */
   events = 0;
-  /** Whether the head of an answer was passed on. */
+  /** Whether the response head was sent to the caller. */
   begun = false;
-  protected stopped = false;
-  protected readonly body: CallerBody;
+  protected isStopped = false;
+  protected readonly bodyWriter: ResponseBodyWriter;
 
   constructor(
     protected readonly caller: CallerRequest,
     private readonly onFirstByte: () => void,
   ) {
-    this.body = new CallerBody(caller.response);
+    this.bodyWriter = new ResponseBodyWriter(caller.response);
   }
 
-  /** The event after which another upstream may go on. */
+  /** ID of the last relayed event, from which another upstream can resume. */
   get lastEventId(): string | undefined {
     return undefined;
   }
 
-  /** Passes one answer on; one to be retried is read and dropped. */
-  abstract pass(answer: UpstreamAnswer, drop: boolean): Promise<RelayEnd>;
+  /** Relays one response. `discard` reads it without sending it, ahead of a retry. */
+  abstract pass(response: UpstreamAnswer, discard: boolean): Promise<RelayEnd>;
 
-  /** Ends passing on, since the request has ended. */
+  /** Stops relaying because the request has ended. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
   }
 
-  protected head(answer: UpstreamAnswer, length?: number): void {
-    const {rawHeaders, headers} = answer;
-    const kept: string[] = [];
-    for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
-      const name = rawHeaders[at] ?? '';
-      const isLength = name.toLowerCase() === 'content-length';
-      if (!isLength && passesOn(name, headers.connection)) {
-        kept.push(name, rawHeaders[at + 1] ?? '');
+  protected writeHead(response: UpstreamAnswer, contentLength?: number): void {
+    const {rawHeaders, headers} = response;
+    const forwardedHeaders: string[] = [];
+    for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
+      const name = rawHeaders[index] ?? '';
+      const isContentLength = name.toLowerCase() === 'content-length';
+      if (!isContentLength && passesOn(name, headers.connection)) {
+        forwardedHeaders.push(name, rawHeaders[index + 1] ?? '');
       }
     }
-    if (length !== undefined) {
-      kept.push('Content-Length', String(length));
+    if (contentLength !== undefined) {
+      forwardedHeaders.push('Content-Length', String(contentLength));
     }
     if (this.caller.closing) {
-      kept.push('Connection', 'close');
+      forwardedHeaders.push('Connection', 'close');
     }
     this.begun = true;
     this.onFirstByte();
-    this.body.begin(answer.statusCode, kept);
+    this.bodyWriter.writeHead(response.statusCode, forwardedHeaders);
   }
 }
 
-/** Checks an answer whole; a long one is passed on as it comes. */
+/** Buffers a response until it is complete; long responses are streamed. */
 export class WholeRelay extends AnswerRelay {
-  override pass(answer: UpstreamAnswer, drop: boolean): Promise<RelayEnd> {
+  override pass(response: UpstreamAnswer, discard: boolean): Promise<RelayEnd> {
     return new Promise((resolve) => {
-      const reader = new WholeReader(answer, this.body, (length) =>
-        this.head(answer, length),
+      const reader = new BufferedBody(response, this.bodyWriter, (length) =>
+        this.writeHead(response, length),
       );
-      answer.read({
-        ended: (whole) => {
-          if (this.stopped) {
+      response.read({
+        ended: (isComplete) => {
+          if (this.isStopped) {
             resolve(RELAY.stopped);
-          } else if (!whole || drop) {
+          } else if (!isComplete || discard) {
             resolve(RELAY.broken);
           } else {
             reader.finish();
             resolve(RELAY.whole);
           }
         },
-        take: (chunk) => reader.take(chunk, !drop && !this.stopped),
+        take: (chunk) => reader.append(chunk, !discard && !this.isStopped),
       });
     });
   }
 }
 
-/** The body of one answer: kept until it is whole or too long for that. */
-class WholeReader {
+/** A response body, buffered up to a size limit and streamed beyond it. */
+class BufferedBody {
   private chunks: Buffer[] = [];
-  private length = 0;
-  private flowing = false;
+  private bufferedBytes = 0;
+  private isStreaming = false;
 
   constructor(
-    private readonly answer: UpstreamAnswer,
-    private readonly body: CallerBody,
+    private readonly response: UpstreamAnswer,
+    private readonly bodyWriter: ResponseBodyWriter,
     private readonly sendHead: (length?: number) => void,
   ) {}
 
-  take(chunk: Buffer, mayFlow: boolean): void {
-    if (this.flowing) {
-      this.body.write(chunk, this.answer);
+  append(chunk: Buffer, mayStream: boolean): void {
+    if (this.isStreaming) {
+      this.bodyWriter.write(chunk, this.response);
       return;
     }
-    this.length += chunk.length;
+    this.bufferedBytes += chunk.length;
     this.chunks.push(chunk);
-    if (this.length > WHOLE_ANSWER_BYTES && mayFlow) {
-      this.flowing = true;
+    if (this.bufferedBytes > WHOLE_ANSWER_BYTES && mayStream) {
+      this.isStreaming = true;
       this.sendHead();
-      this.body.write(Buffer.concat(this.chunks), this.answer);
+      this.bodyWriter.write(Buffer.concat(this.chunks), this.response);
       this.chunks = [];
     }
   }
 
   finish(): void {
-    if (!this.flowing) {
-      this.sendHead(this.length);
+    if (!this.isStreaming) {
+      this.sendHead(this.bufferedBytes);
     }
-    this.body.end(joined(this.chunks));
+    this.bodyWriter.end(concatChunks(this.chunks));
   }
 }
 
-/** Passes whole events on as they come. */
+/** Relays an event stream, one complete event at a time. */
 export class StreamRelay extends AnswerRelay {
-  private readonly cutter = new EventCutter();
-  private headSent = false;
+  private readonly eventSplitter = new EventCutter();
+  private isHeadSent = false;
 
   override get lastEventId(): string | undefined {
-    return this.headSent ? this.cutter.lastId : undefined;
+    return this.isHeadSent ? this.eventSplitter.lastId : undefined;
   }
 
-  override pass(answer: UpstreamAnswer): Promise<RelayEnd> {
-    // Half an event of a former upstream is not for this one to complete.
-    this.cutter.takeRest();
+  override pass(response: UpstreamAnswer): Promise<RelayEnd> {
+    // Drops a partial event left over from the previous upstream.
+    this.eventSplitter.takeRest();
     const isStream =
-      answer.statusCode === 200 &&
-      answer.headers['content-type']?.startsWith('text/event-stream') === true;
+      response.statusCode === 200 &&
+      response.headers['content-type']?.startsWith('text/event-stream') ===
+        true;
     if (!isStream) {
-      answer.drop();
+      response.drop();
       return Promise.resolve(RELAY.broken);
     }
     return new Promise((resolve) => {
-      answer.read({
-        ended: (whole) => resolve(this.finish(answer, whole)),
-        take: (chunk) => this.take(answer, chunk),
+      response.read({
+        ended: (isComplete) => resolve(this.handleEnd(response, isComplete)),
+        take: (chunk) => this.handleChunk(response, chunk),
       });
     });
   }
 
-  private take(answer: UpstreamAnswer, chunk: Buffer): void {
-    if (this.stopped) {
+  private handleChunk(response: UpstreamAnswer, chunk: Buffer): void {
+    if (this.isStopped) {
       return;
     }
-    const {bytes, events} = this.cutter.push(chunk);
+    const {bytes, events} = this.eventSplitter.push(chunk);
     if (bytes.length === 0) {
       return;
     }
     this.events += events;
-    this.sendHead(answer);
-    this.body.write(bytes, answer);
+    this.sendHead(response);
+    this.bodyWriter.write(bytes, response);
   }
 
-  private finish(answer: UpstreamAnswer, whole: boolean): RelayEnd {
-    if (this.stopped) {
+  private handleEnd(response: UpstreamAnswer, isComplete: boolean): RelayEnd {
+    if (this.isStopped) {
       return RELAY.stopped;
     }
-    if (!whole) {
+    if (!isComplete) {
       return RELAY.broken;
     }
-    this.sendHead(answer);
-    this.body.end(this.cutter.takeRest());
+    this.sendHead(response);
+    this.bodyWriter.end(this.eventSplitter.takeRest());
     return RELAY.whole;
   }
 
-  private sendHead(answer: UpstreamAnswer): void {
-    if (!this.headSent) {
-      this.headSent = true;
-      this.head(answer);
+  private sendHead(response: UpstreamAnswer): void {
+    if (!this.isHeadSent) {
+      this.isHeadSent = true;
+      this.writeHead(response);
     }
   }
 }
--- a/packages/puffinturn-edge/src/callers/BacklogLines.ts
+++ b/packages/puffinturn-edge/src/callers/BacklogLines.ts
@@ -5,27 +5,29 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Lines of the log that say when an edge is behind with reading. */
+/** Logs when the listen queue of an edge becomes overloaded and when it has recovered. */
 import type {DecisionLog} from 'puffinturn-decisions';
 
-/** Age from which an edge is said to be behind, ms; a caller would notice. */
-const BEHIND_AGE_MS = 500;
+/** Queue age from which an edge is logged as overloaded, ms. */
+const OVERLOADED_AGE_MS = 500;
 
-/** See the module comment. It has caught up once nothing waits any more. */
-export class BacklogLines {
-  private behind = false;
+/** Logs each change between overloaded and recovered; recovered means an empty queue. */
+export class BacklogLogger {
+  private isOverloaded = false;
 
   constructor(private readonly log: DecisionLog) {}
 
-  /** Notes how old a connection accepted now may be, and what is being served. */
-  update(ageMs: number, open: number): void {
-    const behind = this.behind ? ageMs > 0 : ageMs >= BEHIND_AGE_MS;
-    if (behind === this.behind) {
+  /** Takes the current queue age, ms, and the number of open requests. */
+  update(ageMs: number, openRequests: number): void {
+    const isOverloaded = this.isOverloaded
+      ? ageMs > 0
+      : ageMs >= OVERLOADED_AGE_MS;
+    if (isOverloaded === this.isOverloaded) {
       return;
     }
-    this.behind = behind;
-    const phase = behind ? 'behind' : 'caught-up';
+    this.isOverloaded = isOverloaded;
+    const phase = isOverloaded ? 'behind' : 'caught-up';
     const event = 'backlog-changed';
-    this.log.note({ageMs: Math.round(ageMs), event, open, phase});
+    this.log.note({ageMs: Math.round(ageMs), event, open: openRequests, phase});
   }
 }
--- a/packages/puffinturn-edge/src/callers/BacklogWatch.ts
+++ b/packages/puffinturn-edge/src/callers/BacklogWatch.ts
@@ -5,126 +5,133 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Feeds an AcceptBacklog from a listening server: its connections, the turns of
- * the event loop, and marks while it is behind.
- */
+/** Measures the listen queue of a server with an AcceptBacklog. */
 import type {Server} from 'node:http';
 import type {AddressInfo, Socket} from 'node:net';
 import {connect} from 'node:net';
 
 import type {Clock} from 'shared';
 
-import type {Arrival, BacklogMark} from './AcceptBacklog';
-import {AcceptBacklog, MARK_EVERY_MS} from './AcceptBacklog';
+import type {AcceptedConnection, BacklogProbe} from './AcceptBacklog';
+import {AcceptBacklog, PROBE_INTERVAL_MS} from './AcceptBacklog';
 
-/** How often the loop is looked at where no connection calls for it, ms. */
-const LOOK_MS = 50;
+/** Interval at which the event loop is sampled while no connections arrive, ms. */
+const CHECK_INTERVAL_MS = 50;
 
-/** Marks that wait at a time; more would say nothing new of so long a queue. */
-const MAX_MARKS = 64;
+/** Maximum number of probes waiting to be accepted. */
+const MAX_PENDING_PROBES = 64;
 
-/** A mark and its connection. */
-interface MadeMark {
-  readonly mark: BacklogMark;
+/** A probe whose connection was not accepted yet. */
+interface PendingProbe {
+  readonly probe: BacklogProbe;
   readonly socket: Socket;
 }
 
-/** See the module comment. */
-export class BacklogWatch implements Disposable {
+/** Observes connections and event loop iterations, and sends probes under load. */
+export class BacklogMonitor implements Disposable {
   private readonly backlog: AcceptBacklog;
-  private readonly arrivals = new WeakMap<Socket, Arrival>();
-  /** Those that were not accepted yet, the oldest first. */
-  private marks: readonly MadeMark[] = [];
-  private markedAt = -Infinity;
+  private readonly acceptedConnections = new WeakMap<
+    Socket,
+    AcceptedConnection
+  >();
+  /** Oldest first. */
+  private pendingProbes: readonly PendingProbe[] = [];
+  private lastProbeAt = -Infinity;
   private readonly timer: NodeJS.Timeout;
-  private looking = false;
+  private isCheckScheduled = false;
 
   constructor(
     private readonly server: Server,
     private readonly clock: Clock,
-    /** Told the greatest age after each turn that is looked at. */
-    private readonly observe: (ageMs: number) => void,
+    /** Called with the queue age, ms, after each observed iteration. */
+    private readonly onQueueAge: (queueAgeMs: number) => void,
   ) {
     this.backlog = new AcceptBacklog(clock);
-    server.on('connection', this.accept);
-    this.timer = setInterval(() => this.look(), LOOK_MS);
+    server.on('connection', this.handleConnection);
+    this.timer = setInterval(() => this.scheduleCheck(), CHECK_INTERVAL_MS);
     this.timer.unref();
   }
 
-  /** The greatest age of a connection that would be accepted now, ms. */
-  get ageMs(): number {
-    return this.backlog.ageMs;
+  /** Upper bound of the waiting time of a connection accepted now, ms. */
+  get queueAgeMs(): number {
+    return this.backlog.queueAgeMs;
   }
 
-  /** When a request that is read now presumably came; asked once a request. */
-  arrivalOf(socket: Socket): number {
-    const arrival = this.arrivals.get(socket);
-    this.arrivals.delete(socket);
-    return this.backlog.arrivalOf(arrival);
+  /** Estimates when a request arrived, monotonic ms. Call once for each request. */
+  estimateArrival(socket: Socket): number {
+    const accepted = this.acceptedConnections.get(socket);
+    this.acceptedConnections.delete(socket);
+    return this.backlog.estimateArrival(accepted);
   }
 
   [Symbol.dispose](): void {
     clearInterval(this.timer);
-    this.server.off('connection', this.accept);
-    for (const {socket} of this.marks) {
+    this.server.off('connection', this.handleConnection);
+    for (const {socket} of this.pendingProbes) {
       socket.destroy();
     }
   }
 
-  private readonly accept = (socket: Socket): void => {
-    const made = this.marks.find(
-      (mark) =>
+  private readonly handleConnection = (socket: Socket): void => {
+    const pending = this.pendingProbes.find(
+      (candidate) =>
         socket.remotePort !== undefined &&
-        mark.socket.localPort === socket.remotePort &&
-        mark.socket.localAddress === socket.remoteAddress,
+        candidate.socket.localPort === socket.remotePort &&
+        candidate.socket.localAddress === socket.remoteAddress,
     );
-    if (made === undefined) {
-      this.arrivals.set(socket, this.backlog.accepted());
+    if (pending === undefined) {
+      this.acceptedConnections.set(socket, this.backlog.recordAccept());
     } else {
-      this.backlog.acceptedMark(made.mark);
+      this.backlog.recordProbeAccept(pending.probe);
       socket.destroy();
-      this.forget(made);
+      this.removeProbe(pending);
     }
-    this.look();
+    this.scheduleCheck();
   };
 
-  /** Looks at turns until one has brought no connection. */
-  private look(): void {
-    if (!this.looking) {
-      this.looking = true;
-      setImmediate(() => this.turned());
+  /** Observes iterations until one accepts no connection. */
+  private scheduleCheck(): void {
+    if (!this.isCheckScheduled) {
+      this.isCheckScheduled = true;
+      setImmediate(() => this.endIteration());
     }
   }
 
-  private turned(): void {
-    this.looking = false;
-    if (this.backlog.turned()) {
-      this.look();
+  private endIteration(): void {
+    this.isCheckScheduled = false;
+    if (this.backlog.endIteration()) {
+      this.scheduleCheck();
     }
-    this.observe(this.ageMs);
-    const pausing = this.clock.now() - this.markedAt < MARK_EVERY_MS;
-    if (this.ageMs > 0 && !pausing && this.marks.length < MAX_MARKS) {
-      this.makeMark();
+    this.onQueueAge(this.queueAgeMs);
+    const isWithinInterval =
+      this.clock.now() - this.lastProbeAt < PROBE_INTERVAL_MS;
+    if (
+      this.queueAgeMs > 0 &&
+      !isWithinInterval &&
+      this.pendingProbes.length < MAX_PENDING_PROBES
+    ) {
+      this.sendProbe();
     }
   }
 
-  private makeMark(): void {
+  private sendProbe(): void {
     const address = this.server.address() as AddressInfo | null;
     if (address === null) {
       return;
     }
-    this.markedAt = this.clock.now();
-    const mark = this.backlog.mark();
+    this.lastProbeAt = this.clock.now();
+    const probe = this.backlog.startProbe();
     const socket = connect({host: address.address, port: address.port});
-    const made = {mark, socket};
+    const pending = {probe, socket};
     socket.on('error', () => undefined);
-    socket.on('close', () => this.forget(made));
-    this.marks = [...this.marks, made];
+    socket.on('close', () => this.removeProbe(pending));
+    this.pendingProbes = [...this.pendingProbes, pending];
   }
 
-  private forget(made: MadeMark): void {
-    made.socket.destroy();
-    this.marks = this.marks.filter((other) => other !== made);
+  private removeProbe(pending: PendingProbe): void {
+    pending.socket.destroy();
+    this.pendingProbes = this.pendingProbes.filter(
+      (other) => other !== pending,
+    );
   }
 }
--- a/packages/puffinturn-edge/src/callers/CallerBody.ts
+++ b/packages/puffinturn-edge/src/callers/CallerBody.ts
@@ -6,52 +6,51 @@
  */
 
 /**
- * The body of an answer on its way to a caller. While the caller does not read, the
- * upstream is held back. Chunks are framed here in one buffer: Node writes a chunk
- * in three pieces, which cost more than the bytes of an event.
+ * Writes response bodies to callers, with backpressure on the upstream. Chunks are
+ * encoded here into a single buffer, because Node writes each chunk in three parts.
  */
 import type {ServerResponse} from 'node:http';
 
 import type {UpstreamAnswer} from '../connections/UpstreamAnswer';
 
-const LINE_END = '\r\n';
+const CRLF = '\r\n';
 const LAST_CHUNK = '0\r\n\r\n';
 
-/** See the module comment. */
-export class CallerBody {
-  /** The answer that waits for the caller to read. */
-  private held: UpstreamAnswer | undefined;
+/** Writes the head and body of one response. */
+export class ResponseBodyWriter {
+  /** Upstream response that is paused until the caller's connection drains. */
+  private pausedSource: UpstreamAnswer | undefined;
   private isChunked = false;
 
   constructor(private readonly response: ServerResponse) {}
 
-  /** Sends the head, with names and values in turn. */
-  begin(statusCode: number, headers: readonly string[]): void {
+  /** Sends the head; `headers` alternates names and values. */
+  writeHead(statusCode: number, headers: readonly string[]): void {
     const {response} = this;
-    // Node takes a flat list of names and values; its types know only maps.
+    // Node accepts a flat list of names and values, but its types do not.
     response.writeHead(statusCode, headers as never);
     this.isChunked = response.chunkedEncoding;
     response.chunkedEncoding = false;
   }
 
-  /** Sends some bytes of an answer. */
-  write(bytes: Buffer, answer: UpstreamAnswer): void {
+  /** Sends body bytes and pauses `source` while the caller does not read. */
+  write(bytes: Buffer, source: UpstreamAnswer): void {
     const {response} = this;
-    if (response.write(this.isChunked ? chunkOf(bytes) : bytes)) {
+    if (response.write(this.isChunked ? encodeChunk(bytes) : bytes)) {
       return;
     }
-    answer.pause();
-    if (this.held === undefined) {
+    source.pause();
+    if (this.pausedSource === undefined) {
       response.once('drain', () => this.resume());
     }
-    this.held = answer;
+    this.pausedSource = source;
   }
 
-  /** Ends a whole answer. */
+  /** Sends the last bytes and ends the response. */
   end(bytes: Buffer): void {
     const {isChunked, response} = this;
     if (isChunked && bytes.length > 0) {
-      response.write(chunkOf(bytes));
+      response.write(encodeChunk(bytes));
     }
     if (isChunked) {
       response.end(LAST_CHUNK, 'latin1');
@@ -61,20 +60,18 @@
   }
 
   private resume(): void {
-    const {held} = this;
-    this.held = undefined;
-    held?.resume();
+    const {pausedSource} = this;
+    this.pausedSource = undefined;
+    pausedSource?.resume();
   }
 }
 
-/** One chunk: its length in hexadecimal, its bytes, each with a line end. */
-function chunkOf(bytes: Buffer): Buffer {
-  const size = `${bytes.length.toString(16)}${LINE_END}`;
-  const chunk = Buffer.allocUnsafe(
-    size.length + bytes.length + LINE_END.length,
-  );
+/** Encodes a chunk of the chunked transfer coding (RFC 9112, section 7.1). */
+function encodeChunk(bytes: Buffer): Buffer {
+  const size = `${bytes.length.toString(16)}${CRLF}`;
+  const chunk = Buffer.allocUnsafe(size.length + bytes.length + CRLF.length);
   chunk.write(size, 'latin1');
   chunk.set(bytes, size.length);
-  chunk.write(LINE_END, size.length + bytes.length, 'latin1');
+  chunk.write(CRLF, size.length + bytes.length, 'latin1');
   return chunk;
 }
--- a/packages/puffinturn-edge/src/callers/CallerDialect.ts
+++ b/packages/puffinturn-edge/src/callers/CallerDialect.ts
@@ -6,62 +6,65 @@
  */
 
 /**
- * What an edge needs to know of the protocol between callers, itself and
- * upstreams: names of headers, and facts read from a request. The edge itself
- * knows no name of any platform.
+ * The platform's protocol between callers, edges and upstreams: header names and the
+ * parsing of request headers. Keeps the edge independent of any one platform.
  */
 
-/** Names of headers, in lower case. */
+/** Header names, in lower case. */
 export interface HeaderNames {
   readonly requestId: string;
+  /** How long the caller waits, ms. */
   readonly deadline: string;
+  /** Credential that identifies the team. */
   readonly key: string;
   readonly team: string;
+  /** ID of the upstream that the request is meant for. */
   readonly expectedUpstream: string;
   readonly priority: string;
+  /** ID of the last event received, to resume a stream after it. */
   readonly lastEvent: string;
-  /** Address of an upstream to copy the kept start of the prompt from. */
+  /** Address of an upstream to copy the cached prompt prefix from. */
   readonly prefixSource: string;
-  /** The upstream's signature of an answer. */
+  /** Signature of the response by the upstream. */
   readonly seal: string;
-  /** Present where an upstream did not run the request. */
+  /** Present if the upstream did not execute the request. */
   readonly notRun: string;
   readonly retryAfter: string;
-  /** Present where the upstream that answers is about to leave. */
+  /** Present if the responding upstream is draining. */
   readonly leaving: string;
-  /** Requests a second that the upstream takes from all edges together. */
+  /** Rate limit of the upstream over all edges, requests per second. */
   readonly limit: string;
-  /** Further ones that only the edge may set towards upstreams. */
+  /** Further headers that only the edge may send to upstreams. */
   readonly reserved: readonly string[];
 }
 
-/** One part of a prompt. */
+/** One part of a prompt, with its length in tokens. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** Tokens of a request as its caller states them. */
+/** Token counts of a request, as declared by its caller. */
 export interface TokenBounds {
   readonly prompt: number;
-  /** The most tokens that may come out. */
+  /** Maximum number of completion tokens. */
   readonly most: number;
 }
 
-/** The protocol as the edge sees it. */
+/** Header names and header parsing of a platform's protocol. */
 export abstract class CallerDialect {
   abstract readonly headers: HeaderNames;
 
-  /** Tokens in and the most out; undefined where the request names none. */
+  /** Reads the declared token counts; undefined if the request has none. */
   abstract tokensOf(
     header: (name: string) => string | undefined,
   ): TokenBounds | undefined;
 
-  /** The parts of the prompt in order; empty where the request names none. */
+  /** Reads the parts of the prompt in order; empty if the request has none. */
   abstract partsOf(
     header: (name: string) => string | undefined,
   ): readonly PromptPart[];
 
-  /** The value of the priority header: 0 is the most urgent. */
+  /** Computes the value of the priority header; 0 is the most urgent. */
   abstract priorityOf(team: number, route: number): number;
 }
--- a/packages/puffinturn-edge/src/callers/CallerRequest.ts
+++ b/packages/puffinturn-edge/src/callers/CallerRequest.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** One request of a caller: its facts, and the one answer that it gets. */
+/** A caller's request and its response. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
 import type {Result} from 'neverthrow';
@@ -13,20 +13,19 @@
 import type {Failure} from 'shared';
 
 import type {HeaderNames} from './CallerDialect';
-import {eventLoopTurns} from './EventLoopTurns';
+import {waitForLoopIterations} from './EventLoopTurns';
 
-/** The body could not be read. */
+/** The request body is incomplete or too large. */
 export type BodyFailure = Failure<'body-broken'> | Failure<'body-too-large'>;
 
 /**
- * Turns of the event loop after which the end of a connection that came together
- * with a request is known: one turn makes one read of a connection, and the first
- * of these is the turn that read the request.
+ * Event loop iterations after which a close that was sent right after the request has
+ * been read: the iteration that reads the request, and the next one.
  */
-const TURNS_TO_END = 2;
+const CLOSE_DETECTION_ITERATIONS = 2;
 
-/** Headers that concern one connection only, in lower case. */
-const HOP_HEADERS: ReadonlySet<string> = new Set([
+/** Hop-by-hop headers, in lower case. */
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -38,13 +37,13 @@
   'upgrade',
 ]);
 
-/** True for a header that is passed on. */
+/** True for an end-to-end header, which is forwarded. */
 export function passesOn(
   name: string,
   connectionHeader: string | undefined,
 ): boolean {
-  const lower = name.toLowerCase();
-  if (HOP_HEADERS.has(lower)) {
+  const lowerCaseName = name.toLowerCase();
+  if (HOP_BY_HOP_HEADERS.has(lowerCaseName)) {
     return false;
   }
   return (
@@ -52,93 +51,99 @@
     !connectionHeader
       .toLowerCase()
       .split(',')
-      .some((token) => token.trim() === lower)
+      .some((token) => token.trim() === lowerCaseName)
   );
 }
 
-const NO_BODY = Buffer.alloc(0);
+const EMPTY_BODY = Buffer.alloc(0);
 
-/** See the module comment. */
+/** Gives access to a request's headers and body, and sends error responses. */
 export class CallerRequest {
   readonly id: string;
   readonly method: string;
-  /** Path and query as they came. */
+  /** Path and query, unchanged. */
   readonly path: string;
-  /** Whether the connection ends with this answer. */
+  /** Whether to close the connection after this response. */
   closing = false;
 
   constructor(
     readonly incoming: IncomingMessage,
     readonly response: ServerResponse,
-    private readonly names: HeaderNames,
-    /** When it presumably came, monotonic ms; a busy edge reads it later. */
+    private readonly headerNames: HeaderNames,
+    /** Estimated arrival, monotonic ms; under load, earlier than the read. */
     readonly startedAt: number,
   ) {
     this.method = incoming.method ?? 'GET';
     this.path = incoming.url ?? '/';
-    this.id = this.header(names.requestId) ?? '';
+    this.id = this.header(headerNames.requestId) ?? '';
   }
 
-  /** The value of a header, by its name in lower case. */
+  /** Returns the first value of a header; `name` is in lower case. */
   header(name: string): string | undefined {
     const value = this.incoming.headers[name];
     return Array.isArray(value) ? value[0] : value;
   }
 
-  /** How long the caller waits, ms; undefined where it does not say. */
+  /** How long the caller waits, ms; undefined if the request has no valid deadline. */
   get deadlineMs(): number | undefined {
-    const value = Number(this.header(this.names.deadline));
+    const value = Number(this.header(this.headerNames.deadline));
     return Number.isFinite(value) && value > 0 ? value : undefined;
   }
 
-  /** True once the caller has gone without its whole answer. */
+  /** Whether the caller disconnected before the response was complete. */
   get abandoned(): boolean {
     return this.response.destroyed && !this.response.writableFinished;
   }
 
   /**
-   * Whether the caller still waits, judged once all that it sent together with
-   * its request has been read. A busy edge finds a request and its caller's close
-   * at once; what is sent on then is work for nobody.
+   * Whether the caller is still connected after all data that it sent with the request
+   * has been read. Prevents forwarding requests whose caller closed the connection
+   * while they were queued.
    */
   async stays(): Promise<boolean> {
-    await eventLoopTurns(TURNS_TO_END);
+    await waitForLoopIterations(CLOSE_DETECTION_ITERATIONS);
     return !this.abandoned && !this.incoming.socket.readableEnded;
   }
 
-  /** Reads the whole body. */
+  /** Reads the whole body, or fails if it is longer than `maxBytes`. */
   async readBody(maxBytes: number): Promise<Result<Buffer, BodyFailure>> {
     const {headers} = this.incoming;
-    const stated = Number(headers['content-length'] ?? 0);
-    if (stated > maxBytes) {
-      return err(tooLarge(maxBytes));
+    const contentLength = Number(headers['content-length'] ?? 0);
+    if (contentLength > maxBytes) {
+      return err(bodyTooLarge(maxBytes));
     }
-    const hasBody = stated > 0 || headers['transfer-encoding'] !== undefined;
-    return hasBody ? this.collectBody(maxBytes) : ok(NO_BODY);
+    const hasBody =
+      contentLength > 0 || headers['transfer-encoding'] !== undefined;
+    return hasBody ? this.collectBody(maxBytes) : ok(EMPTY_BODY);
   }
 
-  // By handlers, as an iterator over a stream costs more than the whole body.
+  // Uses event handlers because async iteration over a stream is slower.
   private collectBody(maxBytes: number): Promise<Result<Buffer, BodyFailure>> {
     const {incoming} = this;
     const chunks: Buffer[] = [];
-    let length = 0;
+    let receivedBytes = 0;
     return new Promise((resolve) => {
       incoming.on('data', (chunk: Buffer) => {
-        length += chunk.length;
-        if (length > maxBytes) {
-          resolve(err(tooLarge(maxBytes)));
+        receivedBytes += chunk.length;
+        if (receivedBytes > maxBytes) {
+          resolve(err(bodyTooLarge(maxBytes)));
         } else {
           chunks.push(chunk);
         }
       });
-      incoming.once('end', () => resolve(ok(joined(chunks))));
+      incoming.once('end', () => resolve(ok(concatChunks(chunks))));
       incoming.once('close', () =>
-        resolve(err({kind: 'body-broken', message: 'the body broke off'})),
+        resolve(
+          err({
+            kind: 'body-broken',
+            message: 'connection closed before the end of the request body',
+          }),
+        ),
       );
     });
   }
 
-  /** Answers with a failure of the edge's own. */
+  /** Sends an error response, or closes the connection if it is too late for one. */
   refuse(status: number, cause: string, retryAfterS?: number): void {
     const {response} = this;
     if (response.headersSent || response.destroyed) {
@@ -150,10 +155,10 @@
     response.setHeader('Content-Type', 'application/json');
     response.setHeader('Content-Length', Buffer.byteLength(body));
     if (retryAfterS !== undefined) {
-      response.setHeader(this.names.retryAfter, String(retryAfterS));
+      response.setHeader(this.headerNames.retryAfter, String(retryAfterS));
     }
     if (this.id !== '') {
-      response.setHeader(this.names.requestId, this.id);
+      response.setHeader(this.headerNames.requestId, this.id);
     }
     if (!this.incoming.complete || this.closing) {
       response.setHeader('Connection', 'close');
@@ -162,15 +167,15 @@
   }
 }
 
-/** All chunks as one; a single one is not copied. */
-export function joined(chunks: readonly Buffer[]): Buffer {
+/** Concatenates chunks; a single chunk is not copied. */
+export function concatChunks(chunks: readonly Buffer[]): Buffer {
   const [first] = chunks;
   return chunks.length === 1 && first ? first : Buffer.concat(chunks);
 }
 
-function tooLarge(maxBytes: number): BodyFailure {
+function bodyTooLarge(maxBytes: number): BodyFailure {
   return {
     kind: 'body-too-large',
-    message: `a body of more than ${maxBytes} bytes`,
+    message: `request body exceeds the limit of ${maxBytes} bytes`,
   };
 }
--- a/packages/puffinturn-edge/src/callers/EdgeHttp.ts
+++ b/packages/puffinturn-edge/src/callers/EdgeHttp.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The HTTP servers of an edge: callers, readiness and metrics. */
+/** HTTP servers of an edge: for callers, readiness checks and metrics. */
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import {createServer} from 'node:http';
 
@@ -15,7 +15,7 @@
 import type {Clock, Failure} from 'shared';
 import {describeError} from 'shared';
 
-import {BacklogWatch} from './BacklogWatch';
+import {BacklogMonitor} from './BacklogWatch';
 
 /** An IP address and port. */
 export interface HttpAddress {
@@ -23,38 +23,38 @@
   readonly port: number;
 }
 
-/** The address could not be had. */
+/** The server could not listen on the address. */
 export type HttpListenFailure = Failure<'listen'>;
 
-/** Longest queue of connections that were not accepted yet. */
-const BACKLOG = 2_048;
+/** Maximum number of connections waiting to be accepted. */
+const LISTEN_BACKLOG = 2_048;
 
-/** More than any limit of a configuration; those are checked by request. */
+/** Above every configurable limit; configured limits are checked for each request. */
 const MAX_HEADER_BYTES = 64 * 1024;
 
-/** How often slow senders are looked for, ms. */
-const CHECK_MS = 1_000;
+/** Interval at which header and request timeouts are checked, ms. */
+const TIMEOUT_CHECK_INTERVAL_MS = 1_000;
 
-/** A listening server. Disposing it closes it with all connections. */
+/** A listening HTTP server. Disposing it closes all of its connections. */
 export class HttpListener implements AsyncDisposable {
   private constructor(private readonly server: Server) {}
 
-  /** Listens; `handle` answers each request. */
+  /** Starts listening; `onRequest` is called for each request. */
   static open(
     {host, port}: HttpAddress,
-    handle: (request: IncomingMessage, response: ServerResponse) => void,
+    onRequest: (request: IncomingMessage, response: ServerResponse) => void,
   ): ResultAsync<HttpListener, HttpListenFailure> {
     const server = createServer(
       {
-        connectionsCheckingInterval: CHECK_MS,
+        connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
         maxHeaderSize: MAX_HEADER_BYTES,
         noDelay: true,
       },
-      handle,
+      onRequest,
     );
     const listening = new Promise<HttpListener>((resolve, reject) => {
       server.once('error', reject);
-      server.listen({backlog: BACKLOG, host, port}, () =>
+      server.listen({backlog: LISTEN_BACKLOG, host, port}, () =>
         resolve(new HttpListener(server)),
       );
     });
@@ -64,31 +64,31 @@
     }));
   }
 
-  /** The port that is listened on. */
+  /** The port that the server listens on. */
   get port(): number {
     const address = this.server.address();
     return typeof address === 'object' && address !== null ? address.port : 0;
   }
 
-  /** Takes over the times that a configuration allows. */
-  limit({headerTimeoutMs, idleTimeoutMs}: CallerLimits): void {
+  /** Applies the timeouts of a configuration. */
+  applyLimits({headerTimeoutMs, idleTimeoutMs}: CallerLimits): void {
     this.server.headersTimeout = headerTimeoutMs;
     this.server.keepAliveTimeout = idleTimeoutMs;
     this.server.requestTimeout = 0;
   }
 
   /**
-   * Follows how long connections wait here before they are accepted; `observe`
-   * is told the age of the oldest after each turn that is looked at.
+   * Starts measuring how long connections wait to be accepted. `onQueueAge` is called
+   * with the queue age, ms, after each observed event loop iteration.
    */
-  watchBacklog(
+  monitorBacklog(
     clock: Clock,
-    observe: (ageMs: number) => void = () => undefined,
-  ): BacklogWatch {
-    return new BacklogWatch(this.server, clock, observe);
+    onQueueAge: (queueAgeMs: number) => void = () => undefined,
+  ): BacklogMonitor {
+    return new BacklogMonitor(this.server, clock, onQueueAge);
   }
 
-  /** Ends connections on which no request is open. */
+  /** Closes connections that have no open request. */
   closeIdle(): void {
     this.server.closeIdleConnections();
   }
@@ -100,7 +100,7 @@
   }
 }
 
-/** Bytes of a request's head, near enough for a limit. */
+/** Approximate size of the request headers, bytes. */
 export function headerBytes({rawHeaders}: IncomingMessage): number {
   const separators = 2;
   return rawHeaders.reduce((sum, text) => sum + text.length + separators, 0);
--- a/packages/puffinturn-edge/src/callers/EventLoopTurns.ts
+++ b/packages/puffinturn-edge/src/callers/EventLoopTurns.ts
@@ -5,14 +5,14 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Waiting by turns of the event loop rather than by time. */
+/** Waiting for event loop iterations instead of time. */
 
 /**
- * Resolves in the given turn of the event loop that ends from now on; 1 is the
- * present one. Each turn reads once from every connection that has something.
+ * Waits for `count` event loop iterations, the current one included. Each iteration
+ * reads once from every connection that has data.
  */
-export async function eventLoopTurns(count: number): Promise<void> {
-  for (let turn = 0; turn < count; turn += 1) {
+export async function waitForLoopIterations(count: number): Promise<void> {
+  for (let iteration = 0; iteration < count; iteration += 1) {
     await new Promise((resolve) => setImmediate(resolve));
   }
 }
--- a/packages/puffinturn-edge/src/callers/FinalAnswer.ts
+++ b/packages/puffinturn-edge/src/callers/FinalAnswer.ts
@@ -5,40 +5,40 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The end of one request: the last answer to its caller, and why it was given. */
+/** The final outcome of a request: the response to its caller and the cause. */
 import {RETRY_AFTER_BUSY_S} from '../EdgeConstants';
 import type {CallerRequest} from './CallerRequest';
 
-/** See the module comment. The first end counts. */
+/** Records the first outcome of a request; later ones do not change its cause. */
 export class FinalAnswer {
-  private word: string | undefined;
+  private finalCause: string | undefined;
 
   constructor(private readonly caller: CallerRequest) {}
 
-  /** Whether the request has come to its end. */
+  /** Whether the request has ended. */
   get ended(): boolean {
-    return this.word !== undefined;
+    return this.finalCause !== undefined;
   }
 
-  /** Why it ended, in one word; empty until then. */
+  /** Cause of the end; empty while the request is open. */
   get cause(): string {
-    return this.word ?? '';
+    return this.finalCause ?? '';
   }
 
-  /** Ends the request without an answer of the edge's own. */
+  /** Ends the request without sending an error response. */
   end(cause: string): void {
-    this.word ??= cause;
+    this.finalCause ??= cause;
   }
 
-  /** Answers with a failure of the edge's own. */
+  /** Ends the request with an error response. */
   refuse(status: number, cause: string, retryAfterS?: number): void {
     this.end(cause);
     this.caller.refuse(status, cause, retryAfterS);
   }
 
   /**
-   * No further try is allowed or possible. A caller is told when to come back
-   * only where the request surely has not run.
+   * Ends a request that can't be retried any more. `Retry-After` is sent only if the
+   * request was certainly not executed.
    */
   giveUp(
     cause: string,
--- a/packages/puffinturn-edge/src/callers/ReadLateness.ts
+++ b/packages/puffinturn-edge/src/callers/ReadLateness.ts
@@ -5,33 +5,33 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Whether so much of a request's time went by unread that it is refused. */
+/** Rejects requests that waited too long in the listen queue to be served in time. */
 import type {Route} from 'puffinturn-fleet';
 
-import {TOLD_APART_MS} from './AcceptBacklog';
+import {AGE_RESOLUTION_MS} from './AcceptBacklog';
 
 /**
- * Part of the time in which its first byte is due that a request may have waited: the
- * rest is enough for another edge to answer in time, and the queue here stays short
- * (docs/design/accept-backlog.md has the measurement).
+ * Maximum share of the first-byte objective that a request may have waited; the rest is
+ * left for a retry at another edge.
  */
-const MOST_WAITED_PART = 0.5;
+const MAX_OBJECTIVE_SHARE = 0.5;
 
-/** Part of all its time that a request may have waited, whatever its route says. */
-const MOST_LIMIT_PART = 0.5;
+/** Maximum share of the time limit that a request may have waited, on any route. */
+const MAX_TIME_LIMIT_SHARE = 0.5;
 
 /**
- * Whether a request that waited `ageMs` for its reading, and may take `limitMs` in
- * all, is better served by a refusal now. Ages are known to a part of a second only.
+ * Whether to reject a request that waited `waitedMs` before it was read and has
+ * `timeLimitMs` in total. The objective is not checked for waits up to
+ * AGE_RESOLUTION_MS, because the estimate is not precise enough.
  */
 export function isReadLate(
-  ageMs: number,
-  limitMs: number,
+  waitedMs: number,
+  timeLimitMs: number,
   {objectiveMs}: Pick<Route, 'objectiveMs'>,
 ): boolean {
-  if (ageMs > limitMs * MOST_LIMIT_PART) {
+  if (waitedMs > timeLimitMs * MAX_TIME_LIMIT_SHARE) {
     return true;
   }
-  const due = objectiveMs * MOST_WAITED_PART;
-  return objectiveMs > 0 && ageMs > Math.max(due, TOLD_APART_MS);
+  const maxWaitMs = objectiveMs * MAX_OBJECTIVE_SHARE;
+  return objectiveMs > 0 && waitedMs > Math.max(maxWaitMs, AGE_RESOLUTION_MS);
 }
--- a/packages/puffinturn-edge/src/callers/RequestHead.ts
+++ b/packages/puffinturn-edge/src/callers/RequestHead.ts
@@ -5,14 +5,14 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The head of a request as it is sent: request line and headers. */
+/** Formats the head of an HTTP request: request line and headers. */
 
-/** Characters that no header may hold; a line break would begin another one. */
-const FORBIDDEN = /[^\t\x20-\x7e\x80-\xff]/;
+/** Matches characters that are not allowed in a header, to prevent header injection. */
+const INVALID_HEADER_CHARACTER = /[^\t\x20-\x7e\x80-\xff]/;
 
 /**
- * The text of a head, one byte a character; names and values come in turn.
- * Undefined where a header has characters that none may hold.
+ * Formats a request head in Latin-1; `headers` alternates names and values. Returns
+ * undefined if a header contains an invalid character.
  */
 export function requestHead(
   method: string,
@@ -20,9 +20,9 @@
   headers: readonly string[],
 ): string | undefined {
   let head = `${method} ${path} HTTP/1.1\r\n`;
-  for (let at = 0; at + 1 < headers.length; at += 2) {
-    const line = `${headers[at]}: ${headers[at + 1]}`;
-    if (FORBIDDEN.test(line)) {
+  for (let index = 0; index + 1 < headers.length; index += 2) {
+    const line = `${headers[index]}: ${headers[index + 1]}`;
+    if (INVALID_HEADER_CHARACTER.test(line)) {
       return undefined;
     }
     head += `${line}\r\n`;
--- a/packages/puffinturn-edge/src/callers/StepAside.ts
+++ b/packages/puffinturn-edge/src/callers/StepAside.ts
@@ -6,9 +6,10 @@
  */
 
 /**
- * An edge that is behind with reading steps aside: it leaves new connections to the
- * others of its hall for some seconds. It asks them all first and needs most of
- * them, and each agrees to few at a time, so that a hall never lacks edges.
+ * Temporary withdrawal of an overloaded edge from load balancing. For a few seconds it
+ * reports not ready, so that new connections go to the other edges of its hall. It
+ * needs the approval of a quorum of them, and each approves a limited number of
+ * withdrawals at a time, so that enough edges stay in service.
  */
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {BoxRecord, StepAsideReply} from 'puffinturn-fleet';
@@ -17,81 +18,79 @@
 import type {Clock} from 'shared';
 import {TaskGroup} from 'shared';
 
-import {TOLD_APART_MS} from './AcceptBacklog';
+import {AGE_RESOLUTION_MS} from './AcceptBacklog';
 
-/** What StepAside is made of. */
-export interface StepAsideParts {
+/** Dependencies of OverloadWithdrawal. */
+export interface OverloadWithdrawalParts {
   readonly self: BoxRecord;
   readonly clock: Clock;
   readonly link: Link;
   readonly log: DecisionLog;
-  /** The other edges. */
-  readonly edges: () => readonly BoxRecord[];
-  /** Whether this edge takes connections but for being aside. */
-  readonly ready: () => boolean;
-  /** How long a connection accepted now may have waited, ms. */
-  readonly ageMs: () => number;
+  /** Edges of all halls, without this one. */
+  readonly otherEdges: () => readonly BoxRecord[];
+  /** Whether this edge can serve requests, regardless of a withdrawal. */
+  readonly isServing: () => boolean;
+  /** Upper bound of the waiting time of a connection accepted now, ms. */
+  readonly queueAgeMs: () => number;
 }
 
 /**
- * Looks in a row that find connections waiting before an edge asks. A pause of the
- * process is worked off sooner; and what spreads callers needs two seconds more to
- * notice, in which those of this edge go on being refused.
+ * Consecutive checks with waiting connections before an edge requests a withdrawal;
+ * the backlog of a short pause of the process clears sooner.
  */
-const BEHIND_LOOKS = 3;
+const OVERLOADED_CHECKS = 3;
 
-/** Age below which an edge has caught up, ms. */
-const CAUGHT_UP_AGE_MS = 250;
+/** Queue age below which an edge has recovered, ms. */
+const RECOVERED_AGE_MS = 250;
 
-/** How often an edge looks, ms. */
-const LOOK_MS = 250;
+/** Interval between checks of the queue age, ms. */
+const CHECK_INTERVAL_MS = 250;
 
-/** Least time aside, ms; what spreads callers notices after two seconds. */
-const LEAST_ASIDE_MS = 4_000;
+/** Minimum duration of a withdrawal, ms; load balancers react after two seconds. */
+const MIN_WITHDRAWAL_MS = 4_000;
 
-/** Longest time aside, ms. */
-const MOST_ASIDE_MS = 8_000;
+/** Maximum duration of a withdrawal, ms. */
+const MAX_WITHDRAWAL_MS = 8_000;
 
-/** Least time from a return to the next question, ms: most of its time it serves. */
-const LEAST_IN_MS = 30_000;
+/** Minimum time from the end of a withdrawal to the next request for one, ms. */
+const WITHDRAWAL_COOLDOWN_MS = 30_000;
 
-/** Time from a refusal to the next question, ms: others may have caught up by then. */
-const ASK_AGAIN_MS = 1_000;
+/** Delay before a rejected request for a withdrawal is repeated, ms. */
+const APPROVAL_RETRY_MS = 1_000;
 
-/**
- * Longest time for the answer of another edge, ms. A well one takes a few; this edge
- * takes half a second to read it while it is behind.
- */
-const ANSWER_MS = 1_000;
+/** Timeout for the reply of another edge, ms; an overloaded edge reads it late. */
+const APPROVAL_TIMEOUT_MS = 1_000;
 
-/** The part of a hall that may be aside, as each of its edges knows it. */
-const MOST_ASIDE_PART = 0.25;
+/** Maximum share of a hall's edges that may be withdrawn, as counted by each edge. */
+const MAX_WITHDRAWN_SHARE = 0.25;
 
-/** The part of the others that has to agree. */
-const AGREED_PART = 0.75;
+/** Share of the other edges in the hall that must approve a withdrawal. */
+const APPROVAL_QUORUM = 0.75;
 
-/** See the module comment. */
-export class StepAside implements AsyncDisposable {
+/** Withdraws an overloaded edge, and approves withdrawals of other edges. */
+export class OverloadWithdrawal implements AsyncDisposable {
   private readonly tasks = new TaskGroup();
   private readonly handler: Disposable;
-  /** Until when other edges that this one agreed to may be aside. */
-  private readonly agreedUntil = new Map<string, number>();
-  private asideAt: number | undefined;
-  private askAt = -Infinity;
-  /** Looks in a row that found connections waiting. */
-  private behindLooks = 0;
-
-  constructor(private readonly parts: StepAsideParts) {
+  /** When the approvals given to other edges expire, by box, monotonic ms. */
+  private readonly approvedUntil = new Map<string, number>();
+  private withdrawnAt: number | undefined;
+  private nextRequestAt = -Infinity;
+  /** Consecutive checks that found connections waiting. */
+  private overloadedChecks = 0;
+
+  constructor(private readonly parts: OverloadWithdrawalParts) {
     this.handler = parts.link.register(
       FLEET_SERVICE.stepAside,
-      async (_, from): Promise<StepAsideReply> => ({agreed: this.agree(from)}),
+      async (_, from): Promise<StepAsideReply> => ({
+        agreed: this.approveWithdrawal(from),
+      }),
     );
     this.tasks.start((signal) => this.run(signal));
   }
 
-  /** Whether this edge leaves new connections to others. */
-  get aside(): boolean {
-    return this.asideAt !== undefined;
+  /** Whether this edge is withdrawn and should get no new connections. */
+  get isWithdrawn(): boolean {
+    return this.withdrawnAt !== undefined;
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -102,83 +101,97 @@
   private async run(signal: AbortSignal): Promise<void> {
     const {clock} = this.parts;
     while (!signal.aborted) {
-      await clock.sleep(LOOK_MS, signal);
-      if (this.asideAt === undefined) {
-        await this.askIfBehind();
+      await clock.sleep(CHECK_INTERVAL_MS, signal);
+      if (this.withdrawnAt === undefined) {
+        await this.withdrawIfOverloaded();
       } else {
-        this.returnIfDue(this.asideAt);
+        this.rejoinIfDue(this.withdrawnAt);
       }
     }
   }
 
-  private async askIfBehind(): Promise<void> {
-    const {ageMs, clock, ready} = this.parts;
-    this.behindLooks = ageMs() > 0 ? this.behindLooks + 1 : 0;
-    const isBehind =
-      this.behindLooks >= BEHIND_LOOKS && ageMs() >= TOLD_APART_MS;
-    const mayAsk = ready() && this.mostAside() > 0 && clock.now() >= this.askAt;
-    if (!isBehind || !mayAsk) {
+  private async withdrawIfOverloaded(): Promise<void> {
+    const {clock, isServing, queueAgeMs} = this.parts;
+    this.overloadedChecks = queueAgeMs() > 0 ? this.overloadedChecks + 1 : 0;
+    const isOverloaded =
+      this.overloadedChecks >= OVERLOADED_CHECKS &&
+      queueAgeMs() >= AGE_RESOLUTION_MS;
+    const mayRequest =
+      isServing() &&
+      this.maxWithdrawn() > 0 &&
+      clock.now() >= this.nextRequestAt;
+    if (!isOverloaded || !mayRequest) {
       return;
     }
-    const others = this.others();
-    const answers = await Promise.all(others.map(({box}) => this.ask(box)));
-    const agreed = answers.filter((answer) => answer).length;
-    const enough = agreed >= others.length * AGREED_PART;
-    this.askAt = clock.now() + ASK_AGAIN_MS;
-    this.asideAt = enough ? clock.now() : undefined;
-    this.note(enough ? 'aside' : 'refused', agreed, others.length);
+    const peers = this.peersInHall();
+    const approvals = await Promise.all(
+      peers.map(({box}) => this.requestApproval(box)),
+    );
+    const approvedCount = approvals.filter((isApproved) => isApproved).length;
+    const hasQuorum = approvedCount >= peers.length * APPROVAL_QUORUM;
+    this.nextRequestAt = clock.now() + APPROVAL_RETRY_MS;
+    this.withdrawnAt = hasQuorum ? clock.now() : undefined;
+    this.logDecision(
+      hasQuorum ? 'aside' : 'refused',
+      approvedCount,
+      peers.length,
+    );
   }
 
-  private returnIfDue(asideAt: number): void {
-    const {ageMs, clock} = this.parts;
-    const passed = clock.now() - asideAt;
-    const caughtUp = passed >= LEAST_ASIDE_MS && ageMs() < CAUGHT_UP_AGE_MS;
-    if (caughtUp || passed >= MOST_ASIDE_MS) {
-      this.asideAt = undefined;
-      this.askAt = clock.now() + LEAST_IN_MS;
-      this.note('back', 0, 0);
+  private rejoinIfDue(withdrawnAt: number): void {
+    const {clock, queueAgeMs} = this.parts;
+    const elapsedMs = clock.now() - withdrawnAt;
+    const hasRecovered =
+      elapsedMs >= MIN_WITHDRAWAL_MS && queueAgeMs() < RECOVERED_AGE_MS;
+    if (hasRecovered || elapsedMs >= MAX_WITHDRAWAL_MS) {
+      this.withdrawnAt = undefined;
+      this.nextRequestAt = clock.now() + WITHDRAWAL_COOLDOWN_MS;
+      this.logDecision('back', 0, 0);
     }
   }
 
-  private async ask(box: string): Promise<boolean> {
+  private async requestApproval(box: string): Promise<boolean> {
     const {link} = this.parts;
     const service = FLEET_SERVICE.stepAside;
-    const answer = await link.call(box, service, null, ANSWER_MS);
-    return answer.isOk() && (answer.value as StepAsideReply).agreed;
+    const reply = await link.call(box, service, null, APPROVAL_TIMEOUT_MS);
+    return reply.isOk() && (reply.value as StepAsideReply).agreed;
   }
 
-  /** Answers another edge; one that is behind itself can take no more callers. */
-  private agree(from: string): boolean {
-    const {ageMs, clock, ready} = this.parts;
+  /** Decides on another edge's request; an overloaded edge approves none. */
+  private approveWithdrawal(requester: string): boolean {
+    const {clock, isServing, queueAgeMs} = this.parts;
     const now = clock.now();
-    for (const [box, until] of this.agreedUntil) {
+    for (const [box, until] of this.approvedUntil) {
       if (until <= now) {
-        this.agreedUntil.delete(box);
+        this.approvedUntil.delete(box);
       }
     }
-    const known = this.agreedUntil.has(from);
-    const isWell = ready() && !this.aside && ageMs() < CAUGHT_UP_AGE_MS;
-    const agreed =
-      isWell && (known || this.agreedUntil.size < this.mostAside());
-    if (agreed) {
-      this.agreedUntil.set(from, now + ANSWER_MS + MOST_ASIDE_MS);
+    const isAlreadyApproved = this.approvedUntil.has(requester);
+    const isHealthy =
+      isServing() && !this.isWithdrawn && queueAgeMs() < RECOVERED_AGE_MS;
+    const isApproved =
+      isHealthy &&
+      (isAlreadyApproved || this.approvedUntil.size < this.maxWithdrawn());
+    if (isApproved) {
+      this.approvedUntil.set(
+        requester,
+        now + APPROVAL_TIMEOUT_MS + MAX_WITHDRAWAL_MS,
+      );
     }
-    return agreed;
+    return isApproved;
   }
 
-  /** Edges of the hall that may be aside at a time. */
-  private mostAside(): number {
-    return Math.floor((this.others().length + 1) * MOST_ASIDE_PART);
+  private maxWithdrawn(): number {
+    return Math.floor((this.peersInHall().length + 1) * MAX_WITHDRAWN_SHARE);
   }
 
-  /** The other edges of the hall. */
-  private others(): readonly BoxRecord[] {
-    const {edges, self} = this.parts;
-    return edges().filter(({hall}) => hall === self.hall);
+  private peersInHall(): readonly BoxRecord[] {
+    const {otherEdges, self} = this.parts;
+    return otherEdges().filter(({hall}) => hall === self.hall);
   }
 
-  private note(outcome: string, agreed: number, asked: number): void {
-    const ageMs = Math.round(this.parts.ageMs());
+  private logDecision(outcome: string, agreed: number, asked: number): void {
+    const ageMs = Math.round(this.parts.queueAgeMs());
     const event = 'step-aside-decided';
     this.parts.log.note({ageMs, agreed, asked, event, outcome});
   }
--- a/packages/puffinturn-edge/src/index.ts
+++ b/packages/puffinturn-edge/src/index.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Serving requests at the edge. */
+/** The edge: accepts requests of callers and forwards them to upstreams. */
 export type {
   HeaderNames,
   PromptPart,
