--- a/packages/puffinturn-edge/src/__tests__/unit/PlainLoad.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/PlainLoad.test.ts
@@ -15,10 +15,10 @@
 import {ManualClock, Random} from 'shared';
 
 import {EdgeUpstream} from '../../upstreams/EdgeUpstream';
-import type {UpstreamChoice} from '../../upstreams/UpstreamChoice';
+import type {LoadBalancer} from '../../upstreams/UpstreamChoice';
 import {
-  FreeSlots,
   LeastInFlight,
+  LeastUtilization,
   ShorterWait,
 } from '../../upstreams/UpstreamChoice';
 import {upstreamOf} from '../utils/EdgeFixture';
@@ -45,7 +45,7 @@
 }
 
 async function replay(
-  choiceOf: (random: Random) => UpstreamChoice,
+  choiceOf: (random: Random) => LoadBalancer,
   arrivalsPerS: number,
   seed: number,
 ): Promise<Tally> {
@@ -115,7 +115,11 @@
     'miss less than half of what they miss by own free slots (seed %i)',
     async (seed) => {
       const now = await replay((random) => new ShorterWait(random), 200, seed);
-      const former = await replay((random) => new FreeSlots(random), 200, seed);
+      const former = await replay(
+        (random) => new LeastUtilization(random),
+        200,
+        seed,
+      );
       expect(missed(now)).toBeLessThan(missed(former) / 2);
       expect(now.busiest).toBeLessThan(1.25);
     },
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamChoice.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamChoice.test.ts
@@ -9,10 +9,10 @@
 import {ManualClock, Random} from 'shared';
 
 import {EdgeUpstream} from '../../upstreams/EdgeUpstream';
-import type {ChoiceFacts} from '../../upstreams/UpstreamChoice';
+import type {BalancingContext} from '../../upstreams/UpstreamChoice';
 import {
   ExpectedTime,
-  FreeSlots,
+  LeastUtilization,
   PrefixRendezvous,
 } from '../../upstreams/UpstreamChoice';
 import {upstreamOf} from '../utils/EdgeFixture';
@@ -33,7 +33,7 @@
   });
 }
 
-function facts(parts = PARTS): ChoiceFacts {
+function facts(parts = PARTS): BalancingContext {
   const service = {engine: undefined, maxConnections: 1, name: 's'};
   return {parts, service, hall: 'here'};
 }
@@ -134,7 +134,7 @@
 describe('FreeSlots', () => {
   test('fills the own hall first and then goes elsewhere', () => {
     const upstreams = upstreamsOf(3);
-    const choice = new FreeSlots(new Random(4));
+    const choice = new LeastUtilization(new Random(4));
     const first = choice.choose(upstreams, facts());
     expect(first?.record.hall).toBe('here');
     first!.inFlight = 4;
--- a/packages/puffinturn-edge/src/__tests__/utils/AdmittingEdge.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/AdmittingEdge.ts
@@ -64,7 +64,7 @@
     return true;
   }
 
-  override tell(): void {}
+  override shareLimit(): void {}
 }
 
 /** No bound at all. */
--- a/packages/puffinturn-edge/src/__tests__/utils/LimitedFleet.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/LimitedFleet.ts
@@ -208,7 +208,7 @@
       edge.toldAt.set(id, edge.toldAt.get(id) ?? now);
     }
     if (edge.isUp && upstream.limits.hear(perSecond, sentAt)) {
-      edge.admission.tell(upstream);
+      edge.admission.shareLimit(upstream);
       void this.tellAll(upstream);
     }
   }
--- a/packages/puffinturn-edge/src/__tests__/utils/PacedAdmission.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/PacedAdmission.ts
@@ -17,9 +17,9 @@
 import {hashOf, rendezvousWeight} from 'shared';
 
 import type {EdgeUpstream} from '../../upstreams/EdgeUpstream';
-import type {AdmissionFacts} from '../../upstreams/UpstreamAdmission';
+import type {AdmissionContext} from '../../upstreams/UpstreamAdmission';
 import {
-  rateOfUpstream,
+  maxRequestRate,
   UpstreamAdmission,
 } from '../../upstreams/UpstreamAdmission';
 
@@ -85,8 +85,8 @@
     this.ownHash = hashOf(parts.box);
   }
 
-  override waitMs(upstream: EdgeUpstream, facts: AdmissionFacts): number {
-    const requestsPerSecond = rateOfUpstream(upstream, facts);
+  override waitMs(upstream: EdgeUpstream, facts: AdmissionContext): number {
+    const requestsPerSecond = maxRequestRate(upstream, facts);
     if (requestsPerSecond === Infinity) {
       return 0;
     }
@@ -107,7 +107,7 @@
     return true;
   }
 
-  override tell(): void {}
+  override shareLimit(): void {}
 
   /** How many edges come before this one for an upstream. */
   private rankFor({hash}: EdgeUpstream): number {
--- a/packages/puffinturn-edge/src/upstreams/AnswerTime.ts
+++ b/packages/puffinturn-edge/src/upstreams/AnswerTime.ts
@@ -5,44 +5,46 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * How long an upstream of a plain service takes to answer, as this edge's own
- * requests show it. The time holds the requests of all other edges that wait
- * there, so it tells of their load too.
- */
+/** Response times of an upstream of a plain service. */
 import type {Clock} from 'shared';
 
-import {FadingAverage} from './FadingAverage';
+import {DecayingAverage} from './FadingAverage';
 
-/** Weight of one answer. */
-const WEIGHT = 0.35;
+/** Weight of one response in the average, from 0 to 1. */
+const SAMPLE_WEIGHT = 0.35;
 
-/** Time in which old answers lose most of their weight, ms. */
-const FORGET_MS = 2_000;
+/** Time constant with which the average decays, ms. */
+const DECAY_MS = 2_000;
 
-/** What an upstream without room is taken to have needed, ms: a full queue. */
-const FULL_MS = 400;
+/**
+ * Response time recorded for an upstream that rejected a request because its queue is
+ * full, ms.
+ */
+const FULL_QUEUE_MS = 400;
 
-/** See the module comment. */
-export class AnswerTime {
-  private readonly average: FadingAverage;
+/**
+ * Decaying average of the response times that this edge observes. They include the
+ * queueing caused by other edges, so the average reflects the total load.
+ */
+export class ResponseTime {
+  private readonly average: DecayingAverage;
 
   constructor(clock: Clock) {
-    this.average = new FadingAverage(clock, {forgetMs: FORGET_MS, usual: 0});
+    this.average = new DecayingAverage(clock, {decayMs: DECAY_MS, baseline: 0});
   }
 
-  /** The time to expect, ms; 0 where nothing is known. */
+  /** The expected response time, ms; 0 if no response was recorded recently. */
   get ms(): number {
     return this.average.value;
   }
 
-  /** Notes that an answer took so long. */
-  measured(tookMs: number): void {
-    this.average.add(tookMs, this.ms === 0 ? 1 : WEIGHT);
+  /** Records the duration of one response. */
+  measured(durationMs: number): void {
+    this.average.addSample(durationMs, this.ms === 0 ? 1 : SAMPLE_WEIGHT);
   }
 
-  /** Notes that the upstream had no room. */
-  full(): void {
-    this.measured(Math.max(FULL_MS, this.ms));
+  /** Records a request that was rejected because the queue is full. */
+  recordFull(): void {
+    this.measured(Math.max(FULL_QUEUE_MS, this.ms));
   }
 }
--- a/packages/puffinturn-edge/src/upstreams/EdgeUpstream.ts
+++ b/packages/puffinturn-edge/src/upstreams/EdgeUpstream.ts
@@ -5,11 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * One life of an upstream as an edge sees it: its record, own load and health, and
- * its connections. A later life is another EdgeUpstream, so that no request goes
- * out over a connection to a former one.
- */
+/** One incarnation of an upstream, as seen by an edge. */
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {UpstreamRecord} from 'puffinturn-fleet';
 import {UPSTREAM_STATE} from 'puffinturn-fleet';
@@ -24,58 +20,64 @@
   FULL_PAUSE_MS,
   LONGEST_PAUSE_MS,
 } from '../EdgeConstants';
-import {AnswerTime} from './AnswerTime';
-import {KeptPrefixes} from './KeptPrefixes';
-import {ReadingSpeed} from './ReadingSpeed';
+import {ResponseTime} from './AnswerTime';
+import {CachedPrefixes} from './KeptPrefixes';
+import {PrefillSpeed} from './ReadingSpeed';
 
-/** Weight of one answer in the measured part of errors. */
+/** Weight of one response in the error rate, from 0 to 1. */
 const ERROR_WEIGHT = 0.08;
 
-/** See the module comment. Disposing it ends all its connections. */
+/**
+ * The record, load, health and connections of one incarnation of an upstream. A new
+ * incarnation gets a new EdgeUpstream, so that no request is sent over a connection to
+ * the previous process. Disposing it closes all its connections.
+ */
 export class EdgeUpstream implements Disposable {
-  /** Requests of this edge that are open at the upstream. */
+  /** Requests of this edge that the upstream is serving. */
   inFlight = 0;
-  /** Tokens of prompts that this edge has sent and that no event answers yet. */
+  /** Prompt tokens sent by this edge for which no response event has arrived yet. */
   pendingTokens = 0;
   readonly connections: ConnectionPool;
-  /** Hash of the id, for rendezvous. */
+  /** Hash of the id, for rendezvous hashing. */
   readonly hash: number;
-  /** Parts of prompts that it is taken to keep. */
-  readonly prefixes = new KeptPrefixes();
-  /** How fast it reads prompts, other callers' load included. */
-  readonly speed: ReadingSpeed;
-  /** How long it takes to answer, other callers' load included. */
-  readonly answerTime: AnswerTime;
-  /** What it says of how many requests a second it takes. */
+  /** Prompt prefixes that the upstream is assumed to have cached. */
+  readonly prefixes = new CachedPrefixes();
+  /** Observed prefill speed, which includes the load of other callers. */
+  readonly speed: PrefillSpeed;
+  /** Observed response time, which includes the load of other callers. */
+  readonly answerTime: ResponseTime;
+  /** The request rate limit that the upstream states. */
   readonly limits: LimitStatements;
   readonly host: string;
   readonly port: number;
-  /** Part of the newest answers that were errors of the upstream's own. */
+  /**
+   * Moving average of the share of responses that were upstream errors, from 0 to 1.
+   */
   errorRate = 0;
-  /** Whether another life took its place though it never said that it would leave. */
+  /** Whether a new incarnation replaced this one without a drain being announced. */
   supplanted = false;
-  private failures = 0;
-  private saidLeaving = false;
-  private restsUntil = -Infinity;
+  private consecutiveFailures = 0;
+  private hasAnnouncedDrain = false;
+  private backoffUntil = -Infinity;
   private coldUntil = -Infinity;
   private pausedUntil = -Infinity;
-  private replaced = false;
+  private wasReplaced = false;
 
   constructor(
-    /** What the upstream said of itself last. */
+    /** The latest record of the upstream. */
     public record: UpstreamRecord,
     private readonly clock: Clock,
     private readonly log: DecisionLog,
-    /** Called when it no longer serves though its record says so. */
-    private readonly stopped: () => void = () => undefined,
+    /** Called when the upstream stops serving while its record still says `ready`. */
+    private readonly onStopServing: () => void = () => undefined,
   ) {
     this.hash = hashOf(record.id);
-    this.answerTime = new AnswerTime(clock);
-    this.speed = new ReadingSpeed(clock);
+    this.answerTime = new ResponseTime(clock);
+    this.speed = new PrefillSpeed(clock);
     this.limits = new LimitStatements(clock);
-    const at = record.address.lastIndexOf(':');
-    this.host = record.address.slice(0, at);
-    this.port = Number(record.address.slice(at + 1));
+    const separator = record.address.lastIndexOf(':');
+    this.host = record.address.slice(0, separator);
+    this.port = Number(record.address.slice(separator + 1));
     this.connections = new ConnectionPool({
       clock,
       host: this.host,
@@ -88,143 +90,155 @@
     return this.record.id;
   }
 
-  /** Whether new requests may go there at all. */
+  /** Whether the upstream accepts new requests. */
   get serves(): boolean {
-    return !this.leaves && !this.replaced;
+    return !this.leaves && !this.wasReplaced;
   }
 
-  /** Whether it bears only a few requests a second yet. */
+  /** Whether the upstream is warming up and takes only a limited request rate. */
   get cold(): boolean {
     return this.clock.now() < this.coldUntil;
   }
 
-  /** Notes that it is cold until a time of the edge's steady clock, ms. */
+  /** Extends the warm-up to at least the given time of the monotonic clock, ms. */
   turnsCold(until: number): void {
     this.coldUntil = Math.max(this.coldUntil, until);
   }
 
-  /** Whether it is out of choice for the moment. */
+  /** Whether the upstream is temporarily excluded from load balancing. */
   get paused(): boolean {
     return this.clock.now() < this.pausedUntil;
   }
 
-  /** Whether it failed last, several times in a row, and has not answered since. */
+  /** Whether the last requests failed several times in a row. */
   get doubtful(): boolean {
-    return this.failures >= BROKEN_BEFORE_PAUSE;
+    return this.consecutiveFailures >= BROKEN_BEFORE_PAUSE;
   }
 
-  /** Notes a whole answer that is an error; the upstream itself may be sound. */
+  /** Records a complete error response, which may be caused by the request itself. */
   answeredError(): void {
     this.errorRate += (1 - this.errorRate) * ERROR_WEIGHT;
   }
 
-  /** Notes a whole answer. */
+  /** Records a complete successful response and ends any pause. */
   succeeded(): void {
     this.errorRate -= this.errorRate * ERROR_WEIGHT;
-    if (this.failures >= BROKEN_BEFORE_PAUSE) {
-      this.judge(true, 'answered');
+    if (this.consecutiveFailures >= BROKEN_BEFORE_PAUSE) {
+      this.logHealth(true, 'answered');
     }
-    this.failures = 0;
+    this.consecutiveFailures = 0;
     this.pausedUntil = -Infinity;
   }
 
-  /** Notes a connection that did not come up. */
+  /** Records a failed connection attempt and pauses the upstream. */
   unreachable(): void {
-    this.failures = Math.max(BROKEN_BEFORE_PAUSE, this.failures + 1);
+    this.consecutiveFailures = Math.max(
+      BROKEN_BEFORE_PAUSE,
+      this.consecutiveFailures + 1,
+    );
     this.pause('unreachable');
   }
 
-  /** Notes an answer that broke off, was spoiled or was an error. */
+  /**
+   * Records a truncated, corrupt or error response; pauses the upstream after several
+   * in a row.
+   */
   broke(cause: string): void {
-    this.failures += 1;
-    if (this.failures >= BROKEN_BEFORE_PAUSE) {
+    this.consecutiveFailures += 1;
+    if (this.consecutiveFailures >= BROKEN_BEFORE_PAUSE) {
       this.pause(cause);
     }
   }
 
-  /** Notes that the upstream had no room. */
+  /**
+   * Records a request that was rejected for lack of capacity, and pauses the upstream
+   * briefly.
+   */
   full(): void {
-    this.answerTime.full();
+    this.answerTime.recordFull();
     this.pausedUntil = Math.max(
       this.pausedUntil,
       this.clock.now() + FULL_PAUSE_MS,
     );
   }
 
-  /** How much longer it wants no requests from this edge, ms; 0 where it takes them. */
+  /** Remaining back-off that the upstream requested, ms; 0 if there is none. */
   get restLeftMs(): number {
-    return Math.max(0, this.restsUntil - this.clock.now());
+    return Math.max(0, this.backoffUntil - this.clock.now());
   }
 
   /**
-   * Notes that it wants no requests for so long; false where it rests already. Unlike
-   * a pause of the edge's own this is no guess: no request that ends well ends it, and
-   * no lack of other upstreams either. Without it, an upstream that turned a request
-   * away got the next one 0.23 s later in the median.
+   * Starts or extends a back-off that the upstream requested. Unlike a pause, it isn't
+   * ended by a successful request, and it holds even if no other upstream is left.
+   * Returns false if a back-off was already in effect.
    */
-  rests(restMs: number): boolean {
-    const isNews = this.restLeftMs === 0;
-    this.restsUntil = Math.max(this.restsUntil, this.clock.now() + restMs);
-    return isNews;
+  rests(durationMs: number): boolean {
+    const isStart = this.restLeftMs === 0;
+    this.backoffUntil = Math.max(
+      this.backoffUntil,
+      this.clock.now() + durationMs,
+    );
+    return isStart;
   }
 
   /**
-   * Notes that it said in an answer that it leaves; false where that was known. No
-   * heartbeat takes that back: one may be older, or come by control boxes that it
-   * told nothing. Edges cut off from the one that it had told sent to it for 5 s more.
+   * Records that a response announced the drain of the upstream. A later heartbeat
+   * doesn't reverse this, because it may have been sent before the announcement.
+   * Returns false if the upstream was already leaving.
    */
   saysLeaving(): boolean {
-    const isNews = !this.leaves;
-    if (!this.saidLeaving) {
-      this.saidLeaving = true;
-      this.stopped();
+    const wasServing = !this.leaves;
+    if (!this.hasAnnouncedDrain) {
+      this.hasAnnouncedDrain = true;
+      this.onStopServing();
     }
-    return isNews;
+    return wasServing;
   }
 
-  /** Takes over what the same life said in answers at its former address. */
-  goesOnAs(former: EdgeUpstream | undefined): void {
-    if (former !== undefined) {
-      this.isAskedAs(former);
-      this.saidLeaving = former.saidLeaving;
+  /** Copies the response signals of the same incarnation from its previous address. */
+  inheritStateFrom(previous: EdgeUpstream | undefined): void {
+    if (previous !== undefined) {
+      this.inheritBackoffAndLimitFrom(previous);
+      this.hasAnnouncedDrain = previous.hasAnnouncedDrain;
     }
   }
 
   /**
-   * Takes over the rest that was asked for, and the limit that was named. Of a former
-   * life too: answers don't name the life, and one that is back may ask for either
-   * before any heartbeat tells of it.
+   * Copies the requested back-off and the rate limit, also from a previous incarnation:
+   * responses don't identify the incarnation, so the signals may come from this one.
    */
-  isAskedAs(former: EdgeUpstream): void {
-    this.restsUntil = former.restsUntil;
-    this.limits.goOnWith(former.limits);
+  inheritBackoffAndLimitFrom(previous: EdgeUpstream): void {
+    this.backoffUntil = previous.backoffUntil;
+    this.limits.goOnWith(previous.limits);
   }
 
-  /** Names this life among all lives of all upstreams, the same at every edge. */
+  /**
+   * Identifies this incarnation among those of all upstreams; the same at every edge.
+   */
   get life(): string {
     const {bornAt, id} = this.record;
     return `${id} ${bornAt ?? ''}`;
   }
 
-  /** Whether it said that it leaves, or is known to have left. */
+  /** Whether the upstream is draining or gone. */
   get leaves(): boolean {
-    return this.saidLeaving || this.record.state !== UPSTREAM_STATE.ready;
+    return this.hasAnnouncedDrain || this.record.state !== UPSTREAM_STATE.ready;
   }
 
-  /** Notes that another life is in its place. */
-  isSupplanted(): void {
+  /** Records that a new incarnation replaced this one. */
+  markSuperseded(): void {
     this.supplanted ||= !this.leaves;
   }
 
-  /** Notes that another upstream answers at this address. */
+  /** Records that another upstream now serves at this address. */
   isReplaced(): void {
-    this.replaced = true;
-    this.isSupplanted();
-    this.stopped();
-    this.judge(false, 'replaced');
+    this.wasReplaced = true;
+    this.markSuperseded();
+    this.onStopServing();
+    this.logHealth(false, 'replaced');
   }
 
-  /** Ends idle connections; open requests go on to their end. */
+  /** Closes idle connections; requests in flight complete. */
   retire(): void {
     this.connections.retire();
   }
@@ -234,20 +248,21 @@
   }
 
   private pause(cause: string): void {
-    const doubled = FIRST_PAUSE_MS * 2 ** (this.failures - BROKEN_BEFORE_PAUSE);
-    const pause = Math.min(LONGEST_PAUSE_MS, doubled);
-    this.pausedUntil = this.clock.now() + pause;
-    this.judge(false, cause);
+    const doubledMs =
+      FIRST_PAUSE_MS * 2 ** (this.consecutiveFailures - BROKEN_BEFORE_PAUSE);
+    const pauseMs = Math.min(LONGEST_PAUSE_MS, doubledMs);
+    this.pausedUntil = this.clock.now() + pauseMs;
+    this.logHealth(false, cause);
   }
 
-  private judge(usable: boolean, cause: string): void {
-    const {failures, id: upstream} = this;
+  private logHealth(isUsable: boolean, cause: string): void {
+    const {consecutiveFailures, id} = this;
     this.log.note({
       cause,
       event: 'upstream-judged',
-      failures,
-      upstream,
-      usable,
+      failures: consecutiveFailures,
+      upstream: id,
+      usable: isUsable,
     });
   }
 }
--- a/packages/puffinturn-edge/src/upstreams/FadingAverage.ts
+++ b/packages/puffinturn-edge/src/upstreams/FadingAverage.ts
@@ -5,43 +5,42 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * An average of measurements in which newer ones weigh more and which goes back to
- * a usual value while there are none, so that an upstream that was slow is tried
- * again.
- */
+/** An exponentially weighted moving average (EWMA) that decays to a baseline. */
 import type {Clock} from 'shared';
 
-/** How an average fades. */
-export interface Fading {
-  /** Where it goes back to. */
-  readonly usual: number;
-  /** Time in which old measurements lose most of their weight, ms. */
-  readonly forgetMs: number;
+/** Options of a DecayingAverage. */
+export interface DecayOptions {
+  /** Value that the average returns to without samples. */
+  readonly baseline: number;
+  /** Time constant of the decay, ms. */
+  readonly decayMs: number;
 }
 
-/** See the module comment. */
-export class FadingAverage {
-  private last: number;
-  private at = -Infinity;
+/**
+ * EWMA that returns to a baseline while there are no samples, so that an upstream that
+ * was slow gets requests again.
+ */
+export class DecayingAverage {
+  private lastValue: number;
+  private updatedAt = -Infinity;
 
   constructor(
     private readonly clock: Clock,
-    private readonly fading: Fading,
+    private readonly options: DecayOptions,
   ) {
-    this.last = fading.usual;
+    this.lastValue = options.baseline;
   }
 
-  /** The average as of now. */
+  /** The current average. */
   get value(): number {
-    const {forgetMs, usual} = this.fading;
-    const weight = Math.exp((this.at - this.clock.now()) / forgetMs);
-    return this.last * weight + usual * (1 - weight);
+    const {decayMs, baseline} = this.options;
+    const weight = Math.exp((this.updatedAt - this.clock.now()) / decayMs);
+    return this.lastValue * weight + baseline * (1 - weight);
   }
 
-  /** Takes a measurement in with a weight from 0 to 1. */
-  add(measured: number, weight: number): void {
-    this.last = this.value * (1 - weight) + measured * weight;
-    this.at = this.clock.now();
+  /** Adds a sample with a weight from 0 to 1. */
+  addSample(sample: number, weight: number): void {
+    this.lastValue = this.value * (1 - weight) + sample * weight;
+    this.updatedAt = this.clock.now();
   }
 }
--- a/packages/puffinturn-edge/src/upstreams/HomeProbes.ts
+++ b/packages/puffinturn-edge/src/upstreams/HomeProbes.ts
@@ -6,33 +6,34 @@
  */
 
 /**
- * When upstreams that failed last are tried again while sound ones of another region
- * serve their load. Each try at a dark one holds a request up until its connection is
- * given up, and there can be dozens of them: one try at a time, and rarely. Once one
- * has answered, the others are tried as well.
+ * Rate limit of the probes of failing upstreams while another region serves their
+ * load.
  */
 import type {Clock} from 'shared';
 
 import {HOME_PROBE_EVERY_MS} from '../regions/RegionConstants';
 
-/** See the module comment. */
+/**
+ * Allows one probe of a failing upstream per interval, because a probe delays its request
+ * until the connection times out. A successful probe allows the next one at once.
+ */
 export class HomeProbes {
-  private nextAt = -Infinity;
+  private nextProbeAt = -Infinity;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Whether one that failed last may be tried. */
-  get allowed(): boolean {
-    return this.clock.now() >= this.nextAt;
+  /** Whether a failing upstream may be probed now. */
+  get isAllowed(): boolean {
+    return this.clock.now() >= this.nextProbeAt;
   }
 
-  /** Notes that one is tried. */
+  /** Records that a probe was sent. */
   sent(): void {
-    this.nextAt = this.clock.now() + HOME_PROBE_EVERY_MS;
+    this.nextProbeAt = this.clock.now() + HOME_PROBE_EVERY_MS;
   }
 
-  /** Notes that it has answered. */
+  /** Records that a probe succeeded. */
   answered(): void {
-    this.nextAt = -Infinity;
+    this.nextProbeAt = -Infinity;
   }
 }
--- a/packages/puffinturn-edge/src/upstreams/KeptPrefixes.ts
+++ b/packages/puffinturn-edge/src/upstreams/KeptPrefixes.ts
@@ -5,56 +5,56 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * The parts of prompts that one upstream is taken to keep in its memory, since
- * this edge sent them there lately. A part counts only behind the same parts.
- */
+/** Prompt prefixes that an upstream is assumed to have cached. */
 import {LRUCache} from 'lru-cache';
 
 import type {PromptPart} from '../callers/CallerDialect';
 
-/** Prefixes remembered for each upstream. */
+/** Maximum number of prefixes tracked per upstream. */
 const MAX_PREFIXES = 512;
 
-/** The start of a prompt up to and with one of its parts. */
+/** The start of a prompt up to and including one of its parts. */
 interface Prefix {
-  /** The ids of its parts. */
+  /** Ids of the parts, joined by commas. */
   readonly key: string;
-  /** Tokens of all its parts. */
+  /** Total tokens of the parts. */
   readonly tokens: number;
 }
 
-/** Prefixes of prompts that were asked for, so that they are built once. */
-const prefixesOfParts = new WeakMap<readonly PromptPart[], readonly Prefix[]>();
+/** Prefixes of each prompt, so that they are built only once. */
+const prefixesByParts = new WeakMap<readonly PromptPart[], readonly Prefix[]>();
 
-/** See the module comment. */
-export class KeptPrefixes {
-  private readonly kept = new LRUCache<string, true>({max: MAX_PREFIXES});
+/**
+ * Least recently used prefixes of the prompts that this edge sent to one upstream. A part
+ * is assumed to be cached only if all parts before it are the same.
+ */
+export class CachedPrefixes {
+  private readonly cachedKeys = new LRUCache<string, true>({max: MAX_PREFIXES});
 
-  /** Notes that a prompt was read. */
+  /** Records that the upstream has processed a prompt. */
   sent(parts: readonly PromptPart[]): void {
     for (const {key} of prefixesOf(parts)) {
-      this.kept.set(key, true);
+      this.cachedKeys.set(key, true);
     }
   }
 
-  /** Tokens at the start of a prompt that need not be read again. */
+  /** Number of tokens at the start of a prompt that are assumed to be cached. */
   keptOf(parts: readonly PromptPart[]): number {
-    let kept = 0;
+    let cachedTokens = 0;
     for (const {key, tokens} of prefixesOf(parts)) {
-      if (!this.kept.has(key)) {
+      if (!this.cachedKeys.has(key)) {
         break;
       }
-      kept = tokens;
+      cachedTokens = tokens;
     }
-    return kept;
+    return cachedTokens;
   }
 }
 
 function prefixesOf(parts: readonly PromptPart[]): readonly Prefix[] {
-  const known = prefixesOfParts.get(parts);
-  if (known !== undefined) {
-    return known;
+  const cached = prefixesByParts.get(parts);
+  if (cached !== undefined) {
+    return cached;
   }
   const ids: string[] = [];
   let tokens = 0;
@@ -63,6 +63,6 @@
     tokens += part.tokens;
     return {key: ids.join(','), tokens};
   });
-  prefixesOfParts.set(parts, prefixes);
+  prefixesByParts.set(parts, prefixes);
   return prefixes;
 }
--- a/packages/puffinturn-edge/src/upstreams/LimitReports.ts
+++ b/packages/puffinturn-edge/src/upstreams/LimitReports.ts
@@ -5,11 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Tells on what upstreams say of their limits in answers to this edge: to the edge that
- * grants permits at once, and to the core, which tells all edges. Otherwise each edge
- * would have to send a request of its own to hear of it.
- */
+/** Reports changed rate limits of upstreams to other boxes. */
 import type {LimitReport, LimitsRequest} from 'puffinturn-fleet';
 import {FLEET_SERVICE} from 'puffinturn-fleet';
 import type {Link} from 'puffinturn-wire';
@@ -21,46 +17,50 @@
 import type {UpstreamAdmission} from './UpstreamAdmission';
 import type {UpstreamPool} from './UpstreamPool';
 
-/** Longest time for the answer of one control box, ms. */
-const ANSWER_MS = 500;
+/** Timeout of a call to one control box, ms. */
+const RESPONSE_TIMEOUT_MS = 500;
 
-/** Least time between two reports, ms: a limit may change with each answer. */
-const REPORT_EVERY_MS = 250;
+/** Minimum time between two reports, ms; a limit may change with each response. */
+const REPORT_INTERVAL_MS = 250;
 
-/** Longest time between two looks whether there is something to tell, ms. */
-const IDLE_MS = 60_000;
+/** Maximum time between two checks for pending reports, ms. */
+const MAX_IDLE_MS = 60_000;
 
-/** What LimitReports are made of. */
-export interface LimitReportsParts {
+/** Options of LimitReports. */
+export interface LimitReporterOptions {
   readonly admission: UpstreamAdmission;
   readonly box: string;
   readonly clock: Clock;
-  /** Control boxes, the one to ask first at the front. */
+  /** Control boxes, in the order in which they are tried. */
   readonly controls: () => readonly string[];
   readonly link: Link;
   readonly pool: UpstreamPool;
 }
 
-/** See the module comment. */
+/**
+ * Reports the rate limits that upstreams state in responses to this edge: immediately to
+ * the edge that grants permits, and in batches to a control box, which distributes them
+ * to all edges.
+ */
 export class LimitReports implements AsyncDisposable {
-  /** What the core has not taken yet, by upstream. */
-  private readonly untold = new Map<string, LimitReport>();
-  private readonly news = new Condition();
+  /** Reports not yet accepted by a control box, by upstream id. */
+  private readonly pending = new Map<string, LimitReport>();
+  private readonly pendingAdded = new Condition();
   private readonly tasks = new TaskGroup();
 
-  constructor(private readonly parts: LimitReportsParts) {
+  constructor(private readonly options: LimitReporterOptions) {
     this.tasks.start((signal) => this.run(signal));
   }
 
-  /** Tells what an answer of an upstream has just changed. */
+  /** Reports the limit of an upstream after a response changed it. */
   changed(upstream: EdgeUpstream): void {
-    const {admission, pool} = this.parts;
+    const {admission, pool} = this.options;
     const {id, limits, record} = upstream;
-    pool.noteLimit(upstream);
-    admission.tell(upstream);
+    pool.recordLimit(upstream);
+    admission.shareLimit(upstream);
     const report = {bornAt: record.bornAt, id, limit: limits.limit};
-    this.untold.set(id, report);
-    this.news.notify();
+    this.pending.set(id, report);
+    this.pendingAdded.notify();
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -68,30 +68,35 @@
   }
 
   private async run(signal: AbortSignal): Promise<void> {
-    const {clock} = this.parts;
+    const {clock} = this.options;
     while (!signal.aborted) {
-      if (this.untold.size === 0) {
-        await sleepUnlessNotified(clock, this.news, IDLE_MS, signal);
+      if (this.pending.size === 0) {
+        await sleepUnlessNotified(
+          clock,
+          this.pendingAdded,
+          MAX_IDLE_MS,
+          signal,
+        );
       } else {
-        await this.tellCore();
-        await clock.sleep(REPORT_EVERY_MS, signal);
+        await this.sendPending();
+        await clock.sleep(REPORT_INTERVAL_MS, signal);
       }
     }
   }
 
-  private async tellCore(): Promise<void> {
-    const {box, controls, link} = this.parts;
-    const reports = [...this.untold.values()];
+  private async sendPending(): Promise<void> {
+    const {box, controls, link} = this.options;
+    const reports = [...this.pending.values()];
     const request: LimitsRequest = {box, reports};
     const service = FLEET_SERVICE.reportLimits;
-    const question = {answerMs: ANSWER_MS, request, service};
+    const question = {answerMs: RESPONSE_TIMEOUT_MS, request, service};
     const reply = await askControls(link, controls(), question, () => true);
     if (reply === undefined) {
       return;
     }
     for (const report of reports) {
-      if (this.untold.get(report.id) === report) {
-        this.untold.delete(report.id);
+      if (this.pending.get(report.id) === report) {
+        this.pending.delete(report.id);
       }
     }
   }
--- a/packages/puffinturn-edge/src/upstreams/PromptReading.ts
+++ b/packages/puffinturn-edge/src/upstreams/PromptReading.ts
@@ -5,22 +5,22 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * The time until an upstream's first word, and the tokens that it must read
- * before: what is open there is counted meanwhile, and the time is measured.
- */
+/** Prefill of one prompt, from sending the request to the first response event. */
 import type {Clock} from 'shared';
 
 import type {PromptPart} from '../callers/CallerDialect';
 import type {Placement} from './UpstreamChoice';
 
-/** See the module comment; made as a request is sent. */
+/**
+ * Counts the pending tokens of a prompt at its upstream and measures the time to the first
+ * event. Create it when the request is sent.
+ */
 export class PromptReading {
   private readonly startedAt: number;
-  /** Tokens that the upstream must read before the first event. */
-  private readonly tokens: number;
-  /** Tokens of this edge's prompts before it. */
-  private readonly ahead: number;
+  /** Prompt tokens that the upstream must process before the first event. */
+  private readonly uncachedTokens: number;
+  /** Pending tokens of this edge's earlier prompts at the upstream. */
+  private readonly queuedTokens: number;
 
   constructor(
     private readonly clock: Clock,
@@ -28,27 +28,30 @@
     private readonly prompt: readonly PromptPart[],
   ) {
     const {copiedTokens, upstream} = placement;
-    const all = prompt.reduce((sum, {tokens}) => sum + tokens, 0);
-    const kept = upstream.prefixes.keptOf(prompt) + copiedTokens;
-    this.tokens = Math.max(0, all - kept);
-    this.ahead = upstream.pendingTokens;
+    const promptTokens = prompt.reduce((sum, {tokens}) => sum + tokens, 0);
+    const cachedTokens = upstream.prefixes.keptOf(prompt) + copiedTokens;
+    this.uncachedTokens = Math.max(0, promptTokens - cachedTokens);
+    this.queuedTokens = upstream.pendingTokens;
     this.startedAt = clock.now();
-    upstream.pendingTokens += this.tokens;
+    upstream.pendingTokens += this.uncachedTokens;
   }
 
-  /** Tokens to be read before the first word, those of prompts ahead included. */
+  /** Tokens to process before the first event, including those of earlier prompts. */
   get unread(): number {
-    return this.ahead + this.tokens;
+    return this.queuedTokens + this.uncachedTokens;
   }
 
-  /** Ends it; an upstream that answered has shown how fast it is. */
-  end(answered: boolean): void {
+  /** Releases the pending tokens and, if the upstream answered, records its speed. */
+  end(hasAnswered: boolean): void {
     const {upstream} = this.placement;
-    upstream.pendingTokens -= this.tokens;
-    if (answered) {
-      const tookMs = this.clock.now() - this.startedAt;
-      upstream.answerTime.measured(tookMs);
-      upstream.speed.measured(this.ahead + this.tokens, tookMs);
+    upstream.pendingTokens -= this.uncachedTokens;
+    if (hasAnswered) {
+      const durationMs = this.clock.now() - this.startedAt;
+      upstream.answerTime.measured(durationMs);
+      upstream.speed.measured(
+        this.queuedTokens + this.uncachedTokens,
+        durationMs,
+      );
       upstream.prefixes.sent(this.prompt);
     }
   }
--- a/packages/puffinturn-edge/src/upstreams/ReadingSpeed.ts
+++ b/packages/puffinturn-edge/src/upstreams/ReadingSpeed.ts
@@ -5,55 +5,53 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * How fast an upstream reads prompts, as the time to first tokens shows it. The
- * time holds what other callers put before the request, so the figure is the
- * speed that the next request may expect. Without news it goes back to the
- * usual, so that an upstream that was slow is tried again.
- */
+/** Prefill speed of an upstream, derived from the time to the first token. */
 import type {Clock} from 'shared';
 
-import {FadingAverage} from './FadingAverage';
+import {DecayingAverage} from './FadingAverage';
 
-/** Assumed before anything was measured, tokens a ms. */
-const USUAL_SPEED = 45;
+/** Speed assumed without samples, tokens/ms. */
+const DEFAULT_TOKENS_PER_MS = 45;
 
-/** Bounds of the figure, tokens a ms. */
-const LEAST_SPEED = 2;
-const MOST_SPEED = 90;
+/** Bounds of one sample, tokens/ms. */
+const MIN_TOKENS_PER_MS = 2;
+const MAX_TOKENS_PER_MS = 90;
 
-/** Prompts shorter than this say more of steps than of reading. */
-const LEAST_TOKENS = 1_500;
+/** Minimum tokens of a sample; for shorter prompts, fixed costs dominate the time. */
+const MIN_SAMPLE_TOKENS = 1_500;
 
-/** Weight of one measurement. */
-const WEIGHT = 0.3;
+/** Weight of one sample in the average, from 0 to 1. */
+const SAMPLE_WEIGHT = 0.3;
 
-/** Time in which old measurements lose most of their weight, ms. */
-const FORGET_MS = 2_500;
+/** Time constant with which the average decays, ms. */
+const DECAY_MS = 2_500;
 
-/** See the module comment. */
-export class ReadingSpeed {
-  private readonly average: FadingAverage;
+/**
+ * Decaying average of the prefill speed. Samples include the time spent queueing behind
+ * other callers, so the value is the effective speed for the next request.
+ */
+export class PrefillSpeed {
+  private readonly average: DecayingAverage;
 
   constructor(clock: Clock) {
-    const usual = USUAL_SPEED;
-    this.average = new FadingAverage(clock, {forgetMs: FORGET_MS, usual});
+    const baseline = DEFAULT_TOKENS_PER_MS;
+    this.average = new DecayingAverage(clock, {decayMs: DECAY_MS, baseline});
   }
 
-  /** Tokens a millisecond. */
+  /** Expected prefill speed, tokens/ms. */
   get tokensPerMs(): number {
     return this.average.value;
   }
 
-  /** Notes that `tokens` were read within `ms`. */
-  measured(tokens: number, ms: number): void {
-    if (tokens < LEAST_TOKENS) {
+  /** Records a prefill; short prompts are ignored. */
+  measured(tokens: number, durationMs: number): void {
+    if (tokens < MIN_SAMPLE_TOKENS) {
       return;
     }
-    const speed = Math.max(
-      LEAST_SPEED,
-      Math.min(MOST_SPEED, tokens / Math.max(1, ms)),
+    const tokensPerMs = Math.max(
+      MIN_TOKENS_PER_MS,
+      Math.min(MAX_TOKENS_PER_MS, tokens / Math.max(1, durationMs)),
     );
-    this.average.add(speed, WEIGHT);
+    this.average.addSample(tokensPerMs, SAMPLE_WEIGHT);
   }
 }
--- a/packages/puffinturn-edge/src/upstreams/ReturnTimes.ts
+++ b/packages/puffinturn-edge/src/upstreams/ReturnTimes.ts
@@ -5,50 +5,49 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * When callers that are refused may come back, where upstreams take only so many
- * requests a second: one after the other, as fast as these are served, and not all
- * together at the next moment.
- */
+/** Retry times for callers that are rejected while upstreams are rate-limited. */
 import type {Clock, Random} from 'shared';
 
 const SECOND_MS = 1_000;
 
-/** Callers are told to come back within this time, ms; few have more left. */
-const LONGEST_MS = 3_000;
+/** Maximum `Retry-After`, ms; the deadline of most callers is not much later. */
+const MAX_RETRY_AFTER_MS = 3_000;
 
-/** See the module comment. */
+/**
+ * Assigns `Retry-After` times at the rate at which requests are served, so that rejected
+ * callers don't all retry at the same moment.
+ */
 export class ReturnTimes {
-  /** When the caller that was refused last may come back, by service. */
-  private readonly lastAt = new Map<string, number>();
+  /** Retry time assigned to the last rejected caller, by service. */
+  private readonly lastRetryAt = new Map<string, number>();
 
   constructor(
     private readonly clock: Clock,
     private readonly random: Random,
-    /** Edges that refuse callers of the same upstreams, this one included. */
-    private readonly edges: () => number,
+    /** Number of edges that share the same upstreams, including this one. */
+    private readonly edgeCount: () => number,
   ) {}
 
   /**
-   * The wait of the next caller, s: not before `waitMs`, and behind the one before at
-   * the part of `perSecond` that falls to this edge.
+   * Returns the `Retry-After` of the next caller, s: at least `waitMs` from now, and spaced
+   * from the previous caller by this edge's share of `perSecond`.
    */
-  nextS(service: string, waitMs: number, perSecond: number): number {
+  nextRetryAfterS(service: string, waitMs: number, perSecond: number): number {
     const now = this.clock.now();
-    const gapMs = (SECOND_MS * this.edges()) / perSecond;
-    const after = (this.lastAt.get(service) ?? -Infinity) + gapMs;
-    const at = Math.max(now + waitMs, after);
-    if (at - now > LONGEST_MS) {
-      // All times are given out: those beyond are spread over the same time again.
-      const spreadMs = Math.max(0, LONGEST_MS - waitMs);
-      return secondsOf(waitMs + this.random.fraction() * spreadMs);
+    const gapMs = (SECOND_MS * this.edgeCount()) / perSecond;
+    const earliestAt = (this.lastRetryAt.get(service) ?? -Infinity) + gapMs;
+    const retryAt = Math.max(now + waitMs, earliestAt);
+    if (retryAt - now > MAX_RETRY_AFTER_MS) {
+      // The schedule is full; choose a random time within it.
+      const spreadMs = Math.max(0, MAX_RETRY_AFTER_MS - waitMs);
+      return toRetryAfterSeconds(waitMs + this.random.fraction() * spreadMs);
     }
-    this.lastAt.set(service, at);
-    return secondsOf(at - now);
+    this.lastRetryAt.set(service, retryAt);
+    return toRetryAfterSeconds(retryAt - now);
   }
 }
 
-/** A wait as callers are told it, s. */
-export function secondsOf(ms: number): number {
+/** Converts a wait to `Retry-After` seconds, rounded up to a whole millisecond. */
+export function toRetryAfterSeconds(ms: number): number {
   return Math.ceil(ms) / SECOND_MS;
 }
--- a/packages/puffinturn-edge/src/upstreams/UpstreamAdmission.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamAdmission.ts
@@ -6,8 +6,7 @@
  */
 
 /**
- * Whether this edge may send one more request to an upstream that bears only so many a
- * second from all edges together: a cold one, or one that names a limit.
+ * Admission of requests to upstreams whose request rate is limited across all edges.
  */
 import type {ColdStart} from 'puffinturn-fleet';
 import type {PermitQuestion, Permits} from 'puffinturn-permits';
@@ -15,59 +14,62 @@
 
 import type {EdgeUpstream} from './EdgeUpstream';
 
-/** What an admission depends on besides the upstream. */
-export interface AdmissionFacts {
-  /** What cold upstreams of the service bear; undefined where nothing is declared. */
+/** Properties of a request that its admission depends on. */
+export interface AdmissionContext {
+  /** Limits for cold upstreams of the service; undefined if none are configured. */
   readonly coldStart: ColdStart | undefined;
   readonly isLeastUrgent: boolean;
 }
 
-/** See the module comment. */
+/**
+ * Decides whether this edge may send a request to an upstream that is cold or states a
+ * rate limit. Both limits apply to all edges together.
+ */
 export abstract class UpstreamAdmission {
-  /** How long until a request may be let go there, ms; 0 where one may be tried now. */
-  abstract waitMs(upstream: EdgeUpstream, facts: AdmissionFacts): number;
+  /** Time until a request may be admitted, ms; 0 if `admit` may be called now. */
+  abstract waitMs(upstream: EdgeUpstream, context: AdmissionContext): number;
 
-  /** Whether one request may go there at once; each one counts. */
+  /** Admits one request or denies it; an admitted request uses up capacity. */
   abstract admit(
     upstream: EdgeUpstream,
-    facts: AdmissionFacts,
+    context: AdmissionContext,
   ): boolean | Promise<boolean>;
 
-  /** Tells other edges what an upstream has said of its limit. */
-  abstract tell(upstream: EdgeUpstream): void;
+  /** Shares the rate limit of an upstream with other edges. */
+  abstract shareLimit(upstream: EdgeUpstream): void;
 }
 
-/** Each request needs a permit, which one edge grants for all of them. */
+/** Admits requests by permits, which one edge grants on behalf of all. */
 export class PermitAdmission extends UpstreamAdmission {
   constructor(private readonly permits: Permits) {
     super();
   }
 
-  override waitMs(upstream: EdgeUpstream, facts: AdmissionFacts): number {
-    return isBounded(upstream, facts)
-      ? this.permits.waitMs(upstream.id, facts.isLeastUrgent)
+  override waitMs(upstream: EdgeUpstream, context: AdmissionContext): number {
+    return isRateLimited(upstream, context)
+      ? this.permits.waitMs(upstream.id, context.isLeastUrgent)
       : 0;
   }
 
   override admit(
     upstream: EdgeUpstream,
-    facts: AdmissionFacts,
+    context: AdmissionContext,
   ): boolean | Promise<boolean> {
-    return isBounded(upstream, facts)
-      ? this.permits.take(questionFor(upstream, facts))
+    return isRateLimited(upstream, context)
+      ? this.permits.take(permitRequestFor(upstream, context))
       : true;
   }
 
-  override tell(upstream: EdgeUpstream): void {
-    const facts = {coldStart: undefined, isLeastUrgent: false};
-    void this.permits.tell(questionFor(upstream, facts));
+  override shareLimit(upstream: EdgeUpstream): void {
+    const context = {coldStart: undefined, isLeastUrgent: false};
+    void this.permits.tell(permitRequestFor(upstream, context));
   }
 }
 
-/** Whether an upstream bears only so many requests a second; asked at each choice. */
-function isBounded(
+/** Whether the request rate of an upstream is limited at present. */
+function isRateLimited(
   upstream: EdgeUpstream,
-  {coldStart}: AdmissionFacts,
+  {coldStart}: AdmissionContext,
 ): boolean {
   return (
     rateOf(upstream.limits.limit) < Infinity ||
@@ -75,17 +77,17 @@
   );
 }
 
-/** Requests a second that an upstream bears now; Infinity where nothing bounds them. */
-export function rateOfUpstream(
+/** Maximum requests per second of an upstream at present; Infinity if unlimited. */
+export function maxRequestRate(
   {cold, limits}: EdgeUpstream,
-  {coldStart}: Pick<AdmissionFacts, 'coldStart'>,
+  {coldStart}: Pick<AdmissionContext, 'coldStart'>,
 ): number {
   return boundOf(limits.limit, cold ? coldStart?.requestsPerSecond : undefined);
 }
 
-function questionFor(
+function permitRequestFor(
   {cold, id, limits, record}: EdgeUpstream,
-  {coldStart, isLeastUrgent}: AdmissionFacts,
+  {coldStart, isLeastUrgent}: AdmissionContext,
 ): PermitQuestion {
   return {
     coldPerSecond: cold ? coldStart?.requestsPerSecond : undefined,
--- a/packages/puffinturn-edge/src/upstreams/UpstreamChoice.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamChoice.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Which upstream a request goes to. */
+/** Load balancers, which choose the upstream of a request. */
 import type {Service} from 'puffinturn-fleet';
 import type {Random} from 'shared';
 import {drawByWeight, hashOf, rendezvousWeight} from 'shared';
@@ -18,54 +18,54 @@
 } from '../regions/RegionConstants';
 import type {EdgeUpstream} from './EdgeUpstream';
 
-/** What a choice may look at. */
-export interface ChoiceFacts {
+/** Properties of a request that a load balancer takes into account. */
+export interface BalancingContext {
   readonly service: Service;
   readonly hall: string;
   readonly parts: readonly PromptPart[];
-  /** The way to upstreams of other regions; undefined where there are none. */
-  readonly way?: RegionLink | undefined;
+  /** The link to other regions; undefined if there is only one region. */
+  readonly regionLink?: RegionLink | undefined;
 }
 
-/** The way to upstreams of other regions. */
+/** The link to upstreams of other regions. */
 export interface RegionLink {
   /** Whether an upstream is in another region. */
-  readonly isAway: (upstream: EdgeUpstream) => boolean;
-  /** What the way adds to the time of the request, ms. */
-  readonly addedMs: number;
+  readonly isRemote: (upstream: EdgeUpstream) => boolean;
+  /** Latency that the link adds to the request, ms. */
+  readonly addedLatencyMs: number;
 }
 
-/** Where a request goes. */
+/** The upstream chosen for a request, and the source of a cached prefix. */
 export interface Placement {
   readonly upstream: EdgeUpstream;
-  /** An upstream to copy the start of the prompt from, instead of reading it. */
+  /** Upstream whose cached prefix is copied instead of being computed again. */
   readonly prefixSource: EdgeUpstream | undefined;
-  /** Tokens that the upstream copies from there. */
+  /** Number of tokens copied from `prefixSource`. */
   readonly copiedTokens: number;
 }
 
-/** Picks one of several upstreams, all of which would take the request. */
-export abstract class UpstreamChoice {
-  /** The upstream; undefined where there is no candidate. */
+/** Chooses one of several upstreams that accept the request. */
+export abstract class LoadBalancer {
+  /** Returns the chosen upstream; undefined if there is no candidate. */
   abstract choose(
     candidates: readonly EdgeUpstream[],
-    facts: ChoiceFacts,
+    context: BalancingContext,
   ): EdgeUpstream | undefined;
 
-  /** The upstream, and where it should copy a kept prompt from. */
+  /** Returns the chosen upstream and the source of a cached prefix to copy. */
   place(
     candidates: readonly EdgeUpstream[],
-    facts: ChoiceFacts,
+    context: BalancingContext,
   ): Placement | undefined {
-    const upstream = this.choose(candidates, facts);
+    const upstream = this.choose(candidates, context);
     return upstream === undefined
       ? undefined
       : {copiedTokens: 0, prefixSource: undefined, upstream};
   }
 }
 
-/** Baseline: the upstream with the fewest own requests. */
-export class LeastInFlight extends UpstreamChoice {
+/** Chooses the upstream with the fewest requests of this edge in flight. */
+export class LeastInFlight extends LoadBalancer {
   constructor(private readonly random: Random) {
     super();
   }
@@ -73,258 +73,291 @@
   override choose(
     candidates: readonly EdgeUpstream[],
   ): EdgeUpstream | undefined {
-    return lowest(
+    return minBy(
       candidates,
       ({inFlight}) => inFlight + this.random.fraction() / 2,
     );
   }
 }
 
-/** What an upstream of another hall must be ahead by, in requests a slot. */
-const OTHER_HALL_SLOTS = 0.34;
+/** Added to the utilization of upstreams in other halls, requests per slot. */
+const CROSS_HALL_LOAD_PENALTY = 0.34;
 
 /**
- * Baseline for services with few slots: the lowest load for the slots there are, upstreams
- * of the own hall first while they have room.
+ * Chooses the upstream with the fewest requests of this edge per slot, and prefers the
+ * local hall.
  */
-export class FreeSlots extends UpstreamChoice {
+export class LeastUtilization extends LoadBalancer {
   constructor(private readonly random: Random) {
     super();
   }
 
   override choose(
     candidates: readonly EdgeUpstream[],
-    {hall}: ChoiceFacts,
+    {hall}: BalancingContext,
   ): EdgeUpstream | undefined {
-    return lowest(candidates, (upstream) => {
-      const away = upstream.record.hall === hall ? 0 : OTHER_HALL_SLOTS;
-      const load = upstream.inFlight / slotsOf(upstream);
-      return load + away + this.random.fraction() / 100;
+    return minBy(candidates, (upstream) => {
+      const hallPenalty =
+        upstream.record.hall === hall ? 0 : CROSS_HALL_LOAD_PENALTY;
+      const load = upstream.inFlight / slotCount(upstream);
+      return load + hallPenalty + this.random.fraction() / 100;
     });
   }
 }
 
-/** Assumed of every answer besides what was measured, ms. */
-const BASE_ANSWER_MS = 40;
+/** Fixed part of the expected response time, ms. */
+const BASE_RESPONSE_MS = 40;
 
-/** What an upstream of another hall must be ahead by, ms. */
-const OTHER_HALL_ANSWER_MS = 3;
+/** Added to the expected response time of upstreams in other halls, ms. */
+const CROSS_HALL_RESPONSE_PENALTY_MS = 3;
 
 /**
- * For plain services of few slots before many edges, of which each knows only its
- * own requests: two upstreams are drawn by their slots, and the one where an
- * answer is expected sooner is taken. The draw spreads the load over all halls
- * alike, whichever have more upstreams; the measured times show queues that other
- * edges fill. Gain over FreeSlots: 30 to 34 instead of 93 to 99 in 1,000 requests
- * late or refused at twice the usual rate, one upstream slow (PlainLoad test,
- * virtual time, three seeds).
+ * Power of two choices for plain services: samples two upstreams weighted by slots and
+ * takes the one with the lower expected response time. Measured response times account
+ * for the load of other edges, which this edge can't see otherwise.
  */
-export class ShorterWait extends UpstreamChoice {
+export class ShorterWait extends LoadBalancer {
   constructor(private readonly random: Random) {
     super();
   }
 
   override choose(
     candidates: readonly EdgeUpstream[],
-    facts: ChoiceFacts,
+    context: BalancingContext,
   ): EdgeUpstream | undefined {
-    const {away, home} = byRegion(candidates, facts.way);
-    const drawn = [...this.drawTwo(home), ...this.drawTwo(away)];
-    return lowest(drawn, (upstream) => expectedAnswerMs(upstream, facts));
+    const {local, remote} = splitByRegion(candidates, context.regionLink);
+    const sampled = [...this.pickTwo(local), ...this.pickTwo(remote)];
+    return minBy(sampled, (upstream) => expectedResponseMs(upstream, context));
   }
 
-  private drawTwo(candidates: readonly EdgeUpstream[]): EdgeUpstream[] {
+  private pickTwo(candidates: readonly EdgeUpstream[]): EdgeUpstream[] {
     if (candidates.length === 0) {
       return [];
     }
-    const first = this.draw(candidates);
+    const first = this.pickWeighted(candidates);
     const others = candidates.filter((upstream) => upstream !== first);
-    const second = this.draw(others);
+    const second = this.pickWeighted(others);
     return [first, second].filter((upstream) => upstream !== undefined);
   }
 
-  private draw(candidates: readonly EdgeUpstream[]): EdgeUpstream | undefined {
-    return drawByWeight(candidates, slotsOf, this.random.fraction());
+  private pickWeighted(
+    candidates: readonly EdgeUpstream[],
+  ): EdgeUpstream | undefined {
+    return drawByWeight(candidates, slotCount, this.random.fraction());
   }
 }
 
-/** How long a plain upstream is expected to take to answer, with the way, ms. */
-function expectedAnswerMs(
+/** Expected response time of a plain upstream, including the link to its region, ms. */
+function expectedResponseMs(
   upstream: EdgeUpstream,
-  {hall, way}: ChoiceFacts,
+  {hall, regionLink}: BalancingContext,
 ): number {
   const {answerTime, inFlight, record} = upstream;
-  const load = 1 + inFlight / slotsOf(upstream);
-  if (way?.isAway(upstream) === true) {
-    const taken = Math.max(UNMEASURED_ANSWER_MS, answerTime.ms);
-    return (BASE_ANSWER_MS + taken) * load + way.addedMs;
+  const loadFactor = 1 + inFlight / slotCount(upstream);
+  if (regionLink?.isRemote(upstream) === true) {
+    const responseMs = Math.max(UNMEASURED_ANSWER_MS, answerTime.ms);
+    return (
+      (BASE_RESPONSE_MS + responseMs) * loadFactor + regionLink.addedLatencyMs
+    );
   }
-  const otherHall = record.hall === hall ? 0 : OTHER_HALL_ANSWER_MS;
-  return (BASE_ANSWER_MS + answerTime.ms) * load + otherHall;
+  const hallPenaltyMs =
+    record.hall === hall ? 0 : CROSS_HALL_RESPONSE_PENALTY_MS;
+  return (BASE_RESPONSE_MS + answerTime.ms) * loadFactor + hallPenaltyMs;
 }
 
 /**
- * Baseline for model engines: rendezvous of the shared parts of the prompt over
- * the upstreams, with the number of own requests at each bounded by the mean.
+ * Rendezvous hashing of the shared prompt prefix with bounded load: an upstream is skipped
+ * while it has many more requests of this edge in flight than the mean.
  */
-export class PrefixRendezvous extends UpstreamChoice {
+export class PrefixRendezvous extends LoadBalancer {
   override choose(
     candidates: readonly EdgeUpstream[],
-    {parts}: ChoiceFacts,
+    {parts}: BalancingContext,
   ): EdgeUpstream | undefined {
     const key = hashOf(sharedKey(parts));
     const total = candidates.reduce((sum, {inFlight}) => sum + inFlight, 0);
     const bound = (total / Math.max(1, candidates.length)) * BOUNDED_LOAD + 1;
-    const withRoom = candidates.filter(({inFlight}) => inFlight <= bound);
-    return lowest(withRoom, ({hash}) => -rendezvousWeight(hash, key));
+    const underBound = candidates.filter(({inFlight}) => inFlight <= bound);
+    return minBy(underBound, ({hash}) => -rendezvousWeight(hash, key));
   }
 }
 
-/** What an upstream of another hall must be ahead by, ms. */
-const OTHER_HALL_MS = 4;
+/** Added to the expected latency of engines in other halls, ms. */
+const CROSS_HALL_PREFILL_PENALTY_MS = 4;
 
-/** What each open request at an upstream adds to the time of another one, ms. */
-const OPEN_REQUEST_MS = 0.6;
+/** Added to the expected latency for each request in flight, ms. */
+const IN_FLIGHT_PENALTY_MS = 0.6;
 
-/** Time to set one copy up, ms; engines name no figure for it. */
+/** Time to set up one copy, ms. */
 const COPY_SETUP_MS = 10;
 
-/** Copies of fewer tokens than this are not worth their set-up. */
-const LEAST_COPIED_TOKENS = 256;
+/** Minimum tokens of a copy; smaller ones aren't worth the setup. */
+const MIN_COPIED_TOKENS = 256;
 
-/** How many tokens of a prompt one upstream keeps. */
-interface Keeper {
+/** An upstream with the number of prompt tokens that it has cached. */
+interface PrefixHolder {
   readonly upstream: EdgeUpstream;
-  readonly tokens: number;
+  readonly cachedTokens: number;
 }
 
 /**
- * For model engines: the upstream where the first token is expected soonest.
- * What must be read is the prompt without the parts that the upstream keeps, and
- * the prompts before it that no event has answered; how fast is learned from
- * answers and so holds the load that other edges put on the upstream. The shared
- * parts are taken to be kept where this edge sent them lately, and at the
- * upstream that all edges agree on by rendezvous. Where engines copy from each
- * other, another upstream may copy what the best keeper has. Both hold for each
- * region by itself: an upstream of another region is taken only where the wait here
- * is longer than the way, and never for a prompt that it keeps.
+ * For model engines: chooses the upstream with the lowest expected time to the first
+ * token, computed from the uncached tokens, the pending tokens and the prefill speed.
+ *
+ * The shared prefix is assumed to be cached where this edge sent it recently, and at the
+ * upstream that all edges derive by rendezvous hashing. If engines can copy prefixes, an
+ * upstream may copy it from the one with the longest cached prefix of its region.
+ *
+ * An upstream of another region is chosen only if it is faster despite the link. A longer
+ * cached prefix there doesn't count.
  */
-export class ExpectedTime extends UpstreamChoice {
+export class ExpectedTime extends LoadBalancer {
   override choose(
     candidates: readonly EdgeUpstream[],
-    facts: ChoiceFacts,
+    context: BalancingContext,
   ): EdgeUpstream | undefined {
-    return this.place(candidates, facts)?.upstream;
+    return this.place(candidates, context)?.upstream;
   }
 
   override place(
     candidates: readonly EdgeUpstream[],
-    facts: ChoiceFacts,
+    context: BalancingContext,
   ): Placement | undefined {
-    const {way} = facts;
-    const {away, home} = byRegion(candidates, way);
-    const near = this.soonest(home, facts, 0);
-    if (way === undefined || away.length === 0) {
-      return near?.placement;
+    const {regionLink} = context;
+    const {local: localCandidates, remote: remoteCandidates} = splitByRegion(
+      candidates,
+      regionLink,
+    );
+    const local = this.findFastest(localCandidates, context, 0);
+    if (regionLink === undefined || remoteCandidates.length === 0) {
+      return local?.placement;
     }
-    const far = this.soonest(away, facts, near?.unreadTokens ?? 0);
-    const crosses =
-      far !== undefined &&
-      (near === undefined || far.costMs + way.addedMs < near.costMs);
-    return crosses ? far.placement : near?.placement;
+    const remote = this.findFastest(
+      remoteCandidates,
+      context,
+      local?.uncachedTokens ?? 0,
+    );
+    const isRemoteFaster =
+      remote !== undefined &&
+      (local === undefined ||
+        remote.latencyMs + regionLink.addedLatencyMs < local.latencyMs);
+    return isRemoteFaster ? remote.placement : local?.placement;
   }
 
   /**
-   * The best of some upstreams that may copy from each other; at least
-   * `leastUnread` tokens are taken to be unread there.
+   * Finds the upstream with the lowest latency among candidates that may copy prefixes from
+   * each other. At least `minUncachedTokens` are assumed to be uncached at each.
    */
-  private soonest(
+  private findFastest(
     candidates: readonly EdgeUpstream[],
-    {hall, parts, service, way}: ChoiceFacts,
-    leastUnread: number,
-  ): Expectation | undefined {
+    {hall, parts, service, regionLink}: BalancingContext,
+    minUncachedTokens: number,
+  ): LatencyEstimate | undefined {
     const key = hashOf(sharedKey(parts));
-    const agreed = lowest(candidates, ({hash}) => -rendezvousWeight(hash, key));
+    const rendezvousUpstream = minBy(
+      candidates,
+      ({hash}) => -rendezvousWeight(hash, key),
+    );
     const shared = sharedTokens(parts);
-    const keepers = candidates.map((upstream): Keeper => {
-      const assumed = upstream === agreed ? shared : 0;
-      const tokens = Math.max(assumed, upstream.prefixes.keptOf(parts));
-      return {tokens, upstream};
+    const holders = candidates.map((upstream): PrefixHolder => {
+      const assumedTokens = upstream === rendezvousUpstream ? shared : 0;
+      const cachedTokens = Math.max(
+        assumedTokens,
+        upstream.prefixes.keptOf(parts),
+      );
+      return {cachedTokens, upstream};
     });
-    const all = parts.reduce((sum, {tokens}) => sum + tokens, 0);
-    const copyMs = service.engine?.copyMsPerToken;
-    const source = copyMs === undefined ? undefined : bestKeeper(keepers);
-    const expectations = keepers.map((keeper): Expectation => {
-      const {upstream} = keeper;
+    const promptTokens = parts.reduce((sum, {tokens}) => sum + tokens, 0);
+    const copyMsPerToken = service.engine?.copyMsPerToken;
+    const copySource =
+      copyMsPerToken === undefined ? undefined : bestHolder(holders);
+    const estimates = holders.map((holder): LatencyEstimate => {
+      const {upstream} = holder;
       const {inFlight, pendingTokens, record, speed} = upstream;
-      const isAway = way?.isAway(upstream) === true;
-      const tokensPerMs = isAway
+      const isRemote = regionLink?.isRemote(upstream) === true;
+      const tokensPerMs = isRemote
         ? Math.min(MOST_SPEED_AWAY, speed.tokensPerMs)
         : speed.tokensPerMs;
-      const copied = copiedTokens(keeper, source);
-      const copy = copied === 0 ? 0 : COPY_SETUP_MS + copied * (copyMs ?? 0);
-      const unread = Math.max(leastUnread, all - keeper.tokens - copied);
-      const read = (unread + pendingTokens) / tokensPerMs;
-      const otherHall = record.hall === hall || isAway ? 0 : OTHER_HALL_MS;
-      const prefixSource = copied === 0 ? undefined : source?.upstream;
+      const copiedTokens = tokensToCopy(holder, copySource);
+      const copyTotalMs =
+        copiedTokens === 0
+          ? 0
+          : COPY_SETUP_MS + copiedTokens * (copyMsPerToken ?? 0);
+      const uncachedTokens = Math.max(
+        minUncachedTokens,
+        promptTokens - holder.cachedTokens - copiedTokens,
+      );
+      const prefillMs = (uncachedTokens + pendingTokens) / tokensPerMs;
+      const hallPenaltyMs =
+        record.hall === hall || isRemote ? 0 : CROSS_HALL_PREFILL_PENALTY_MS;
+      const prefixSource =
+        copiedTokens === 0 ? undefined : copySource?.upstream;
       return {
-        costMs: read + copy + inFlight * OPEN_REQUEST_MS + otherHall,
-        placement: {copiedTokens: copied, prefixSource, upstream},
-        unreadTokens: unread,
+        latencyMs:
+          prefillMs +
+          copyTotalMs +
+          inFlight * IN_FLIGHT_PENALTY_MS +
+          hallPenaltyMs,
+        placement: {copiedTokens, prefixSource, upstream},
+        uncachedTokens,
       };
     });
-    return lowest(expectations, ({costMs}) => costMs);
+    return minBy(estimates, ({latencyMs}) => latencyMs);
   }
 }
 
-/** What is expected of a request at one upstream. */
-interface Expectation {
+/** Expected latency of a request at one upstream. */
+interface LatencyEstimate {
   readonly placement: Placement;
-  /** Time to the first token without the way to another region, ms. */
-  readonly costMs: number;
-  /** Tokens of the prompt that it would have to read. */
-  readonly unreadTokens: number;
+  /** Time to the first token without the link to another region, ms. */
+  readonly latencyMs: number;
+  /** Prompt tokens that the upstream would have to process. */
+  readonly uncachedTokens: number;
 }
 
-/** Upstreams of the own region, and those of others. */
-function byRegion(
+/** Splits upstreams into those of the local region and those of other regions. */
+function splitByRegion(
   candidates: readonly EdgeUpstream[],
-  way: RegionLink | undefined,
+  regionLink: RegionLink | undefined,
 ): {
-  readonly away: readonly EdgeUpstream[];
-  readonly home: readonly EdgeUpstream[];
+  readonly remote: readonly EdgeUpstream[];
+  readonly local: readonly EdgeUpstream[];
 } {
-  if (way === undefined) {
-    return {away: [], home: candidates};
+  if (regionLink === undefined) {
+    return {local: candidates, remote: []};
   }
   return {
-    away: candidates.filter((upstream) => way.isAway(upstream)),
-    home: candidates.filter((upstream) => !way.isAway(upstream)),
+    remote: candidates.filter((upstream) => regionLink.isRemote(upstream)),
+    local: candidates.filter((upstream) => !regionLink.isRemote(upstream)),
   };
 }
 
-/** Slots of an upstream; one that names none has one. */
-function slotsOf({record}: EdgeUpstream): number {
+/** Number of slots of an upstream; 1 if its record states none. */
+function slotCount({record}: EdgeUpstream): number {
   return Math.max(1, record.slots);
 }
 
-/** The upstream that keeps most of a prompt. */
-function bestKeeper(keepers: readonly Keeper[]): Keeper | undefined {
-  return lowest(keepers, ({tokens}) => -tokens);
+/** The upstream with the longest cached prefix. */
+function bestHolder(
+  holders: readonly PrefixHolder[],
+): PrefixHolder | undefined {
+  return minBy(holders, ({cachedTokens}) => -cachedTokens);
 }
 
-/** Tokens that an upstream would copy from the one that keeps most. */
-function copiedTokens(
-  {tokens, upstream}: Keeper,
-  source: Keeper | undefined,
+/**
+ * Number of tokens that an upstream would copy from `copySource`; 0 if not worthwhile.
+ */
+function tokensToCopy(
+  {cachedTokens, upstream}: PrefixHolder,
+  copySource: PrefixHolder | undefined,
 ): number {
-  const lacking = (source?.tokens ?? 0) - tokens;
-  return source?.upstream === upstream || lacking < LEAST_COPIED_TOKENS
+  const missingTokens = (copySource?.cachedTokens ?? 0) - cachedTokens;
+  return copySource?.upstream === upstream || missingTokens < MIN_COPIED_TOKENS
     ? 0
-    : lacking;
+    : missingTokens;
 }
 
-/** The parts of a prompt that other requests share. */
+/** All parts of a prompt but the last, which is specific to the request. */
 function sharedParts(parts: readonly PromptPart[]): readonly PromptPart[] {
   return parts.length > 1 ? parts.slice(0, -1) : parts;
 }
@@ -341,7 +374,7 @@
     : 0;
 }
 
-function lowest<Item>(
+function minBy<Item>(
   items: readonly Item[],
   costOf: (item: Item) => number,
 ): Item | undefined {
--- a/packages/puffinturn-edge/src/upstreams/UpstreamPool.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamPool.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** All upstreams that an edge may send to, by service. */
+/** Upstreams known to an edge, by service. */
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {Evacuations, UpstreamRecord} from 'puffinturn-fleet';
 import {
@@ -20,140 +20,144 @@
 
 import {EdgeUpstream} from './EdgeUpstream';
 
-/** Part of errors above which an upstream may be grey. */
-const GREY_RATE = 0.15;
+/** Error rate above which an upstream may be degraded, from 0 to 1. */
+const MIN_DEGRADED_ERROR_RATE = 0.15;
 
-/** How many times its siblings' part of errors a grey upstream exceeds. */
-const GREY_FACTOR = 1.5;
+/** Multiple of the median error rate that is added to the threshold. */
+const DEGRADED_MEDIAN_FACTOR = 1.5;
 
 /**
- * The part of errors above which one of the upstreams that serve a service fails
- * far more requests than its siblings do. Errors that all of them answer alike
- * come from the requests, not from an upstream.
+ * Error rate above which an upstream of a service counts as degraded. It rises with the
+ * median rate, because errors common to all upstreams are caused by the requests.
  */
-export function greyErrorRate(serving: readonly EdgeUpstream[]): number {
-  if (serving.every(({errorRate}) => errorRate <= GREY_RATE)) {
-    return GREY_RATE;
+export function degradedErrorThreshold(
+  serving: readonly EdgeUpstream[],
+): number {
+  if (serving.every(({errorRate}) => errorRate <= MIN_DEGRADED_ERROR_RATE)) {
+    return MIN_DEGRADED_ERROR_RATE;
   }
   const rates = serving.map(({errorRate}) => errorRate).sort((a, b) => a - b);
   const median = rates[Math.floor((rates.length - 1) / 2)] ?? 0;
-  return GREY_RATE + GREY_FACTOR * median;
+  return MIN_DEGRADED_ERROR_RATE + DEGRADED_MEDIAN_FACTOR * median;
 }
 
-/** See the module comment. */
+/**
+ * Merges the records of upstreams from control boxes and lists the upstreams that serve a
+ * service. Disposing it closes all connections.
+ */
 export class UpstreamPool implements Disposable {
   private readonly table = new UpstreamTable();
   private readonly byId = new Map<string, EdgeUpstream>();
   private readonly byService = new Map<string, EdgeUpstream[]>();
-  /** Upstreams at each address, the one that was heard of last at the end. */
+  /** Upstreams by address, the most recently added one last. */
   private readonly byAddress = new Map<string, EdgeUpstream[]>();
-  /** Those that are gone and may have requests open. */
+  /** Removed upstreams that may still have requests in flight. */
   private readonly retired = new Set<EdgeUpstream>();
-  /** Upstreams that take new requests, kept until any upstream changes. */
-  private readonly servingLists = new Map<string, readonly EdgeUpstream[]>();
-  private evacuated = NO_EVACUATIONS;
+  /** Cached results of `serving`, cleared when any upstream changes. */
+  private readonly servingCache = new Map<string, readonly EdgeUpstream[]>();
+  private activeEvacuations = NO_EVACUATIONS;
 
   constructor(
     private readonly clock: Clock,
     private readonly log: DecisionLog,
   ) {}
 
-  /** Takes records in that some control box passed on. */
+  /** Merges records received from the control box `source`. */
   merge(records: readonly UpstreamRecord[], source: string): void {
     for (const record of records) {
       if (this.table.merge(record, this.clock.now())) {
-        this.note(record, source);
+        this.logChange(record, source);
       }
       const merged = this.table.get(record.id);
       if (merged !== undefined) {
-        this.take(merged);
+        this.applyRecord(merged);
         this.learnLimit(record.id, merged.limit ?? NO_LIMIT, source);
       }
     }
   }
 
-  /** Every record, also of upstreams that are gone. */
+  /** All records, including those of upstreams that are gone. */
   records(): UpstreamRecord[] {
     return this.table.records();
   }
 
-  /** The evacuations in force here. */
+  /** The evacuations in effect. */
   get evacuations(): Evacuations {
-    return this.evacuated;
+    return this.activeEvacuations;
   }
 
   /**
-   * Puts evacuations in force, unless newer ones are. Upstreams of a hall that is
-   * in service again may have turned cold in the meantime, before any heartbeat
-   * of theirs told so: they are taken to be as cold as after a start.
+   * Applies evacuations unless a newer revision is in effect. Upstreams of a hall that
+   * returns to service are treated as freshly started: they may have become cold without
+   * a heartbeat having reported it.
    */
   evacuate(
-    found: Evacuations,
+    update: Evacuations,
     source: string,
     coldMsOf: (service: string) => number,
   ): void {
-    const {halls, revision} = this.evacuated;
-    if (found.revision <= revision) {
+    const {halls, revision} = this.activeEvacuations;
+    if (update.revision <= revision) {
       return;
     }
-    this.evacuated = found;
-    this.servingLists.clear();
-    const returned = halls.filter((hall) => !found.halls.includes(hall));
+    this.activeEvacuations = update;
+    this.servingCache.clear();
+    const returnedHalls = halls.filter((hall) => !update.halls.includes(hall));
     const now = this.clock.now();
     for (const upstream of this.byId.values()) {
-      if (returned.includes(upstream.record.hall)) {
+      if (returnedHalls.includes(upstream.record.hall)) {
         upstream.turnsCold(now + coldMsOf(upstream.record.service));
       }
     }
     this.log.note({
       event: 'evacuations-adopted',
       former: revision,
-      halls: found.halls,
-      revision: found.revision,
+      halls: update.halls,
+      revision: update.revision,
       source,
     });
   }
 
-  /** Upstreams of a service that take new requests. */
+  /** Upstreams of a service that accept new requests. */
   serving(service: string): readonly EdgeUpstream[] {
-    const known = this.servingLists.get(service);
-    if (known !== undefined) {
-      return known;
+    const cached = this.servingCache.get(service);
+    if (cached !== undefined) {
+      return cached;
     }
-    const found = this.findServing(service);
-    this.servingLists.set(service, found);
-    return found;
+    const upstreams = this.findServing(service);
+    this.servingCache.set(service, upstreams);
+    return upstreams;
   }
 
   private findServing(service: string): readonly EdgeUpstream[] {
-    const {halls} = this.evacuated;
+    const {halls} = this.activeEvacuations;
     return (this.byService.get(service) ?? []).filter(
       (upstream) =>
         upstream.serves &&
-        this.isNewest(upstream) &&
+        this.isLatestAtAddress(upstream) &&
         !halls.includes(upstream.record.hall),
     );
   }
 
   /**
-   * Whether no incarnation that was heard of later serves at the same address.
-   * Of two of them at most one lives: mostly the later one, unless a word of the
-   * former was held up on its way. Then it turns a request away, and the other
-   * one counts again. Saves a request that is turned away at each edge for each
-   * upstream that crashed and came back.
+   * Whether the upstream is the most recently added one that serves at its address. This
+   * avoids requests to an upstream that crashed and whose address was reused. If the order
+   * was wrong, the first rejected request marks the other one as replaced.
    */
-  private isNewest(upstream: EdgeUpstream): boolean {
+  private isLatestAtAddress(upstream: EdgeUpstream): boolean {
     const siblings = this.byAddress.get(upstream.record.address) ?? [];
-    const newest = siblings.findLast(({serves}) => serves);
-    return newest === undefined || newest === upstream;
+    const latest = siblings.findLast(({serves}) => serves);
+    return latest === undefined || latest === upstream;
   }
 
-  /** Whether an upstream fails far more requests than its siblings do. */
+  /** Whether the error rate of an upstream is far above that of its service. */
   isGrey({errorRate, record}: EdgeUpstream): boolean {
-    return errorRate > greyErrorRate(this.serving(record.service));
+    return errorRate > degradedErrorThreshold(this.serving(record.service));
   }
 
-  /** Requests of this edge open at upstreams of any version but the given one. */
+  /**
+   * Requests of this edge in flight at upstreams of other versions than the given one.
+   */
   openBesides(service: string, version: string): number {
     const upstreams = [...(this.byService.get(service) ?? []), ...this.retired];
     return upstreams
@@ -162,42 +166,45 @@
       .reduce((sum, {inFlight}) => sum + inFlight, 0);
   }
 
-  /** Notes what an upstream has said of its limit, for edges that take over from here. */
-  noteLimit({id, limits, record: {bornAt}}: EdgeUpstream): void {
+  /**
+   * Stores the rate limit of an upstream in its record, for the handover to another
+   * edge.
+   */
+  recordLimit({id, limits, record: {bornAt}}: EdgeUpstream): void {
     this.table.hearLimit({bornAt, id}, limits.limit, this.clock.now());
   }
 
-  /** What is known of an upstream's limit here. */
+  /** The known rate limit of an upstream. */
   limitOf(id: string): UpstreamLimit {
     return this.byId.get(id)?.limits.limit ?? NO_LIMIT;
   }
 
-  /** How many upstreams name a limit. */
+  /** Number of upstreams that state a rate limit. */
   get limitedUpstreams(): number {
     return this.all().filter(({limits}) => rateOf(limits.limit) < Infinity)
       .length;
   }
 
-  /** Takes over what another box knows of an upstream's limit. */
-  learnLimit(id: string, found: UpstreamLimit, source: string): void {
+  /** Adopts the rate limit of an upstream from another box if it is newer. */
+  learnLimit(id: string, learned: UpstreamLimit, source: string): void {
     const upstream = this.byId.get(id);
-    if (upstream?.limits.learn(found) !== true) {
+    if (upstream?.limits.learn(learned) !== true) {
       return;
     }
-    this.noteLimit(upstream);
+    this.recordLimit(upstream);
     const {perSecond, revision} = upstream.limits.limit;
     const event = 'upstream-limited';
     this.log.note({event, perSecond, revision, source, upstream: id});
   }
 
-  /** Ends all idle connections: they may have ended at the other end, unheard. */
+  /** Closes all idle connections, which the peers may have closed unnoticed. */
   dropIdle(): void {
     for (const {connections} of this.byId.values()) {
       connections.dropIdle();
     }
   }
 
-  /** Every upstream known. */
+  /** All known upstreams, except removed ones. */
   all(): EdgeUpstream[] {
     return [...this.byId.values()];
   }
@@ -208,49 +215,55 @@
     }
   }
 
-  private take(record: UpstreamRecord): void {
+  private applyRecord(record: UpstreamRecord): void {
     const known = this.byId.get(record.id);
-    this.endFormerLives(record);
+    this.disposePreviousIncarnations(record);
     if (known !== undefined && compareLives(record, known.record) !== 0) {
-      this.replace(known, record);
+      this.replaceIncarnation(known, record);
     } else if (record.state === UPSTREAM_STATE.gone) {
-      this.drop(record.id);
-    } else if (known !== undefined && isSamePlace(known.record, record)) {
-      if (isListedOtherwise(known.record, record)) {
-        this.servingLists.clear();
+      this.remove(record.id);
+    } else if (
+      known !== undefined &&
+      hasSameAddressAndService(known.record, record)
+    ) {
+      if (affectsServingList(known.record, record)) {
+        this.servingCache.clear();
       }
       known.record = record;
       known.turnsCold(this.table.coldUntil(record.id));
     } else {
-      this.drop(record.id);
-      this.add(record).goesOnAs(known);
+      this.remove(record.id);
+      this.add(record).inheritStateFrom(known);
     }
   }
 
-  private replace(former: EdgeUpstream, record: UpstreamRecord): void {
+  private replaceIncarnation(
+    previous: EdgeUpstream,
+    record: UpstreamRecord,
+  ): void {
     this.log.note({
       bornAt: record.bornAt,
       event: 'upstream-restarted',
-      former: former.record.bornAt,
-      open: former.inFlight,
+      former: previous.record.bornAt,
+      open: previous.inFlight,
       upstream: record.id,
     });
-    former.isSupplanted();
-    this.drop(record.id);
-    this.endFormerLives(record);
+    previous.markSuperseded();
+    this.remove(record.id);
+    this.disposePreviousIncarnations(record);
     if (record.state !== UPSTREAM_STATE.gone) {
-      this.add(record).isAskedAs(former);
+      this.add(record).inheritBackoffAndLimitFrom(previous);
     }
   }
 
   /**
-   * Ends all that this edge has open with former lives: their connections lead to
-   * processes that are over, and may be silent for good.
+   * Closes all connections to previous incarnations. Their processes have ended, and a
+   * request that is still open there might never complete.
    */
-  private endFormerLives(record: UpstreamRecord): void {
+  private disposePreviousIncarnations(record: UpstreamRecord): void {
     for (const upstream of this.retired) {
-      const {id, record: former} = upstream;
-      if (id === record.id && compareLives(former, record) < 0) {
+      const {id, record: retiredRecord} = upstream;
+      if (id === record.id && compareLives(retiredRecord, record) < 0) {
         this.retired.delete(upstream);
         upstream[Symbol.dispose]();
       }
@@ -259,32 +272,32 @@
 
   private add(record: UpstreamRecord): EdgeUpstream {
     const upstream = new EdgeUpstream(record, this.clock, this.log, () =>
-      this.servingLists.clear(),
+      this.servingCache.clear(),
     );
     upstream.turnsCold(this.table.coldUntil(record.id));
-    this.servingLists.clear();
+    this.servingCache.clear();
     this.byId.set(record.id, upstream);
     addTo(this.byService, record.service, upstream);
     addTo(this.byAddress, record.address, upstream);
     return upstream;
   }
 
-  private drop(id: string): void {
+  private remove(id: string): void {
     const upstream = this.byId.get(id);
     if (upstream === undefined) {
       return;
     }
     this.byId.delete(id);
-    this.servingLists.clear();
+    this.servingCache.clear();
     removeFrom(this.byService, upstream.record.service, upstream);
     removeFrom(this.byAddress, upstream.record.address, upstream);
     upstream.record = {...upstream.record, state: UPSTREAM_STATE.gone};
     upstream.retire();
-    this.forgetEnded();
+    this.forgetFinished();
     this.retired.add(upstream);
   }
 
-  private forgetEnded(): void {
+  private forgetFinished(): void {
     for (const upstream of this.retired) {
       if (upstream.inFlight === 0) {
         this.retired.delete(upstream);
@@ -292,7 +305,7 @@
     }
   }
 
-  private note(record: UpstreamRecord, source: string): void {
+  private logChange(record: UpstreamRecord, source: string): void {
     const {address, bornAt, id: upstream, sequence, service, state} = record;
     this.log.note({
       address,
@@ -307,13 +320,15 @@
   }
 }
 
-/** Whether one life still serves the same service where it did. */
-function isSamePlace(a: UpstreamRecord, b: UpstreamRecord): boolean {
+function hasSameAddressAndService(
+  a: UpstreamRecord,
+  b: UpstreamRecord,
+): boolean {
   return a.address === b.address && a.service === b.service;
 }
 
-/** Whether lists of upstreams that take new requests may differ with a record. */
-function isListedOtherwise(a: UpstreamRecord, b: UpstreamRecord): boolean {
+/** Whether a changed record may change the result of `serving`. */
+function affectsServingList(a: UpstreamRecord, b: UpstreamRecord): boolean {
   return a.hall !== b.hall || a.state !== b.state;
 }
 
@@ -330,10 +345,12 @@
   key: string,
   upstream: EdgeUpstream,
 ): void {
-  const left = (lists.get(key) ?? []).filter((other) => other !== upstream);
-  if (left.length === 0) {
+  const remaining = (lists.get(key) ?? []).filter(
+    (other) => other !== upstream,
+  );
+  if (remaining.length === 0) {
     lists.delete(key);
   } else {
-    lists.set(key, left);
+    lists.set(key, remaining);
   }
 }
--- a/packages/puffinturn-edge/src/upstreams/UpstreamSelection.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamSelection.ts
@@ -6,9 +6,8 @@
  */
 
 /**
- * Which upstream one request goes to next: those that were not tried for it, don't
- * rest and bear it, sound ones before grey ones and those that pause, then by the
- * choice of the service's kind. It looks at facts only and sends nothing.
+ * Selects the next upstream of a request: filters out those already tried or over their
+ * rate, prefers healthy ones over degraded or paused ones, and applies the load balancer.
  */
 import type {Regions, Route, Team} from 'puffinturn-fleet';
 import type {Random} from 'shared';
@@ -20,43 +19,43 @@
 import type {EdgeUpstream} from './EdgeUpstream';
 import type {HomeProbes} from './HomeProbes';
 import type {ReturnTimes} from './ReturnTimes';
-import {secondsOf} from './ReturnTimes';
-import type {AdmissionFacts, UpstreamAdmission} from './UpstreamAdmission';
-import {rateOfUpstream} from './UpstreamAdmission';
-import type {Placement, RegionLink, UpstreamChoice} from './UpstreamChoice';
+import {toRetryAfterSeconds} from './ReturnTimes';
+import type {AdmissionContext, UpstreamAdmission} from './UpstreamAdmission';
+import {maxRequestRate} from './UpstreamAdmission';
+import type {LoadBalancer, Placement, RegionLink} from './UpstreamChoice';
 import type {UpstreamPool} from './UpstreamPool';
-import {greyErrorRate} from './UpstreamPool';
+import {degradedErrorThreshold} from './UpstreamPool';
 
-/** What a selection rests on. */
+/** Dependencies of `selectUpstream` and `lackOf`. */
 export interface SelectionParts {
   readonly hall: string;
   readonly random: Random;
   readonly pool: UpstreamPool;
-  readonly engineChoice: UpstreamChoice;
-  readonly plainChoice: UpstreamChoice;
+  readonly engineChoice: LoadBalancer;
+  readonly plainChoice: LoadBalancer;
   readonly admission: UpstreamAdmission;
   readonly returnTimes: ReturnTimes;
   readonly exposures: Exposures;
   readonly regions: Regions;
   readonly crossing: RegionCrossing;
   readonly homeProbes: HomeProbes;
-  /** Regions that the newest configuration allows; undefined for all. */
+  /** Regions allowed by the latest configuration; undefined for all. */
   readonly newestRegions: (
     route: Route,
     team: Team | undefined,
   ) => readonly string[] | undefined;
 }
 
-/** What is to be sent. */
+/** Properties of a request that its selection depends on. */
 export interface RequestSize {
   readonly bodyBytes: number;
-  /** Whether it is among the least urgent requests. */
+  /** Whether the request has the lowest priority. */
   readonly isLeastUrgent: boolean;
-  /** Upstreams that had no permit left for it. */
+  /** Upstreams for which a permit was denied to this request. */
   readonly heldBack: ReadonlySet<EdgeUpstream>;
 }
 
-/** Why there is no upstream for a request, and when to come back. */
+/** Why no upstream was found for a request, and when to retry. */
 export interface Lack {
   readonly cause:
     | 'no-upstream'
@@ -67,25 +66,29 @@
   readonly retryAfterS: number;
 }
 
-/** Wait told of an upstream that had no permit, where it names no longer one, ms. */
-const LEAST_HELD_MS = 50;
+/** Minimum wait reported for an upstream that denied a permit, ms. */
+const MIN_PERMIT_WAIT_MS = 50;
 
-/** Part of the requests that a grey upstream still gets. */
-const GREY_PROBES = 0.05;
+/** Share of the requests that a degraded upstream still gets, from 0 to 1. */
+const DEGRADED_PROBE_RATE = 0.05;
 
-/** Where a request goes next; undefined where no upstream is left for it. */
+/** Selects the next upstream for a request; returns undefined if none is left. */
 export function selectUpstream(
-  parts: SelectionParts,
+  dependencies: SelectionParts,
   plan: Plan,
   tried: ReadonlySet<EdgeUpstream>,
-  sending: RequestSize,
+  request: RequestSize,
 ): Placement | undefined {
-  const all = parts.pool.serving(plan.service.name);
-  // Trials of a new version are drawn from upstreams that may serve the request.
-  const allowed = allowedOf(parts, plan, all);
+  const all = dependencies.pool.serving(plan.service.name);
+  // Filter by region first, so that canaries are chosen from permitted upstreams only.
+  const allowed = allowedUpstreams(dependencies, plan, all);
   const isFirst = tried.size === 0;
-  for (const group of parts.exposures.groupsFor(plan, allowed, isFirst)) {
-    const placement = selectFrom(parts, plan, tried, sending, group);
+  for (const group of dependencies.exposures.groupsFor(
+    plan,
+    allowed,
+    isFirst,
+  )) {
+    const placement = selectFrom(dependencies, plan, tried, request, group);
     if (placement !== undefined) {
       return placement;
     }
@@ -94,30 +97,40 @@
 }
 
 function selectFrom(
-  parts: SelectionParts,
+  dependencies: SelectionParts,
   plan: Plan,
   tried: ReadonlySet<EdgeUpstream>,
-  sending: RequestSize,
+  request: RequestSize,
   allowed: readonly EdgeUpstream[],
 ): Placement | undefined {
-  const {engineChoice, hall, plainChoice} = parts;
+  const {engineChoice, hall, plainChoice} = dependencies;
   const {parts: prompt, service} = plan;
-  const reached = inReach(parts, allowed, sending);
-  const facts = admissionFacts(plan, sending);
-  const untried = reached
+  const reachable = reachableUpstreams(dependencies, allowed, request);
+  const admission = admissionFacts(plan, request);
+  const untried = reachable
     .filter((upstream) => !tried.has(upstream))
-    .filter((upstream) => waitMsOf(parts, facts, sending, upstream) === 0);
-  const calm = untried.filter(({paused}) => !paused);
-  const greyAbove = greyErrorRate(allowed);
-  const trusted = calm.filter((upstream) => !mistrusts(parts, upstream));
-  const sound = trusted.filter(
-    (upstream) => !avoids(parts, upstream, greyAbove),
+    .filter(
+      (upstream) =>
+        upstreamWaitMs(dependencies, admission, request, upstream) === 0,
+    );
+  const unpaused = untried.filter(({paused}) => !paused);
+  const errorThreshold = degradedErrorThreshold(allowed);
+  const trusted = unpaused.filter(
+    (upstream) => !shouldSkipFailing(dependencies, upstream),
+  );
+  const healthy = trusted.filter(
+    (upstream) => !shouldAvoidDegraded(dependencies, upstream, errorThreshold),
+  );
+  // If upstreams are out of reach because the link is full, reject the request at once
+  // instead of delaying it at paused upstreams.
+  const isLinkFull = reachable.length < allowed.length;
+  const fallbacks =
+    isLinkFull || hasTriedFailing(dependencies, tried)
+      ? []
+      : [unpaused, untried];
+  const candidates = [healthy, trusted, ...fallbacks].find(
+    ({length}) => length > 0,
   );
-  // With sound ones behind a full link, a request is refused at once rather than
-  // held up by upstreams that pause.
-  const isHeldBack = reached.length < allowed.length;
-  const rest = isHeldBack || wasHeldUp(parts, tried) ? [] : [calm, untried];
-  const candidates = [sound, trusted, ...rest].find(({length}) => length > 0);
   if (candidates === undefined) {
     return undefined;
   }
@@ -126,61 +139,61 @@
     hall,
     parts: prompt,
     service,
-    way: wayFor(parts, plan, sending),
+    regionLink: regionLinkFor(dependencies, plan, request),
   });
 }
 
-/** Why `selectUpstream` found none. */
+/** Explains why `selectUpstream` returned undefined. */
 export function lackOf(
-  parts: SelectionParts,
+  dependencies: SelectionParts,
   plan: Plan,
-  sending: RequestSize,
+  request: RequestSize,
 ): Lack {
-  const serving = parts.pool.serving(plan.service.name);
-  const allowed = allowedOf(parts, plan, serving);
+  const serving = dependencies.pool.serving(plan.service.name);
+  const allowed = allowedUpstreams(dependencies, plan, serving);
   const retryAfterS =
     allowed.length === 0 ? RETRY_AFTER_MISSING_S : RETRY_AFTER_BUSY_S;
   if (allowed.length < serving.length) {
     return {cause: 'no-upstream-in-region', retryAfterS};
   }
-  const reached = inReach(parts, allowed, sending);
-  if (reached.length < allowed.length) {
+  const reachable = reachableUpstreams(dependencies, allowed, request);
+  if (reachable.length < allowed.length) {
     return {cause: 'region-link-full', retryAfterS};
   }
-  const facts = admissionFacts(plan, sending);
+  const admission = admissionFacts(plan, request);
   const waits = allowed.map((upstream) =>
-    waitMsOf(parts, facts, sending, upstream),
+    upstreamWaitMs(dependencies, admission, request, upstream),
   );
   const waitMs = Math.min(...waits);
   if (allowed.length === 0 || waitMs === 0) {
     return {cause: 'no-upstream', retryAfterS: RETRY_AFTER_BUSY_S};
   }
   if (allowed.every(({restLeftMs}) => restLeftMs > 0)) {
-    return {cause: 'upstreams-rest', retryAfterS: secondsOf(waitMs)};
+    return {cause: 'upstreams-rest', retryAfterS: toRetryAfterSeconds(waitMs)};
   }
   const rate = allowed
     .filter(({restLeftMs}) => restLeftMs === 0)
-    .reduce((sum, upstream) => sum + rateOfUpstream(upstream, facts), 0);
+    .reduce((sum, upstream) => sum + maxRequestRate(upstream, admission), 0);
   const {name} = plan.service;
   return {
     cause: 'upstreams-limited',
-    retryAfterS: parts.returnTimes.nextS(name, waitMs, rate),
+    retryAfterS: dependencies.returnTimes.nextRetryAfterS(name, waitMs, rate),
   };
 }
 
-/** What the admission of a request depends on. */
+/** Returns the properties of a request that its admission depends on. */
 export function admissionFacts(
   {service: {coldStart}}: Plan,
   {isLeastUrgent}: RequestSize,
-): AdmissionFacts {
+): AdmissionContext {
   return {coldStart, isLeastUrgent};
 }
 
 /**
- * Upstreams in regions where the request may be served. Both the version that it
- * came under and the newest one bind, so that regions taken away bind a retry too.
+ * Upstreams in regions where the request may be served, according to both the configuration
+ * it started with and the latest one, so that a retry respects regions removed meanwhile.
  */
-function allowedOf(
+function allowedUpstreams(
   {newestRegions, regions}: SelectionParts,
   {allowedRegions, route, team}: Plan,
   serving: readonly EdgeUpstream[],
@@ -195,8 +208,8 @@
   );
 }
 
-/** Those of the own region, and of others while the link between bears more. */
-function inReach(
+/** Upstreams of the local region, and of others while the link has capacity. */
+function reachableUpstreams(
   {crossing, regions}: SelectionParts,
   upstreams: readonly EdgeUpstream[],
   {isLeastUrgent}: RequestSize,
@@ -206,57 +219,56 @@
     : upstreams.filter(({record: {hall}}) => !crossing.isAway(hall));
 }
 
-/** What a choice needs to know of other regions; undefined where there are none. */
-function wayFor(
+/** Describes the link to other regions; undefined if there is only one region. */
+function regionLinkFor(
   {crossing, regions}: SelectionParts,
   plan: Plan,
   {bodyBytes}: RequestSize,
 ): RegionLink | undefined {
   return regions.several
     ? {
-        addedMs: crossing.transferMs(plan, bodyBytes),
-        isAway: ({record: {hall}}) => crossing.isAway(hall),
+        addedLatencyMs: crossing.transferMs(plan, bodyBytes),
+        isRemote: ({record: {hall}}) => crossing.isAway(hall),
       }
     : undefined;
 }
 
-/** How long until an upstream may be tried for a request, ms; 0 where it may be now. */
-function waitMsOf(
+/** Time until an upstream may be tried for a request, ms; 0 if it may be tried now. */
+function upstreamWaitMs(
   {admission}: SelectionParts,
-  facts: AdmissionFacts,
+  context: AdmissionContext,
   {heldBack}: RequestSize,
   upstream: EdgeUpstream,
 ): number {
-  const heldMs = heldBack.has(upstream) ? LEAST_HELD_MS : 0;
-  const permitMs = admission.waitMs(upstream, facts);
-  return Math.max(upstream.restLeftMs, permitMs, heldMs);
+  const permitRetryMs = heldBack.has(upstream) ? MIN_PERMIT_WAIT_MS : 0;
+  const permitMs = admission.waitMs(upstream, context);
+  return Math.max(upstream.restLeftMs, permitMs, permitRetryMs);
 }
 
 /**
- * Whether an upstream that can't be reached has held the request up already. Where
- * none is sound in any region, a request is then refused rather than held up by one
- * after the other, each for CONNECT_MS (docs/design/regions.md has the measurement).
+ * Whether the request was already tried at a failing upstream. If no healthy upstream is
+ * left, it is then rejected instead of waiting for one connect timeout after another.
  */
-function wasHeldUp(
+function hasTriedFailing(
   {regions}: SelectionParts,
   tried: ReadonlySet<EdgeUpstream>,
 ): boolean {
   return regions.several && [...tried].some(({doubtful}) => doubtful);
 }
 
-/** Whether it is too early to try one that failed last; see HomeProbes. */
-function mistrusts(
+/** Whether an upstream is failing and no probe of it is due. */
+function shouldSkipFailing(
   {homeProbes, regions}: SelectionParts,
   {doubtful}: EdgeUpstream,
 ): boolean {
-  return regions.several && doubtful && !homeProbes.allowed;
+  return regions.several && doubtful && !homeProbes.isAllowed;
 }
 
-/** A grey upstream gets few requests, enough to show when it has recovered. */
-function avoids(
+/** Skips a degraded upstream for all but a few requests, which detect its recovery. */
+function shouldAvoidDegraded(
   {random}: SelectionParts,
   {errorRate}: EdgeUpstream,
-  greyAbove: number,
+  errorThreshold: number,
 ): boolean {
-  return errorRate > greyAbove && random.fraction() > GREY_PROBES;
+  return errorRate > errorThreshold && random.fraction() > DEGRADED_PROBE_RATE;
 }
--- a/packages/puffinturn-edge/src/upstreams/UpstreamStatement.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamStatement.ts
@@ -5,30 +5,30 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** What an upstream says of itself in the head of an answer. */
+/** Signals in the response headers of an upstream. */
 import {restMsOf} from 'shared';
 
 import type {HeaderNames} from '../callers/CallerDialect';
 import type {UpstreamAnswer} from '../connections/UpstreamAnswer';
 
-/** See the module comment. */
-export interface UpstreamStatement {
-  /** Whether it is about to leave and wants no new requests. */
+/** Signals that an upstream sends about its own state. */
+export interface UpstreamSignals {
+  /** Whether the upstream is draining and accepts no new requests. */
   readonly leaving: boolean;
-  /** How long it wants no requests from this edge, ms; undefined where unsaid. */
+  /** Back-off requested from this edge, ms; undefined if none. */
   readonly restMs: number | undefined;
-  /** How many requests a second it takes from all edges, as it is named. */
+  /** Raw header value of the request rate limit for all edges, requests/s. */
   readonly limit: string | undefined;
 }
 
-/** Reads the head of an answer. */
+/** Reads the signals from the headers of a response. */
 export function statementOf(
   {headers, statusCode}: UpstreamAnswer,
-  names: HeaderNames,
-): UpstreamStatement {
+  headerNames: HeaderNames,
+): UpstreamSignals {
   return {
-    leaving: headers[names.leaving] !== undefined,
-    restMs: restMsOf(statusCode, headers[names.retryAfter]),
-    limit: headers[names.limit],
+    leaving: headers[headerNames.leaving] !== undefined,
+    restMs: restMsOf(statusCode, headers[headerNames.retryAfter]),
+    limit: headers[headerNames.limit],
   };
 }
