--- a/packages/puffinturn-edge/src/__tests__/unit/ColdStarts.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ColdStarts.test.ts
@@ -6,11 +6,8 @@
  */
 
 /**
- * Load: a hall of 21 upstreams in 63 comes back cold while callers send 2.5 times
- * the usual, a quarter of it about one long prompt that one of them kept; 87 edges, some far busier than
- * others, learn of it up to a fifth of a second apart, and twelve edges start
- * meanwhile. A cold upstream may get 19 requests in any one second, from all
- * edges together.
+ * Guards against overloading cold upstreams when a hall returns to service while many
+ * edges, some of them new, learn of it at different times.
  */
 import {SilentDecisionLog} from 'puffinturn-decisions';
 import type {BoxRecord} from 'puffinturn-fleet';
@@ -21,28 +18,34 @@
 import {EdgeUpstream} from '../../upstreams/EdgeUpstream';
 import type {UpstreamAdmission} from '../../upstreams/UpstreamAdmission';
 import {ExpectedTime} from '../../upstreams/UpstreamChoice';
-import type {AdmissionOf} from '../utils/AdmittingEdge';
-import {byPace, byPermits, recordOf, unbounded} from '../utils/AdmittingEdge';
+import type {AdmissionFactory} from '../utils/AdmittingEdge';
+import {
+  createPacedAdmission,
+  createPermitAdmission,
+  createUnboundedAdmission,
+  edgeRecord,
+} from '../utils/AdmittingEdge';
 import {upstreamOf} from '../utils/EdgeFixture';
 
 const EDGES = 87;
-const NEW_EDGES = 12;
+const JOINING_EDGES = 12;
 const UPSTREAMS = 63;
 const HALLS = 3;
-const COLD = {durationMs: 3_000, requestsPerSecond: 9.9};
+const COLD_START = {durationMs: 3_000, requestsPerSecond: 9.9};
 const TOLERANCE = {extra: 5, overage: 1.5};
-const MOST_A_SECOND = 19;
+const MAX_ARRIVALS_PER_S = 19;
 
-/** Requests to engines a second, and how long one is open. */
+/** Total request rate of all edges, requests/s. */
 const ARRIVALS_PER_S = 700;
-const HOT_PART = 0.28;
-const OPEN_MS = 1_500;
+/** Share of the requests that have the same prompt, from 0 to 1. */
+const HOT_PROMPT_SHARE = 0.28;
+const REQUEST_MS = 1_500;
 const PROMPTS = 900;
-const NEWS_WITHIN_MS = 200;
+const PROPAGATION_MS = 200;
 const STEP_MS = 1;
 
 const SERVICE = {
-  coldStart: COLD,
+  coldStart: COLD_START,
   engine: undefined,
   maxConnections: 1,
   name: 's',
@@ -53,72 +56,78 @@
   readonly upstreams: readonly EdgeUpstream[];
   readonly admission: UpstreamAdmission;
   peers: readonly BoxRecord[];
-  /** How many callers it has for each one of the others. */
+  /** Relative number of callers. */
   readonly weight: number;
 }
 
-const FACTS = {coldStart: COLD, isLeastUrgent: false};
+const ADMISSION_CONTEXT = {coldStart: COLD_START, isLeastUrgent: false};
 
-function partsOf(prompt: number): PromptPart[] {
+function createPrompt(prompt: number): PromptPart[] {
   return [
     {id: `shared-${prompt}`, tokens: 5_400},
     {id: 'own', tokens: 1_200},
   ];
 }
 
-class ColdHall {
+class ColdHallSimulation {
   readonly clock = new ManualClock();
   readonly arrivals = new Map<string, number[]>();
   readonly edges: SimulatedEdge[];
   sent = 0;
   refused = 0;
-  private readonly choice = new ExpectedTime();
-  private readonly hot: number;
+  private readonly loadBalancer = new ExpectedTime();
+  private readonly hotPrompt: number;
   private readonly random: Random;
   private readonly network: MemoryNetwork;
 
   constructor(
     seed: number,
-    private readonly admissionOf: AdmissionOf,
+    private readonly createAdmission: AdmissionFactory,
   ) {
     this.random = new Random(seed);
     this.network = new MemoryNetwork(this.clock, new Random(seed));
-    this.edges = Array.from({length: EDGES}, (_, at) => this.edgeOf(`e${at}`));
-    this.introduce(this.edges);
-    this.hot = this.promptKeptCold();
+    this.edges = Array.from({length: EDGES}, (_, at) =>
+      this.createEdge(`e${at}`),
+    );
+    this.announceEdges(this.edges);
+    this.hotPrompt = this.findHotPrompt();
   }
 
-  /** All upstreams of one hall turn cold; each edge learns of it a bit later. */
+  /** Turns the upstreams of one hall cold, which each edge learns after a random delay. */
   async run(): Promise<void> {
     await this.clock.advance(10_000);
-    const coldUntil = this.clock.now() + COLD.durationMs;
+    const coldUntil = this.clock.now() + COLD_START.durationMs;
     for (const edge of this.edges) {
-      const late = this.random.fraction() * NEWS_WITHIN_MS;
-      void this.clock.sleep(late).then(() => this.turnCold(edge, coldUntil));
+      const delayMs = this.random.fraction() * PROPAGATION_MS;
+      void this.clock.sleep(delayMs).then(() => this.turnCold(edge, coldUntil));
     }
-    await this.clock.advance(NEWS_WITHIN_MS);
-    const joined = Array.from({length: NEW_EDGES}, (_, at) =>
-      this.edgeOf(`n${at}`),
+    await this.clock.advance(PROPAGATION_MS);
+    const joined = Array.from({length: JOINING_EDGES}, (_, at) =>
+      this.createEdge(`n${at}`),
     );
     joined.forEach((edge) => this.turnCold(edge, coldUntil));
     this.edges.push(...joined);
-    // New edges know all others at once, the others learn of them one by one.
+    // New edges know all others at once; the others learn of them after random delays.
     joined.forEach((edge) => (edge.peers = this.peersOf(edge)));
     for (const edge of this.edges) {
       void this.clock
-        .sleep(this.random.fraction() * NEWS_WITHIN_MS)
+        .sleep(this.random.fraction() * PROPAGATION_MS)
         .then(() => (edge.peers = this.peersOf(edge)));
     }
-    for (let at = 0; at < COLD.durationMs - NEWS_WITHIN_MS; at += STEP_MS) {
-      for (let n = this.arrivalsNow(); n > 0; n -= 1) {
-        void this.arrive();
+    for (
+      let at = 0;
+      at < COLD_START.durationMs - PROPAGATION_MS;
+      at += STEP_MS
+    ) {
+      for (let n = this.arrivalsInStep(); n > 0; n -= 1) {
+        void this.sendRequest();
       }
       await this.clock.advance(STEP_MS);
     }
   }
 
-  /** The most requests that one cold upstream got in any one second. */
-  get busiestSecond(): number {
+  /** Maximum requests that one cold upstream got in any second. */
+  get peakArrivalsPerS(): number {
     let most = 0;
     for (const times of this.arrivals.values()) {
       for (const [from, at] of times.entries()) {
@@ -129,44 +138,45 @@
     return most;
   }
 
-  /** A prompt that all edges agree to send to an upstream of the cold hall. */
-  private promptKeptCold(): number {
+  /** Finds a prompt that all edges send to an upstream of the cold hall. */
+  private findHotPrompt(): number {
     const upstreams = this.edges[0]?.upstreams ?? [];
     for (let prompt = 0; ; prompt += 1) {
-      const facts = {hall: '', parts: partsOf(prompt), service: SERVICE};
-      if (this.choice.choose(upstreams, facts)?.record.hall === 'h0') {
+      const context = {hall: '', parts: createPrompt(prompt), service: SERVICE};
+      if (this.loadBalancer.choose(upstreams, context)?.record.hall === 'h0') {
         return prompt;
       }
     }
   }
 
-  private arrivalsNow(): number {
+  private arrivalsInStep(): number {
     const mean = (ARRIVALS_PER_S * STEP_MS) / 1_000;
     return this.random.fraction() < mean ? 1 : 0;
   }
 
-  private async arrive(): Promise<void> {
+  private async sendRequest(): Promise<void> {
     const edge = this.pickEdge();
-    const isHot = this.random.fraction() < HOT_PART;
-    const prompt = isHot ? this.hot : this.random.integer(0, PROMPTS);
-    const parts = partsOf(prompt);
-    const facts = {hall: edge.box, parts, service: SERVICE};
-    const heldBack = new Set<EdgeUpstream>();
+    const isHot = this.random.fraction() < HOT_PROMPT_SHARE;
+    const prompt = isHot ? this.hotPrompt : this.random.integer(0, PROMPTS);
+    const parts = createPrompt(prompt);
+    const context = {hall: edge.box, parts, service: SERVICE};
+    const denied = new Set<EdgeUpstream>();
     for (;;) {
-      const allowed = edge.upstreams.filter(
+      const admissible = edge.upstreams.filter(
         (each) =>
-          !heldBack.has(each) && edge.admission.waitMs(each, FACTS) === 0,
+          !denied.has(each) &&
+          edge.admission.waitMs(each, ADMISSION_CONTEXT) === 0,
       );
-      const upstream = this.choice.choose(allowed, facts);
+      const upstream = this.loadBalancer.choose(admissible, context);
       if (upstream === undefined) {
         this.refused += 1;
         return;
       }
-      if (await edge.admission.admit(upstream, FACTS)) {
+      if (await edge.admission.admit(upstream, ADMISSION_CONTEXT)) {
         this.send(upstream, parts);
         return;
       }
-      heldBack.add(upstream);
+      denied.add(upstream);
     }
   }
 
@@ -174,7 +184,7 @@
     this.sent += 1;
     upstream.inFlight += 1;
     upstream.prefixes.sent(parts);
-    void this.clock.sleep(OPEN_MS).then(() => (upstream.inFlight -= 1));
+    void this.clock.sleep(REQUEST_MS).then(() => (upstream.inFlight -= 1));
     if (upstream.cold) {
       const times = this.arrivals.get(upstream.id) ?? [];
       this.arrivals.set(upstream.id, [...times, this.clock.now()]);
@@ -197,13 +207,13 @@
     }
   }
 
-  private edgeOf(box: string): SimulatedEdge {
+  private createEdge(box: string): SimulatedEdge {
     const log = new SilentDecisionLog();
     const upstreams = Array.from({length: UPSTREAMS}, (_, at) => {
       const hall = `h${at % HALLS}`;
       return new EdgeUpstream(upstreamOf(`i-${at}`, {hall}), this.clock, log);
     });
-    const admission = this.admissionOf({
+    const admission = this.createAdmission({
       box,
       clock: this.clock,
       network: this.network,
@@ -216,7 +226,7 @@
     return edge;
   }
 
-  private introduce(edges: readonly SimulatedEdge[]): void {
+  private announceEdges(edges: readonly SimulatedEdge[]): void {
     for (const edge of edges) {
       edge.peers = this.peersOf(edge);
     }
@@ -225,33 +235,33 @@
   private peersOf(self: SimulatedEdge): BoxRecord[] {
     return this.edges
       .filter((edge) => edge !== self)
-      .map(({box}) => recordOf(box));
+      .map(({box}) => edgeRecord(box));
   }
 }
 
-describe('A hall that comes back cold', () => {
+describe('A hall that returns to service cold', () => {
   test.each([
-    [1, 'permits', byPermits],
-    [2, 'permits', byPermits],
-    [3, 'permits', byPermits],
-    [1, 'pace', byPace],
-    [2, 'pace', byPace],
-    [3, 'pace', byPace],
+    [1, 'permits', createPermitAdmission],
+    [2, 'permits', createPermitAdmission],
+    [3, 'permits', createPermitAdmission],
+    [1, 'pace', createPacedAdmission],
+    [2, 'pace', createPacedAdmission],
+    [3, 'pace', createPacedAdmission],
   ] as const)(
-    'is not flooded (seed %i, by %s)',
-    async (seed, _, admissionOf) => {
-      const hall = new ColdHall(seed, admissionOf);
+    'stays within its cold-start limit (seed %i, admission by %s)',
+    async (seed, _, createAdmission) => {
+      const hall = new ColdHallSimulation(seed, createAdmission);
       await hall.run();
-      expect(hall.busiestSecond).toBeLessThanOrEqual(MOST_A_SECOND);
+      expect(hall.peakArrivalsPerS).toBeLessThanOrEqual(MAX_ARRIVALS_PER_S);
       expect(hall.refused).toBe(0);
-      // It warms up by use: most of its upstreams get something.
+      // Upstreams warm up by serving requests, so most of them must get some.
       expect(hall.arrivals.size).toBeGreaterThan(UPSTREAMS / HALLS / 2);
     },
   );
 
-  test('would be without a bound', async () => {
-    const hall = new ColdHall(1, unbounded);
+  test('exceeds its cold-start limit without admission control', async () => {
+    const hall = new ColdHallSimulation(1, createUnboundedAdmission);
     await hall.run();
-    expect(hall.busiestSecond).toBeGreaterThan(MOST_A_SECOND);
+    expect(hall.peakArrivalsPerS).toBeGreaterThan(MAX_ARRIVALS_PER_S);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/LimitsInAnswers.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/LimitsInAnswers.test.ts
@@ -5,6 +5,10 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against edges that ignore, misread or forget the rate limit that an upstream
+ * states in its responses.
+ */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
 import {ManualClock} from 'shared';
@@ -16,33 +20,34 @@
   until,
 } from '../utils/ServingFixture';
 
-/** Requests that are sent where a few would show what an edge does. */
-const MANY = 20;
+/** Number of requests, enough for both upstreams to be chosen. */
+const REQUEST_COUNT = 20;
 
-/** Long enough for permits to gather as many as may be kept, ms. */
-const SETTLED_MS = 60_000;
+/** Time in which permits accumulate to their maximum, ms. */
+const PERMIT_FILL_MS = 60_000;
 
-type Answer = (_: IncomingMessage, response: ServerResponse) => void;
+type ResponseHandler = (_: IncomingMessage, response: ServerResponse) => void;
 
-/** Answers well, and names a limit. */
-function naming(limit: string): Answer {
+/** Responds with success and states a limit. */
+function respondWithLimit(limit: string): ResponseHandler {
   return (_, response) => {
     response.setHeader('x-limit', limit);
     response.end('done');
   };
 }
 
-/** Answers with a status, and names no limit. */
-function failing(status: number): Answer {
+/** Responds with a status and states no limit. */
+function respondWithStatus(status: number): ResponseHandler {
   return (_, response) => {
     response.writeHead(status, status === 503 ? {'x-not-run': '1'} : {});
     response.end();
   };
 }
 
-const plain: Answer = (_, response) => response.end('done');
+const respondWithoutLimit: ResponseHandler = (_, response) =>
+  response.end('done');
 
-describe('A limit that an upstream names in its answers', () => {
+describe('A rate limit in the responses of an upstream', () => {
   let clock: ManualClock;
   let first: TestUpstream;
   let second: TestUpstream;
@@ -55,7 +60,7 @@
     const route = servingRoute('look', {maxAttempts: 2});
     fixture = await ServingFixture.start([route], () => ({}), clock);
     fixture.pool.merge([first.record(), second.record()], 'c1');
-    await clock.advance(SETTLED_MS);
+    await clock.advance(PERMIT_FILL_MS);
   });
 
   afterEach(async () => {
@@ -64,122 +69,126 @@
     await second[Symbol.asyncDispose]();
   });
 
-  const ask = (count: number) => fixture.askMany('look', count);
+  const sendRequests = (count: number) => fixture.askMany('look', count);
 
-  /** Requests that reach the first one of so many. */
-  async function reaching(count: number): Promise<number> {
+  /** Sends requests and returns how many reach the first upstream. */
+  async function countReachingFirst(count: number): Promise<number> {
     const before = first.seen.length;
-    await ask(count);
+    await sendRequests(count);
     return first.seen.length - before;
   }
 
-  /** Has the first one name a limit, and uses up all permits for it. */
-  async function limitFirst(limit: string): Promise<void> {
-    first.answer = naming(limit);
-    await ask(MANY);
-    expect(await reaching(MANY)).toBe(0);
+  /** Makes the first upstream state a limit and uses up its permits. */
+  async function exhaustFirst(limit: string): Promise<void> {
+    first.answer = respondWithLimit(limit);
+    await sendRequests(REQUEST_COUNT);
+    expect(await countReachingFirst(REQUEST_COUNT)).toBe(0);
   }
 
-  test('bounds what it gets, and others serve the rest', async () => {
-    first.answer = naming('1');
-    expect(await ask(MANY)).toEqual(Array(MANY).fill(200));
-    // The one that told, and what may be kept.
+  test('bounds its requests while others serve the rest', async () => {
+    first.answer = respondWithLimit('1');
+    expect(await sendRequests(REQUEST_COUNT)).toEqual(
+      Array(REQUEST_COUNT).fill(200),
+    );
+    // The request that learned the limit, plus the accumulated permits.
     expect(first.seen.length).toBeLessThanOrEqual(3);
     await clock.advance(2_000);
-    expect(await reaching(MANY)).toBeGreaterThan(0);
+    expect(await countReachingFirst(REQUEST_COUNT)).toBeGreaterThan(0);
   });
 
-  test('refuses at once what all that are limited do not take', async () => {
-    first.answer = naming('1');
-    second.answer = naming('0.5');
-    const statuses = await ask(MANY);
+  test('rejects requests at once if all upstreams are at their limits', async () => {
+    first.answer = respondWithLimit('1');
+    second.answer = respondWithLimit('0.5');
+    const statuses = await sendRequests(REQUEST_COUNT);
     expect(statuses.filter((status) => status === 200).length).toBeLessThan(8);
-    const refused = [await fixture.ask('look'), await fixture.ask('look')];
-    expect(refused).toMatchObject([
+    const rejected = [await fixture.ask('look'), await fixture.ask('look')];
+    expect(rejected).toMatchObject([
       {body: '{"error":"upstreams-limited"}', status: 503},
       {body: '{"error":"upstreams-limited"}', status: 503},
     ]);
-    const [earlier, later] = refused.map(({retryAfterS = 0}) => retryAfterS);
-    expect(earlier).toBeGreaterThan(0);
-    expect(later).not.toBe(earlier);
+    const [firstRetry, secondRetry] = rejected.map(
+      ({retryAfterS = 0}) => retryAfterS,
+    );
+    expect(firstRetry).toBeGreaterThan(0);
+    expect(secondRetry).not.toBe(firstRetry);
     expect(fixture.log.lines.at(-1)).toMatchObject({
       attempts: 0,
       cause: 'upstreams-limited',
     });
   });
 
-  test('uses up no attempt of a request that another one serves', async () => {
-    await limitFirst('1');
-    const statuses = await ask(MANY);
-    expect(statuses).toEqual(Array(MANY).fill(200));
+  test('does not count a denied permit as an attempt', async () => {
+    await exhaustFirst('1');
+    const statuses = await sendRequests(REQUEST_COUNT);
+    expect(statuses).toEqual(Array(REQUEST_COUNT).fill(200));
     const ended = fixture.log.lines.filter(
       ({event}) => event === 'request-ended',
     );
     expect(ended.at(-1)).toMatchObject({attempts: 1, upstream: 'i-2'});
   });
 
-  test('ends with an answer that names none', async () => {
-    await limitFirst('1');
-    first.answer = plain;
+  test('ends with a response that states none', async () => {
+    await exhaustFirst('1');
+    first.answer = respondWithoutLimit;
     await clock.advance(2_000);
-    expect(await reaching(MANY)).toBeGreaterThan(5);
+    expect(await countReachingFirst(REQUEST_COUNT)).toBeGreaterThan(5);
   });
 
-  test('does not end with an answer to an earlier request', async () => {
-    const open: ServerResponse[] = [];
-    first.answer = (_, response) => void open.push(response);
-    second.answer = (_, response) => void open.push(response);
-    const earlier = [fixture.ask('look'), fixture.ask('look')];
-    await until(() => open.length === 2);
+  test('does not end with the response to an earlier request', async () => {
+    const pendingResponses: ServerResponse[] = [];
+    first.answer = (_, response) => void pendingResponses.push(response);
+    second.answer = (_, response) => void pendingResponses.push(response);
+    const earlierRequests = [fixture.ask('look'), fixture.ask('look')];
+    await until(() => pendingResponses.length === 2);
     await clock.advance(10);
-    second.answer = plain;
-    first.answer = naming('1');
-    await ask(MANY);
-    open.forEach((response) => response.end('done'));
-    await Promise.all(earlier);
-    expect(await reaching(MANY)).toBe(0);
+    second.answer = respondWithoutLimit;
+    first.answer = respondWithLimit('1');
+    await sendRequests(REQUEST_COUNT);
+    pendingResponses.forEach((response) => response.end('done'));
+    await Promise.all(earlierRequests);
+    expect(await countReachingFirst(REQUEST_COUNT)).toBe(0);
   });
 
-  test.each([503, 500])('does not end with a %i', async (status) => {
-    await limitFirst('1');
-    first.answer = failing(status);
+  test.each([503, 500])('does not end with a %i response', async (status) => {
+    await exhaustFirst('1');
+    first.answer = respondWithStatus(status);
     await clock.advance(1_500);
-    expect(await reaching(MANY)).toBeGreaterThan(0);
+    expect(await countReachingFirst(REQUEST_COUNT)).toBeGreaterThan(0);
     await clock.advance(100);
-    expect(await reaching(MANY)).toBe(0);
+    expect(await countReachingFirst(REQUEST_COUNT)).toBe(0);
   });
 
   test.each(['soon', '-5', 'NaN', '1e400', ''])(
-    'says nothing as %p, neither of a limit nor of its end',
+    'is neither set nor removed by the invalid value %p',
     async (value) => {
-      first.answer = naming(value);
-      expect(await reaching(MANY)).toBeGreaterThan(5);
-      await limitFirst('1');
+      first.answer = respondWithLimit(value);
+      expect(await countReachingFirst(REQUEST_COUNT)).toBeGreaterThan(5);
+      await exhaustFirst('1');
       await clock.advance(2_000);
-      first.answer = naming(value);
-      expect(await reaching(MANY)).toBeLessThanOrEqual(2);
-      expect(await reaching(MANY)).toBe(0);
+      first.answer = respondWithLimit(value);
+      expect(await countReachingFirst(REQUEST_COUNT)).toBeLessThanOrEqual(2);
+      expect(await countReachingFirst(REQUEST_COUNT)).toBe(0);
     },
   );
 
-  test('of 0 leaves it alone, but for a question now and then', async () => {
-    await limitFirst('0');
+  test('of 0 stops requests except for occasional probes', async () => {
+    await exhaustFirst('0');
     await clock.advance(5_000);
-    expect(await reaching(MANY)).toBe(0);
+    expect(await countReachingFirst(REQUEST_COUNT)).toBe(0);
     await clock.advance(10_000);
-    expect(await reaching(MANY)).toBe(1);
+    expect(await countReachingFirst(REQUEST_COUNT)).toBe(1);
   });
 
-  test('goes on for a life that is heard of only later', async () => {
-    await limitFirst('1');
+  test('also applies to an incarnation discovered later', async () => {
+    await exhaustFirst('1');
     fixture.pool.merge([first.record({bornAt: 5})], 'c1');
-    expect(await reaching(MANY)).toBe(0);
+    expect(await countReachingFirst(REQUEST_COUNT)).toBe(0);
   });
 
-  test('is taken over from other boxes, and its end too', async () => {
+  test('is adopted from other boxes, as is its removal', async () => {
     const limit = {perSecond: 1, revision: 3};
     fixture.pool.merge([first.record({limit})], 'c1');
-    expect(await reaching(MANY)).toBeLessThanOrEqual(2);
+    expect(await countReachingFirst(REQUEST_COUNT)).toBeLessThanOrEqual(2);
     expect(fixture.log.lines).toContainEqual({
       event: 'upstream-limited',
       ...limit,
@@ -189,16 +198,16 @@
     const ended = {perSecond: undefined, revision: 4};
     fixture.pool.merge([first.record({limit: ended})], 'c1');
     await clock.advance(2_000);
-    expect(await reaching(MANY)).toBeGreaterThan(5);
+    expect(await countReachingFirst(REQUEST_COUNT)).toBeGreaterThan(5);
     expect(fixture.pool.records()).toContainEqual(first.record({limit: ended}));
   });
 
-  test('is written down with the request that it came with', async () => {
-    first.answer = naming('1.25');
-    await ask(MANY);
-    const told = fixture.log.lines.filter(
+  test('is logged with the request that received it', async () => {
+    first.answer = respondWithLimit('1.25');
+    await sendRequests(REQUEST_COUNT);
+    const logged = fixture.log.lines.filter(
       ({event}) => event === 'upstream-told',
     );
-    expect(told).toMatchObject([{limitPerS: 1.25, upstream: 'i-1'}]);
+    expect(logged).toMatchObject([{limitPerS: 1.25, upstream: 'i-1'}]);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/PlainLoad.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/PlainLoad.test.ts
@@ -6,10 +6,8 @@
  */
 
 /**
- * Load: 87 edges in three halls send to four upstreams of six slots, two of them
- * in one hall; requests take 64 ms each. Callers come in clumps and at twice the
- * usual rate, then one upstream turns four times as slow. An edge meets an
- * upstream once a second or less and knows nothing of the others.
+ * Guards against late and rejected requests when many edges, each seeing only its own
+ * requests, share a few upstreams during a burst of load and a slowdown.
  */
 import {SilentDecisionLog} from 'puffinturn-decisions';
 import {ManualClock, Random} from 'shared';
@@ -29,29 +27,29 @@
 /** The hall of each upstream. */
 const UPSTREAMS = ['a', 'a', 'b', 'c'];
 const WORK_MS = 64;
-const OBJECTIVE_MS = 300;
-const DAY_MS = 20_000;
+const DEADLINE_MS = 300;
+const RUN_MS = 20_000;
 const SLOW_FROM_MS = 8_000;
 const SLOW_UNTIL_MS = 14_000;
-const SLOW_TIMES = 4;
+const SLOWDOWN_FACTOR = 4;
 const SERVICE = {engine: undefined, maxConnections: 1, name: 's'};
 
-interface Tally {
-  inTime: number;
+interface Results {
+  onTime: number;
   late: number;
   refused: number;
-  /** Requests of the busiest upstream for each one of the mean. */
-  busiest: number;
+  /** Requests of the busiest upstream divided by the mean. */
+  busiestRatio: number;
 }
 
-async function replay(
-  choiceOf: (random: Random) => LoadBalancer,
+async function simulate(
+  createBalancer: (random: Random) => LoadBalancer,
   arrivalsPerS: number,
   seed: number,
-): Promise<Tally> {
+): Promise<Results> {
   const clock = new ManualClock();
   const random = new Random(seed);
-  const choice = choiceOf(random);
+  const balancer = createBalancer(random);
   const log = new SilentDecisionLog();
   const servers = UPSTREAMS.map(() => new PlainUpstream(clock));
   const counts = UPSTREAMS.map(() => 0);
@@ -62,72 +60,94 @@
       return new EdgeUpstream(record, clock, log);
     }),
   );
-  const tally: Tally = {busiest: 0, inTime: 0, late: 0, refused: 0};
-  const ask = async (edge: number): Promise<void> => {
+  const results: Results = {busiestRatio: 0, onTime: 0, late: 0, refused: 0};
+  const sendRequest = async (edge: number): Promise<void> => {
     const upstreams = edges[edge] ?? [];
-    const calm = upstreams.filter(({paused}) => !paused);
+    const unpaused = upstreams.filter(({paused}) => !paused);
     const hall = HALLS[edge % HALLS.length] ?? '';
-    const facts = {hall, parts: [], service: SERVICE};
-    const chosen = choice.choose(calm.length > 0 ? calm : upstreams, facts);
+    const context = {hall, parts: [], service: SERVICE};
+    const chosen = balancer.choose(
+      unpaused.length > 0 ? unpaused : upstreams,
+      context,
+    );
     const at = upstreams.indexOf(chosen!);
     counts[at] = (counts[at] ?? 0) + 1;
-    const began = clock.now();
-    const slow = at === 3 && began > SLOW_FROM_MS && began < SLOW_UNTIL_MS;
+    const startedAt = clock.now();
+    const isSlow =
+      at === 3 && startedAt > SLOW_FROM_MS && startedAt < SLOW_UNTIL_MS;
     chosen!.inFlight += 1;
     const work = WORK_MS * (0.5 + random.fraction());
-    const done = await servers[at]!.serve(slow ? work * SLOW_TIMES : work);
+    const wasAccepted = await servers[at]!.serve(
+      isSlow ? work * SLOWDOWN_FACTOR : work,
+    );
     chosen!.inFlight -= 1;
-    const tookMs = clock.now() - began;
-    if (!done) {
+    const durationMs = clock.now() - startedAt;
+    if (!wasAccepted) {
       chosen!.full();
-      tally.refused += 1;
+      results.refused += 1;
       return;
     }
-    chosen!.answerTime.measured(tookMs);
-    if (tookMs <= OBJECTIVE_MS) {
-      tally.inTime += 1;
+    chosen!.answerTime.measured(durationMs);
+    if (durationMs <= DEADLINE_MS) {
+      results.onTime += 1;
     } else {
-      tally.late += 1;
+      results.late += 1;
     }
   };
-  for (let at = 0; at < DAY_MS; at += 5) {
-    // Callers come three at a time.
+  for (let at = 0; at < RUN_MS; at += 5) {
+    // Requests arrive in bursts of three.
     if (random.fraction() < (arrivalsPerS * 5) / 3_000) {
       for (let n = 0; n < 3; n += 1) {
-        void ask(random.integer(0, EDGES - 1));
+        void sendRequest(random.integer(0, EDGES - 1));
       }
     }
     await clock.advance(5);
   }
   await clock.advance(5_000);
   const mean = counts.reduce((sum, count) => sum + count, 0) / counts.length;
-  tally.busiest = Math.max(...counts) / mean;
-  return tally;
+  results.busiestRatio = Math.max(...counts) / mean;
+  return results;
 }
 
-/** Requests that were not answered in time, of each thousand. */
-function missed({inTime, late, refused}: Tally): number {
-  return ((late + refused) * 1_000) / (inTime + late + refused);
+/** Late or rejected requests per thousand. */
+function missedPerThousand({onTime, late, refused}: Results): number {
+  return ((late + refused) * 1_000) / (onTime + late + refused);
 }
 
-describe('Plain upstreams of few slots before many edges', () => {
+describe('Plain upstreams with few slots shared by many edges', () => {
   test.each([1, 2, 3])(
-    'miss less than half of what they miss by own free slots (seed %i)',
+    'miss less than half the deadlines missed by least utilization (seed %i)',
     async (seed) => {
-      const now = await replay((random) => new ShorterWait(random), 200, seed);
-      const former = await replay(
+      const candidate = await simulate(
+        (random) => new ShorterWait(random),
+        200,
+        seed,
+      );
+      const baseline = await simulate(
         (random) => new LeastUtilization(random),
         200,
         seed,
       );
-      expect(missed(now)).toBeLessThan(missed(former) / 2);
-      expect(now.busiest).toBeLessThan(1.25);
+      expect(missedPerThousand(candidate)).toBeLessThan(
+        missedPerThousand(baseline) / 2,
+      );
+      expect(candidate.busiestRatio).toBeLessThan(1.25);
     },
   );
 
-  test('are not worse off than by fewest own requests, also at a low rate', async () => {
-    const now = await replay((random) => new ShorterWait(random), 90, 1);
-    const least = await replay((random) => new LeastInFlight(random), 90, 1);
-    expect(missed(now)).toBeLessThanOrEqual(missed(least));
+  test('miss no more deadlines than choosing the fewest requests in flight at a low rate', async () => {
+    const candidate = await simulate(
+      (random) => new ShorterWait(random),
+      90,
+      1,
+    );
+    const baseline = await simulate(
+      (random) => new LeastInFlight(random),
+      90,
+      1,
+    );
+    expect(missedPerThousand(candidate)).toBeLessThanOrEqual(
+      missedPerThousand(baseline),
+    );
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamChoice.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamChoice.test.ts
@@ -5,6 +5,10 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against load balancers that ignore cached prompts, overload one upstream or cross
+ * halls without need.
+ */
 import {SilentDecisionLog} from 'puffinturn-decisions';
 import {ManualClock, Random} from 'shared';
 
@@ -22,7 +26,10 @@
   {id: 'bb', tokens: 1_000},
 ];
 
-function upstreamsOf(count: number, clock = new ManualClock()): EdgeUpstream[] {
+function createUpstreams(
+  count: number,
+  clock = new ManualClock(),
+): EdgeUpstream[] {
   return Array.from({length: count}, (_, at) => {
     const record = upstreamOf(`i-${at}`, {
       address: `10.0.0.${at}:80`,
@@ -33,43 +40,46 @@
   });
 }
 
-function facts(parts = PARTS): BalancingContext {
+function createContext(parts = PARTS): BalancingContext {
   const service = {engine: undefined, maxConnections: 1, name: 's'};
   return {parts, service, hall: 'here'};
 }
 
-describe('ExpectedTime', () => {
-  const choice = new ExpectedTime();
+describe('Lowest expected latency', () => {
+  const balancer = new ExpectedTime();
 
-  test('agrees with other edges on where a prompt is kept', () => {
-    const chosen = choice.choose(upstreamsOf(5), facts());
-    const elsewhere = choice.choose(upstreamsOf(5).reverse(), facts());
+  test('chooses the same upstream for a prompt at every edge', () => {
+    const chosen = balancer.choose(createUpstreams(5), createContext());
+    const elsewhere = balancer.choose(
+      createUpstreams(5).reverse(),
+      createContext(),
+    );
     expect(chosen?.id).toBe(elsewhere?.id);
   });
 
-  test('goes elsewhere once waiting costs more than reading anew', () => {
-    const upstreams = upstreamsOf(5);
-    const kept = choice.choose(upstreams, facts());
-    kept!.pendingTokens = 4_000;
-    expect(choice.choose(upstreams, facts())).toBe(kept);
-    kept!.pendingTokens = 8_000;
-    expect(choice.choose(upstreams, facts())).not.toBe(kept);
+  test('chooses another upstream once queueing costs more than a cache miss', () => {
+    const upstreams = createUpstreams(5);
+    const preferred = balancer.choose(upstreams, createContext());
+    preferred!.pendingTokens = 4_000;
+    expect(balancer.choose(upstreams, createContext())).toBe(preferred);
+    preferred!.pendingTokens = 8_000;
+    expect(balancer.choose(upstreams, createContext())).not.toBe(preferred);
   });
 
-  test('keeps away from an upstream that was slow, and comes back', async () => {
+  test('avoids a slow upstream and returns to it after the average has decayed', async () => {
     const clock = new ManualClock();
-    const upstreams = upstreamsOf(5, clock);
-    const kept = choice.choose(upstreams, facts());
+    const upstreams = createUpstreams(5, clock);
+    const preferred = balancer.choose(upstreams, createContext());
     for (let count = 0; count < 10; count += 1) {
-      kept!.speed.measured(6_000, 3_000);
+      preferred!.speed.measured(6_000, 3_000);
     }
-    expect(choice.choose(upstreams, facts())).not.toBe(kept);
+    expect(balancer.choose(upstreams, createContext())).not.toBe(preferred);
     await clock.advance(20_000);
-    expect(choice.choose(upstreams, facts())).toBe(kept);
+    expect(balancer.choose(upstreams, createContext())).toBe(preferred);
   });
 
-  test('counts a kept part only behind the same parts', () => {
-    const [upstream] = upstreamsOf(1);
+  test('counts a cached part only after the same preceding parts', () => {
+    const [upstream] = createUpstreams(1);
     upstream?.prefixes.sent(PARTS);
     expect(upstream?.prefixes.keptOf(PARTS)).toBe(6_000);
     const other = [{id: 'xx', tokens: 1}, ...PARTS];
@@ -77,8 +87,8 @@
   });
 });
 
-describe('ExpectedTime where engines copy from each other', () => {
-  const choice = new ExpectedTime();
+describe('Lowest expected latency with engines that can copy prefixes', () => {
+  const balancer = new ExpectedTime();
   const service = {
     engine: {
       copyMsPerToken: 0.001,
@@ -90,39 +100,42 @@
     name: 's',
   };
 
-  test('copies a kept prompt where its keeper is busy', () => {
-    const upstreams = upstreamsOf(5);
-    const first = choice.place(upstreams, {...facts(), service});
+  test('copies a cached prefix if the upstream that holds it is busy', () => {
+    const upstreams = createUpstreams(5);
+    const first = balancer.place(upstreams, {...createContext(), service});
     expect(first?.prefixSource).toBeUndefined();
     first!.upstream.prefixes.sent(PARTS);
     first!.upstream.pendingTokens = 20_000;
-    const second = choice.place(upstreams, {...facts(), service});
+    const second = balancer.place(upstreams, {...createContext(), service});
     expect(second?.upstream).not.toBe(first?.upstream);
     expect(second?.prefixSource).toBe(first?.upstream);
     expect(second?.copiedTokens).toBe(6_000);
   });
 
-  test('copies nothing that is soon read', () => {
-    const upstreams = upstreamsOf(2);
+  test('copies no prefix that is quick to compute', () => {
+    const upstreams = createUpstreams(2);
     const parts = [
       {id: 'cc', tokens: 100},
       {id: 'dd', tokens: 100},
     ];
-    const first = choice.place(upstreams, {...facts(parts), service});
+    const first = balancer.place(upstreams, {...createContext(parts), service});
     first!.upstream.prefixes.sent(parts);
     first!.upstream.pendingTokens = 20_000;
-    const second = choice.place(upstreams, {...facts(parts), service});
+    const second = balancer.place(upstreams, {
+      ...createContext(parts),
+      service,
+    });
     expect(second?.upstream).not.toBe(first?.upstream);
     expect(second?.prefixSource).toBeUndefined();
   });
 });
 
-describe('PrefixRendezvous', () => {
-  test('bounds the load of one upstream by the mean', () => {
-    const upstreams = upstreamsOf(4);
-    const choice = new PrefixRendezvous();
+describe('Bounded-load rendezvous hashing', () => {
+  test('bounds the load of one upstream relative to the mean', () => {
+    const upstreams = createUpstreams(4);
+    const balancer = new PrefixRendezvous();
     for (let count = 0; count < 40; count += 1) {
-      const chosen = choice.choose(upstreams, facts());
+      const chosen = balancer.choose(upstreams, createContext());
       chosen!.inFlight += 1;
     }
     expect(Math.max(...upstreams.map(({inFlight}) => inFlight))).toBeLessThan(
@@ -131,13 +144,15 @@
   });
 });
 
-describe('FreeSlots', () => {
-  test('fills the own hall first and then goes elsewhere', () => {
-    const upstreams = upstreamsOf(3);
-    const choice = new LeastUtilization(new Random(4));
-    const first = choice.choose(upstreams, facts());
+describe('Least utilization', () => {
+  test('prefers the local hall until its upstreams are busy', () => {
+    const upstreams = createUpstreams(3);
+    const balancer = new LeastUtilization(new Random(4));
+    const first = balancer.choose(upstreams, createContext());
     expect(first?.record.hall).toBe('here');
     first!.inFlight = 4;
-    expect(choice.choose(upstreams, facts())?.record.hall).toBe('there');
+    expect(balancer.choose(upstreams, createContext())?.record.hall).toBe(
+      'there',
+    );
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamCrashes.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamCrashes.test.ts
@@ -5,6 +5,10 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against crashes of upstreams that go unreported, and against reports for resets,
+ * lost responses or planned shutdowns.
+ */
 import {KeptDecisionLog} from 'puffinturn-decisions';
 import {UPSTREAM_STATE} from 'puffinturn-fleet';
 import type {Crash, ListenerState} from 'puffinturn-quarantine';
@@ -18,7 +22,7 @@
 
 const RECORD = upstreamOf('i-1', {bornAt: 1_000});
 
-function watchOf(state: ListenerState) {
+function createWatch(state: ListenerState) {
   const clock = new ManualClock();
   const pool = new UpstreamPool(clock, new KeptDecisionLog());
   pool.merge([RECORD], 'c1');
@@ -36,18 +40,18 @@
       return state;
     },
   });
-  async function examine() {
+  async function runProbe() {
     await settleTasks();
     await clock.advance(60);
     await settleTasks();
     return {crashes, probes};
   }
-  return {examine, pool, upstream, watch};
+  return {examine: runProbe, pool, upstream, watch};
 }
 
-describe('A watch over crashes', () => {
-  test('tells one crash with every request that was there', async () => {
-    const {examine, upstream, watch} = watchOf(LISTENER.refused);
+describe('Crash detection', () => {
+  test('reports one crash with all requests that were in flight', async () => {
+    const {examine, upstream, watch} = createWatch(LISTENER.refused);
     watch.broke(upstream, 'f1');
     watch.broke(upstream, 'f2');
     watch.broke(upstream, 'f1');
@@ -57,26 +61,26 @@
   });
 
   test.each([LISTENER.listens, LISTENER.unknown])(
-    'tells none where the probe says %s: a reset, a lost answer or a cut',
+    'reports no crash if the probe returns %s',
     async (state) => {
-      const {examine, upstream, watch} = watchOf(state);
+      const {examine, upstream, watch} = createWatch(state);
       watch.broke(upstream, 'f1');
       expect((await examine()).crashes).toEqual([]);
     },
   );
 
   test.each([UPSTREAM_STATE.draining, UPSTREAM_STATE.gone])(
-    'tells none of an upstream that said it is %s',
+    'reports no crash of an upstream that is %s',
     async (state) => {
-      const {examine, pool, upstream, watch} = watchOf(LISTENER.refused);
+      const {examine, pool, upstream, watch} = createWatch(LISTENER.refused);
       pool.merge([{...RECORD, sequence: 2, state}], 'c1');
       watch.broke(upstream, 'f1');
       expect((await examine()).crashes).toEqual([]);
     },
   );
 
-  test('tells a crash of which the next life is heard before the probe', async () => {
-    const {examine, pool, upstream, watch} = watchOf(LISTENER.listens);
+  test('reports a crash if the next incarnation is announced before the probe', async () => {
+    const {examine, pool, upstream, watch} = createWatch(LISTENER.listens);
     watch.broke(upstream, 'f1');
     pool.merge([{...RECORD, bornAt: 2_000, sequence: 1}], 'c1');
     expect((await examine()).crashes).toEqual([
@@ -84,11 +88,11 @@
     ]);
   });
 
-  test('probes with a connection', async () => {
-    const live = await TestUpstream.start('i-2');
-    const [host = '', port = '0'] = live.address.split(':');
+  test('probes the listener by connecting to it', async () => {
+    const listening = await TestUpstream.start('i-2');
+    const [host = '', port = '0'] = listening.address.split(':');
     expect(await probeListener(host, Number(port))).toBe(LISTENER.listens);
-    await live[Symbol.asyncDispose]();
+    await listening[Symbol.asyncDispose]();
     expect(await probeListener(host, Number(port))).toBe(LISTENER.refused);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamLimits.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamLimits.test.ts
@@ -6,29 +6,32 @@
  */
 
 /**
- * Load: some or all of four upstreams name in their answers how many requests a second
- * they take, while callers send 40 a second at all edges, or at one of them. The bound is
- * on the sum over all edges, of which each sees a part.
+ * Guards against many edges together exceeding the rate limit of an upstream, of which each
+ * edge sees only its own requests, and against leaving that rate unused.
  */
-import {byPace, byPermits, unbounded} from '../utils/AdmittingEdge';
-import type {LimitAt, LimitedFleetFields} from '../utils/LimitedFleet';
-import {LimitedFleet, mostAllowed} from '../utils/LimitedFleet';
+import {
+  createPacedAdmission,
+  createPermitAdmission,
+  createUnboundedAdmission,
+} from '../utils/AdmittingEdge';
+import type {LimitAt, LimitedFleetOptions} from '../utils/LimitedFleet';
+import {LimitedFleet, maxAllowedArrivals} from '../utils/LimitedFleet';
 
 const UPSTREAMS = 4;
-const PER_SECOND = 40;
+const REQUESTS_PER_SECOND = 40;
 const RUN_MS = 16_000;
-const SIZES = [6, 61, 87, 200];
+const EDGE_COUNTS = [6, 61, 87, 200];
 
-function one(perSecond: number): LimitAt {
+function limitFirst(perSecond: number): LimitAt {
   return (id) => (id === 'i-0' ? perSecond : undefined);
 }
 
-function all(perSecond: number): LimitAt {
+function limitAll(perSecond: number): LimitAt {
   return () => perSecond;
 }
 
-/** One that names a limit and then another one, or none. */
-function changing(
+/** The first upstream states one limit and later another one, or none. */
+function changingLimit(
   first: number,
   untilMs: number,
   second: number | undefined,
@@ -37,167 +40,199 @@
     id === 'i-0' ? (now < untilMs ? first : second) : undefined;
 }
 
-function fleetOf(fields: Partial<LimitedFleetFields>): LimitedFleet {
+function createFleet(fields: Partial<LimitedFleetOptions>): LimitedFleet {
   return new LimitedFleet({
-    admissionOf: byPermits,
+    createAdmission: createPermitAdmission,
     edges: 6,
-    limitAt: one(1.2),
-    perSecond: PER_SECOND,
+    limitAt: limitFirst(1.2),
+    requestsPerSecond: REQUESTS_PER_SECOND,
     seed: 1,
     upstreams: UPSTREAMS,
     ...fields,
   });
 }
 
-async function run(fields: Partial<LimitedFleetFields>): Promise<LimitedFleet> {
-  const fleet = fleetOf(fields);
+async function runFleet(
+  fields: Partial<LimitedFleetOptions>,
+): Promise<LimitedFleet> {
+  const fleet = createFleet(fields);
   await fleet.run(RUN_MS);
   return fleet;
 }
 
-/** Requests served a second, less what comes before the limits are known. */
+/** Mean rate of served requests over RUN_MS, requests/s. */
 function servedPerSecond({served}: LimitedFleet): number {
   return (served * 1_000) / RUN_MS;
 }
 
-/** Ids of edges, without one. */
-function boxesBut({edges}: LimitedFleet, left: number): string[] {
-  return edges.flatMap(({box}, at) => (at === left ? [] : box));
+/** Boxes of all edges except one. */
+function boxesExcept({edges}: LimitedFleet, excluded: number): string[] {
+  return edges.flatMap(({box}, at) => (at === excluded ? [] : box));
 }
 
-describe('Edges before one upstream of four that names a limit', () => {
+describe('Edges with one rate-limited upstream of four', () => {
   test.each(
-    SIZES.flatMap((edges) =>
+    EDGE_COUNTS.flatMap((edges) =>
       [0.25, 1.2, 1.6, 6].map((limit) => [edges, limit]),
     ),
-  )('%i send it what it takes of %d a second', async (edges = 0, limit = 0) => {
-    const fleet = await run({edges, limitAt: one(limit)});
-    expect(fleet.mostOfAll).toBeLessThanOrEqual(mostAllowed(limit));
-    expect(fleet.refused).toBe(0);
-  });
+  )(
+    '%i edges stay within its limit of %d requests/s',
+    async (edges = 0, limit = 0) => {
+      const fleet = await runFleet({edges, limitAt: limitFirst(limit)});
+      expect(fleet.peakArrivals).toBeLessThanOrEqual(maxAllowedArrivals(limit));
+      expect(fleet.refused).toBe(0);
+    },
+  );
 
-  test.each(SIZES)('%i do so while the core is away', async (edges) => {
-    const fleet = await run({edges, hasCore: false});
-    expect(fleet.most).toBeLessThanOrEqual(mostAllowed(1.2));
-    expect(fleet.refused).toBe(0);
-  });
+  test.each(EDGE_COUNTS)(
+    '%i edges stay within its limit without a core',
+    async (edges) => {
+      const fleet = await runFleet({edges, hasCore: false});
+      expect(fleet.peakCountedArrivals).toBeLessThanOrEqual(
+        maxAllowedArrivals(1.2),
+      );
+      expect(fleet.refused).toBe(0);
+    },
+  );
 
-  test('would send it too many without a bound', async () => {
-    const fleet = await run({admissionOf: unbounded});
-    expect(fleet.most).toBeGreaterThan(mostAllowed(1.2));
+  test('exceed its limit without admission control', async () => {
+    const fleet = await runFleet({createAdmission: createUnboundedAdmission});
+    expect(fleet.peakCountedArrivals).toBeGreaterThan(maxAllowedArrivals(1.2));
   });
 
-  test('keep to a limit that falls', async () => {
-    const fleet = fleetOf({limitAt: changing(8, 8_000, 1)});
+  test('stay within a limit that is lowered', async () => {
+    const fleet = createFleet({limitAt: changingLimit(8, 8_000, 1)});
     await fleet.run(9_000);
     fleet.arrivals.clear();
     await fleet.run(8_000);
-    expect(fleet.most).toBeLessThanOrEqual(mostAllowed(1));
+    expect(fleet.peakCountedArrivals).toBeLessThanOrEqual(
+      maxAllowedArrivals(1),
+    );
   });
 
   test.each([6, 87])(
-    'send as much as before once it ends (%i)',
+    'send at the full rate again once the limit is removed (%i edges)',
     async (edges) => {
-      const fleet = fleetOf({edges, limitAt: changing(1.2, 6_000, undefined)});
+      const fleet = createFleet({
+        edges,
+        limitAt: changingLimit(1.2, 6_000, undefined),
+      });
       await fleet.run(8_000);
       fleet.arrivals.clear();
       await fleet.run(4_000);
-      const got = fleet.arrivals.get('i-0')?.length ?? 0;
-      expect(got).toBeGreaterThan(PER_SECOND / 2);
+      const arrivalCount = fleet.arrivals.get('i-0')?.length ?? 0;
+      expect(arrivalCount).toBeGreaterThan(REQUESTS_PER_SECOND / 2);
     },
   );
 
-  test('send more where it rises', async () => {
-    const fleet = fleetOf({limitAt: changing(0.5, 6_000, 6)});
+  test('send more once the limit is raised', async () => {
+    const fleet = createFleet({limitAt: changingLimit(0.5, 6_000, 6)});
     await fleet.run(9_000);
     fleet.arrivals.clear();
     await fleet.run(4_000);
-    const got = fleet.arrivals.get('i-0')?.length ?? 0;
-    expect(got).toBeGreaterThan(0.7 * 6 * 4);
-    expect(fleet.most).toBeLessThanOrEqual(mostAllowed(6));
+    const arrivalCount = fleet.arrivals.get('i-0')?.length ?? 0;
+    expect(arrivalCount).toBeGreaterThan(0.7 * 6 * 4);
+    expect(fleet.peakCountedArrivals).toBeLessThanOrEqual(
+      maxAllowedArrivals(6),
+    );
   });
 
-  test('ask one that names 0 now and then whether it still does', async () => {
-    const fleet = fleetOf({limitAt: changing(0, 20_000, undefined)});
+  test('occasionally probe an upstream whose limit is 0', async () => {
+    const fleet = createFleet({limitAt: changingLimit(0, 20_000, undefined)});
     await fleet.run(20_000);
-    expect(fleet.most).toBeLessThanOrEqual(mostAllowed(0));
+    expect(fleet.peakCountedArrivals).toBeLessThanOrEqual(
+      maxAllowedArrivals(0),
+    );
     await fleet.run(20_000);
     const newest = fleet.arrivals.get('i-0')?.slice(-50) ?? [];
     expect(newest).toHaveLength(50);
   });
 });
 
-describe('Edges before upstreams that all name limits', () => {
-  test.each(SIZES)(
-    '%i use 0.7 of what these take, and refuse the rest',
+describe('Edges with only rate-limited upstreams', () => {
+  test.each(EDGE_COUNTS)(
+    '%i edges use at least 70 % of the limits and reject the rest',
     async (edges) => {
-      const fleet = await run({edges, limitAt: all(1.6)});
-      expect(fleet.mostOfAll).toBeLessThanOrEqual(mostAllowed(1.6));
+      const fleet = await runFleet({edges, limitAt: limitAll(1.6)});
+      expect(fleet.peakArrivals).toBeLessThanOrEqual(maxAllowedArrivals(1.6));
       expect(servedPerSecond(fleet)).toBeGreaterThan(0.7 * UPSTREAMS * 1.6);
       expect(fleet.refused).toBeGreaterThan(0);
     },
   );
 
-  test.each(SIZES)(
-    'of %i, one with all callers uses as much',
+  test.each(EDGE_COUNTS)(
+    'one edge of %i that has all callers uses at least 70 % of the limits',
     async (edges) => {
-      const fleet = await run({atOneEdge: true, edges, limitAt: all(1.6)});
-      expect(fleet.most).toBeLessThanOrEqual(mostAllowed(1.6));
+      const fleet = await runFleet({
+        usesOneEdge: true,
+        edges,
+        limitAt: limitAll(1.6),
+      });
+      expect(fleet.peakCountedArrivals).toBeLessThanOrEqual(
+        maxAllowedArrivals(1.6),
+      );
       expect(servedPerSecond(fleet)).toBeGreaterThan(0.7 * UPSTREAMS * 1.6);
     },
   );
 
-  test('would leave most of it unused there with few senders', async () => {
-    const limitAt = all(1.6);
-    const paced = {admissionOf: byPace, atOneEdge: true, edges: 61, limitAt};
-    const fleet = await run(paced);
+  test('leave more than half unused if that edge paces its requests instead', async () => {
+    const limitAt = limitAll(1.6);
+    const options = {
+      createAdmission: createPacedAdmission,
+      usesOneEdge: true,
+      edges: 61,
+      limitAt,
+    };
+    const fleet = await runFleet(options);
     expect(servedPerSecond(fleet)).toBeLessThan(0.5 * UPSTREAMS * 1.6);
   });
 
-  test('lose the use of none where an edge ends', async () => {
-    const fleet = fleetOf({limitAt: all(1.6)});
+  test('use the limits fully after an edge has stopped', async () => {
+    const fleet = createFleet({limitAt: limitAll(1.6)});
     await fleet.run(4_000);
     fleet.kill(2);
     await fleet.run(1_000);
-    fleet.tellBoxes(boxesBut(fleet, 2));
+    fleet.announceBoxes(boxesExcept(fleet, 2));
     fleet.served = 0;
     await fleet.run(RUN_MS);
-    expect(fleet.mostOfAll).toBeLessThanOrEqual(mostAllowed(1.6));
+    expect(fleet.peakArrivals).toBeLessThanOrEqual(maxAllowedArrivals(1.6));
     expect(servedPerSecond(fleet)).toBeGreaterThan(0.7 * UPSTREAMS * 1.6);
   });
 
   test.each([0, 1, 2, 3, 4, 5])(
-    'go on with less where edge %i, which may grant, is gone for long',
-    async (gone) => {
-      const fleet = fleetOf({limitAt: all(1.6)});
+    'keep serving while edge %i, which may grant permits, is down',
+    async (killed) => {
+      const fleet = createFleet({limitAt: limitAll(1.6)});
       await fleet.run(4_000);
-      fleet.kill(gone);
+      fleet.kill(killed);
       fleet.served = 0;
       await fleet.run(RUN_MS);
-      expect(fleet.mostOfAll).toBeLessThanOrEqual(mostAllowed(1.6));
+      expect(fleet.peakArrivals).toBeLessThanOrEqual(maxAllowedArrivals(1.6));
       expect(fleet.served).toBeGreaterThan(0);
     },
   );
 
   test.each([1, 2, 3, 4])(
-    'keep to them while edges end, start and are cut off (seed %i)',
+    'stay within the limits during restarts and partitions (seed %i)',
     async (seed) => {
-      const fleet = fleetOf({edges: 12, limitAt: all(1.6), seed});
+      const fleet = createFleet({edges: 12, limitAt: limitAll(1.6), seed});
       const boxes = fleet.edges.map(({box}) => box);
       await fleet.run(4_000);
       for (let round = 0; round < 4; round += 1) {
-        const harmed = (seed + 3 * round) % 12;
-        fleet.kill(harmed);
+        const restarted = (seed + 3 * round) % 12;
+        fleet.kill(restarted);
         await fleet.run(1_500);
-        fleet.restart(harmed);
-        const cut = boxes.slice(round, round + 5);
-        const others = boxes.filter((box) => !cut.includes(box));
-        fleet.network.partition(cut, others);
+        fleet.restart(restarted);
+        const partitioned = boxes.slice(round, round + 5);
+        const others = boxes.filter((box) => !partitioned.includes(box));
+        fleet.network.partition(partitioned, others);
         await fleet.run(3_000);
         fleet.network.heal();
         await fleet.run(1_000);
       }
-      expect(fleet.most).toBeLessThanOrEqual(mostAllowed(1.6));
+      expect(fleet.peakCountedArrivals).toBeLessThanOrEqual(
+        maxAllowedArrivals(1.6),
+      );
     },
   );
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamLives.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamLives.test.ts
@@ -5,6 +5,10 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against state, connections or requests of a crashed upstream being carried over to
+ * its next incarnation.
+ */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
 import {SilentDecisionLog} from 'puffinturn-decisions';
@@ -26,14 +30,14 @@
   servingRoute('chat', {repetition: REPETITION.resumable, streams: true}),
 ];
 
-/** Holds a request open and never answers. */
-function hold(): void {}
+/** Keeps the request open without responding. */
+function neverRespond(): void {}
 
-describe('An upstream that starts again under its id', () => {
-  const former = upstreamOf('i-1', {bornAt: 1_000, sequence: 40});
+describe('An upstream that restarts with the same id', () => {
+  const previous = upstreamOf('i-1', {bornAt: 1_000, sequence: 40});
   const next = upstreamOf('i-1', {bornAt: 2_000, sequence: 1});
 
-  function poolOf(...records: ReturnType<typeof upstreamOf>[]) {
+  function createPool(...records: ReturnType<typeof upstreamOf>[]) {
     const clock = new ManualClock();
     const pool = new UpstreamPool(clock, new SilentDecisionLog());
     pool.merge(records, 'c1');
@@ -44,8 +48,8 @@
     return {clock, pool, upstream};
   }
 
-  test('is another one: nothing that was learned holds', () => {
-    const {clock, pool, upstream} = poolOf({...former, coldMs: 9_000});
+  test('starts with fresh statistics and health', () => {
+    const {clock, pool, upstream} = createPool({...previous, coldMs: 9_000});
     const prompt = [{id: 'aa', tokens: 4_000}];
     upstream.prefixes.sent(prompt);
     upstream.speed.measured(4_000, 4_000);
@@ -54,70 +58,70 @@
     upstream.unreachable();
     upstream.isReplaced();
     pool.merge([next], 'c1');
-    const [renewed] = pool.serving('s');
-    expect(renewed).not.toBe(upstream);
-    expect(renewed).toMatchObject({
+    const [replacement] = pool.serving('s');
+    expect(replacement).not.toBe(upstream);
+    expect(replacement).toMatchObject({
       cold: false,
       errorRate: 0,
       inFlight: 0,
       paused: false,
       serves: true,
     });
-    const fresh = poolOf(next).upstream;
-    expect(renewed?.prefixes.keptOf(prompt)).toBe(0);
-    expect(renewed?.answerTime.ms).toBe(0);
-    expect(renewed?.speed.tokensPerMs).toBe(fresh.speed.tokensPerMs);
+    const unused = createPool(next).upstream;
+    expect(replacement?.prefixes.keptOf(prompt)).toBe(0);
+    expect(replacement?.answerTime.ms).toBe(0);
+    expect(replacement?.speed.tokensPerMs).toBe(unused.speed.tokensPerMs);
     expect(upstream.serves).toBe(false);
     expect(clock.now()).toBe(0);
   });
 
-  test('is not taken back by late words of its former life', () => {
-    const {pool} = poolOf(former);
+  test('is not affected by late records of its previous incarnation', () => {
+    const {pool} = createPool(previous);
     pool.merge([next], 'c1');
-    const renewed = pool.serving('s');
-    pool.merge([{...former, sequence: 41}], 'c2');
-    pool.merge([{...former, state: UPSTREAM_STATE.gone}], 'c2');
+    const replacement = pool.serving('s');
+    pool.merge([{...previous, sequence: 41}], 'c2');
+    pool.merge([{...previous, state: UPSTREAM_STATE.gone}], 'c2');
     pool.merge([next, next], 'c2');
-    expect(pool.serving('s')).toEqual(renewed);
+    expect(pool.serving('s')).toEqual(replacement);
   });
 
-  test('serves again after its former life had left', () => {
-    const {pool} = poolOf(former);
-    pool.merge([{...former, state: UPSTREAM_STATE.gone}], 'c1');
+  test('serves again after its previous incarnation was gone', () => {
+    const {pool} = createPool(previous);
+    pool.merge([{...previous, state: UPSTREAM_STATE.gone}], 'c1');
     expect(pool.serving('s')).toEqual([]);
-    pool.merge([{...former, sequence: 41}], 'c1');
+    pool.merge([{...previous, sequence: 41}], 'c1');
     expect(pool.serving('s')).toEqual([]);
     pool.merge([next], 'c1');
     expect(pool.serving('s').map(({id}) => id)).toEqual(['i-1']);
   });
 
-  test('serves what its new life says, at the address where that is', () => {
-    const {pool} = poolOf(former);
+  test('uses the service and address of its new incarnation', () => {
+    const {pool} = createPool(previous);
     const moved = {...next, address: '10.0.0.7:1', service: 'other'};
     pool.merge([moved], 'c1');
     expect(pool.serving('s')).toEqual([]);
     expect(pool.serving('other').map(({port}) => port)).toEqual([1]);
   });
 
-  test('a life that changes its service serves the other one', () => {
-    const {pool} = poolOf(former);
-    pool.merge([{...former, sequence: 41, service: 'other'}], 'c1');
+  test('moves to another service within one incarnation', () => {
+    const {pool} = createPool(previous);
+    pool.merge([{...previous, sequence: 41, service: 'other'}], 'c1');
     expect(pool.serving('s')).toEqual([]);
     expect(pool.serving('other').map(({id}) => id)).toEqual(['i-1']);
   });
 
-  test('a service that is named later finds its upstreams', () => {
-    const {pool} = poolOf({...former, service: 'not-named-yet'});
+  test('is found under a service that is not configured yet', () => {
+    const {pool} = createPool({...previous, service: 'not-named-yet'});
     expect(pool.serving('not-named-yet').map(({id}) => id)).toEqual(['i-1']);
   });
 });
 
-describe('Requests open at a former life', () => {
-  test('go elsewhere where they may be repeated', async () => {
+describe('Requests in flight at a previous incarnation', () => {
+  test('are retried at another upstream if they may be repeated', async () => {
     await using first = await TestUpstream.start('i-1');
     await using second = await TestUpstream.start('i-2');
     await using serving = await ServingFixture.start(ROUTES);
-    first.answer = hold;
+    first.answer = neverRespond;
     serving.pool.merge([first.record({bornAt: 1_000})], 'c1');
     const answer = serving.ask('look');
     await until(() => first.seen.length === 1);
@@ -135,11 +139,11 @@
     );
   });
 
-  test('are answered without a promise where they may not', async () => {
+  test('fail with 502 if they may not be repeated', async () => {
     await using first = await TestUpstream.start('i-1');
     await using second = await TestUpstream.start('i-2');
     await using serving = await ServingFixture.start(ROUTES);
-    first.answer = hold;
+    first.answer = neverRespond;
     serving.pool.merge([first.record({bornAt: 1_000})], 'c1');
     const answer = serving.ask('order');
     await until(() => first.seen.length === 1);
@@ -150,26 +154,26 @@
     expect(second.seen).toHaveLength(0);
   });
 
-  test('a stream goes on elsewhere behind its last event', async () => {
+  test('resume a stream at another upstream after its last event', async () => {
     await using first = await TestUpstream.start('i-1');
     await using second = await TestUpstream.start('i-2');
     await using serving = await ServingFixture.start(ROUTES);
     let lastEvent: unknown;
-    const stream = (text: string, ends: boolean) => {
+    const respondWithStream = (text: string, isComplete: boolean) => {
       return (incoming: IncomingMessage, response: ServerResponse): void => {
         lastEvent = incoming.headers['x-last-event'];
         response.setHeader('Content-Type', 'text/event-stream');
         response.write(text);
-        if (ends) {
+        if (isComplete) {
           response.end();
         }
       };
     };
-    first.answer = stream('id: 1\ndata: a\n\n', false);
-    second.answer = stream('id: 2\ndata: b\n\n', true);
+    first.answer = respondWithStream('id: 1\ndata: a\n\n', false);
+    second.answer = respondWithStream('id: 2\ndata: b\n\n', true);
     serving.pool.merge([first.record({bornAt: 1_000})], 'c1');
     const answer = serving.ask('chat');
-    // The event is passed on before the new life is heard of.
+    // Wait until the event is forwarded before announcing the new incarnation.
     await until(() => serving.received > 0);
     const gone = {bornAt: 2_000, state: UPSTREAM_STATE.gone};
     serving.pool.merge([second.record(), first.record(gone)], 'c1');
@@ -181,20 +185,20 @@
     expect(lastEvent).toBe('1');
   });
 
-  test('end too where that life had left before', async () => {
+  test('fail with 502 if that incarnation was already gone', async () => {
     await using first = await TestUpstream.start('i-1');
     await using serving = await ServingFixture.start(ROUTES);
-    first.answer = hold;
-    const life = first.record({bornAt: 1_000});
-    serving.pool.merge([life], 'c1');
+    first.answer = neverRespond;
+    const record = first.record({bornAt: 1_000});
+    serving.pool.merge([record], 'c1');
     const answer = serving.ask('order');
     await until(() => first.seen.length === 1);
-    serving.pool.merge([{...life, state: UPSTREAM_STATE.gone}], 'c1');
+    serving.pool.merge([{...record, state: UPSTREAM_STATE.gone}], 'c1');
     serving.pool.merge([first.record({bornAt: 2_000})], 'c1');
     expect((await answer).status).toBe(502);
   });
 
-  test('no request goes out over a connection to a former life', async () => {
+  test('do not share their connections with later requests', async () => {
     await using first = await TestUpstream.start('i-1');
     await using serving = await ServingFixture.start(ROUTES);
     const ports: (number | undefined)[] = [];
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamPool.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamPool.test.ts
@@ -5,6 +5,10 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against requests to upstreams that are evacuated, draining or replaced by another
+ * process at the same address.
+ */
 import {SilentDecisionLog} from 'puffinturn-decisions';
 import {UPSTREAM_STATE} from 'puffinturn-fleet';
 import {ManualClock} from 'shared';
@@ -12,7 +16,7 @@
 import {UpstreamPool} from '../../upstreams/UpstreamPool';
 import {upstreamOf} from '../utils/EdgeFixture';
 
-function poolOf(...records: ReturnType<typeof upstreamOf>[]) {
+function createPool(...records: ReturnType<typeof upstreamOf>[]) {
   const clock = new ManualClock();
   const pool = new UpstreamPool(clock, new SilentDecisionLog());
   pool.merge(records, 'c1');
@@ -23,8 +27,8 @@
 }
 
 describe('Upstreams of an evacuated hall', () => {
-  test('get nothing until the evacuation is finished', () => {
-    const {evacuate, serving} = poolOf(
+  test('get no requests until the evacuation ends', () => {
+    const {evacuate, serving} = createPool(
       upstreamOf('i-1', {address: '10.0.0.1:1', hall: 'a'}),
       upstreamOf('i-2', {address: '10.0.0.1:2', hall: 'b'}),
     );
@@ -36,8 +40,8 @@
     expect(serving()).toEqual(['i-1']);
   });
 
-  test('stay out for an older word that comes late', () => {
-    const {evacuate, serving} = poolOf(
+  test('stay excluded when an older revision arrives late', () => {
+    const {evacuate, serving} = createPool(
       upstreamOf('i-1', {address: '10.0.0.1:1', hall: 'a'}),
     );
     evacuate(3, 'a');
@@ -45,8 +49,8 @@
     expect(serving()).toEqual([]);
   });
 
-  test('count as cold at first when they are back', async () => {
-    const {clock, evacuate, pool} = poolOf(
+  test('count as cold when they return', async () => {
+    const {clock, evacuate, pool} = createPool(
       upstreamOf('i-1', {address: '10.0.0.1:1', hall: 'a'}),
       upstreamOf('i-2', {address: '10.0.0.1:2', hall: 'b'}),
     );
@@ -60,10 +64,10 @@
   });
 });
 
-describe('Upstreams that serve', () => {
-  test('are those that say so, as of their last word', () => {
+describe('The list of serving upstreams', () => {
+  test('follows the state in the latest records', () => {
     const first = upstreamOf('i-1', {address: '10.0.0.1:1'});
-    const {pool, serving} = poolOf(first);
+    const {pool, serving} = createPool(first);
     expect(serving()).toEqual(['i-1']);
     pool.merge([upstreamOf('i-2', {address: '10.0.0.1:2'})], 'c1');
     expect(serving()).toEqual(['i-1', 'i-2']);
@@ -75,32 +79,28 @@
   });
 });
 
-/**
- * Symptom: an upstream crashes and another process takes its address; a heartbeat
- * of the former one arrives late.
- */
-describe('Two incarnations at one address', () => {
-  const former = upstreamOf('i-1');
+describe('Two upstreams at one address', () => {
+  const previous = upstreamOf('i-1');
   const next = upstreamOf('i-2');
 
-  test('only the one that was heard of last is sent requests', () => {
-    const {pool, serving} = poolOf(former);
+  test('only the one added last gets requests', () => {
+    const {pool, serving} = createPool(previous);
     pool.merge([next], 'c1');
     expect(serving()).toEqual(['i-2']);
   });
 
-  test('a late heartbeat neither brings the former back nor takes the next away', () => {
-    const {pool, serving} = poolOf(former);
+  test('a late heartbeat of the previous one changes nothing', () => {
+    const {pool, serving} = createPool(previous);
     pool.merge([next], 'c1');
-    pool.merge([{...former, coldMs: 900, sequence: 8}], 'c1');
+    pool.merge([{...previous, coldMs: 900, sequence: 8}], 'c1');
     expect(serving()).toEqual(['i-2']);
   });
 
-  test('the next is taken again where the former was heard of after it', () => {
-    const {pool, serving} = poolOf(next);
-    pool.merge([former], 'c1');
+  test('the next one serves after the previous one, added later, was replaced', () => {
+    const {pool, serving} = createPool(next);
+    pool.merge([previous], 'c1');
     expect(serving()).toEqual(['i-1']);
-    // The request that went there was turned away.
+    // A request to i-1 was rejected, because i-2 serves at the address.
     pool
       .all()
       .find(({id}) => id === 'i-1')
@@ -108,14 +108,14 @@
     expect(serving()).toEqual(['i-2']);
   });
 
-  test('one of another service counts too', () => {
-    const {pool, serving} = poolOf(former);
+  test('the next one excludes the previous one even for another service', () => {
+    const {pool, serving} = createPool(previous);
     pool.merge([{...next, service: 'other'}], 'c1');
     expect(serving()).toEqual([]);
   });
 
-  test('the former serves on where the next of another service is turned away', () => {
-    const {pool, serving} = poolOf(former);
+  test('the previous one serves again after the next one of another service was replaced', () => {
+    const {pool, serving} = createPool(previous);
     pool.merge([{...next, service: 'other'}], 'c1');
     expect(serving()).toEqual([]);
     pool
@@ -125,8 +125,8 @@
     expect(serving()).toEqual(['i-1']);
   });
 
-  test('the former serves on where the next is gone', () => {
-    const {pool, serving} = poolOf(former);
+  test('the previous one serves again after the next one is gone', () => {
+    const {pool, serving} = createPool(previous);
     pool.merge([next], 'c1');
     pool.merge([{...next, state: UPSTREAM_STATE.gone}], 'c1');
     expect(serving()).toEqual(['i-1']);
--- a/packages/puffinturn-edge/src/__tests__/utils/AdmittingEdge.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/AdmittingEdge.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Edges on a network in memory that admit requests by permits, in virtual time. */
+/** Admissions for simulated edges on an in-memory network. */
 import type {BoxRecord} from 'puffinturn-fleet';
 import {BOX_ROLE} from 'puffinturn-fleet';
 import type {ColdTolerance} from 'puffinturn-permits';
@@ -20,22 +20,22 @@
 } from '../../upstreams/UpstreamAdmission';
 import {PacedAdmission} from './PacedAdmission';
 
-/** What an admission of a test is made of. */
-export interface AdmittingEdge {
+/** Options of the admission of one simulated edge. */
+export interface AdmissionOptions {
   readonly box: string;
   readonly clock: Clock;
   readonly network: MemoryNetwork;
   readonly peers: () => readonly BoxRecord[];
   readonly tolerance: ColdTolerance;
-  /** The upstreams that this edge knows. */
+  /** Looks up an upstream known to this edge. */
   readonly upstreamOf: (id: string) => EdgeUpstream | undefined;
 }
 
-/** Makes the admission of one edge; tests compare several. */
-export type AdmissionOf = (edge: AdmittingEdge) => UpstreamAdmission;
+/** Creates the admission of one edge. */
+export type AdmissionFactory = (edge: AdmissionOptions) => UpstreamAdmission;
 
-/** The way that is built in. */
-export const byPermits: AdmissionOf = (edge) => {
+/** Creates the admission used in production, which is based on permits. */
+export const createPermitAdmission: AdmissionFactory = (edge) => {
   const {box, clock, network, peers, tolerance, upstreamOf} = edge;
   const permits = new Permits({
     areTogether: () => true,
@@ -50,11 +50,15 @@
   return new PermitAdmission(permits);
 };
 
-/** Few senders by rendezvous, each at its own pace. */
-export const byPace: AdmissionOf = ({box, clock, peers, tolerance}) =>
-  new PacedAdmission({box, clock, peers, tolerance});
+/** Creates an admission that paces requests at a few senders chosen by rendezvous hashing. */
+export const createPacedAdmission: AdmissionFactory = ({
+  box,
+  clock,
+  peers,
+  tolerance,
+}) => new PacedAdmission({box, clock, peers, tolerance});
 
-/** Baseline: every upstream takes all. */
+/** Admits every request. */
 class UnboundedAdmission extends UpstreamAdmission {
   override waitMs(): number {
     return 0;
@@ -67,10 +71,11 @@
   override shareLimit(): void {}
 }
 
-/** No bound at all. */
-export const unbounded: AdmissionOf = () => new UnboundedAdmission();
+/** Creates an admission without any limit, as a baseline. */
+export const createUnboundedAdmission: AdmissionFactory = () =>
+  new UnboundedAdmission();
 
-/** How the other edges know an edge. */
-export function recordOf(box: string): BoxRecord {
+/** Creates the box record of an edge. */
+export function edgeRecord(box: string): BoxRecord {
   return {box, hall: 'h', incarnation: '1', role: BOX_ROLE.edge};
 }
--- a/packages/puffinturn-edge/src/__tests__/utils/LimitedFleet.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/LimitedFleet.ts
@@ -5,10 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Edges before upstreams that name in their answers how many requests a second they
- * take from all of them, in virtual time. Counts what arrives and what is refused.
- */
+/** Simulates edges that send to rate-limited upstreams, in virtual time. */
 import {SilentDecisionLog} from 'puffinturn-decisions';
 import type {BoxRecord} from 'puffinturn-fleet';
 import {MemoryNetwork} from 'puffinturn-wire';
@@ -16,67 +13,70 @@
 
 import {EdgeUpstream} from '../../upstreams/EdgeUpstream';
 import type {UpstreamAdmission} from '../../upstreams/UpstreamAdmission';
-import type {AdmissionOf} from './AdmittingEdge';
-import {recordOf} from './AdmittingEdge';
+import type {AdmissionFactory} from './AdmittingEdge';
+import {edgeRecord} from './AdmittingEdge';
 import {upstreamOf} from './EdgeFixture';
 
-/** Time from a request to its answer, ms. */
-const ANSWER_MS = 50;
+/** Time from a request to its response, ms. */
+const RESPONSE_MS = 50;
 
-/** Time from an answer until all edges have it from the core, ms. */
-const NEWS_MS = 100;
+/** Time until the core has propagated a limit to all edges, ms. */
+const PROPAGATION_MS = 100;
 
-/** Edges have this time from the first answer that names a limit, ms. */
-const FIRST_MS = 3_000;
+/** Time after the first stated limit from which arrivals are checked, ms. */
+const SETTLING_MS = 3_000;
 
-/** Requests count from edges that had passed such an answer on for so long, ms. */
-const TOLD_MS = 500;
+/** Time after an edge reported a limit from which its requests are counted, ms. */
+const REPORT_DELAY_MS = 500;
 
-/** The span in which requests are counted, ms. */
-const SPAN_MS = 4_000;
+/** Length of the sliding window in which requests are counted, ms. */
+const WINDOW_MS = 4_000;
 
 const STEP_MS = 5;
-const FACTS = {coldStart: undefined, isLeastUrgent: false};
+const ADMISSION_CONTEXT = {coldStart: undefined, isLeastUrgent: false};
 
-/** The most requests that may reach an upstream in any span. */
-export function mostAllowed(perSecond: number): number {
-  return Math.floor((perSecond * 1.5 * SPAN_MS) / 1_000 + 5);
+/** Maximum requests that may reach an upstream in any window. */
+export function maxAllowedArrivals(perSecond: number): number {
+  return Math.floor((perSecond * 1.5 * WINDOW_MS) / 1_000 + 5);
 }
 
-/** What an upstream names at a time, requests a second; undefined for no limit. */
+/** Rate limit that an upstream states at a time, requests/s; undefined for none. */
 export type LimitAt = (upstream: string, now: number) => number | undefined;
 
-/** What a LimitedFleet is made of. */
-export interface LimitedFleetFields {
-  readonly admissionOf: AdmissionOf;
+/** Options of a LimitedFleet. */
+export interface LimitedFleetOptions {
+  readonly createAdmission: AdmissionFactory;
   readonly edges: number;
   readonly upstreams: number;
   readonly limitAt: LimitAt;
-  /** Requests a second at all edges together. */
-  readonly perSecond: number;
+  /** Total request rate of all edges, requests/s. */
+  readonly requestsPerSecond: number;
   readonly seed: number;
-  /** Whether all callers are at one edge. */
-  readonly atOneEdge?: boolean;
-  /** Whether the core tells edges what others have heard. */
+  /** Whether all requests are sent through one edge. */
+  readonly usesOneEdge?: boolean;
+  /** Whether a core propagates limits between edges. */
   readonly hasCore?: boolean;
 }
 
 interface SimulatedEdge {
   readonly box: string;
-  readonly life: number;
+  readonly incarnation: number;
   admission: UpstreamAdmission;
   readonly upstreams: readonly EdgeUpstream[];
-  readonly toldAt: Map<string, number>;
+  readonly limitKnownAt: Map<string, number>;
   isUp: boolean;
 }
 
 interface Arrival {
   readonly at: number;
-  /** Whether the edge had passed an answer with a limit on for long enough. */
-  readonly counts: boolean;
+  /** Whether the edge had reported the limit at least REPORT_DELAY_MS before. */
+  readonly isCounted: boolean;
 }
 
-/** See the module comment. */
+/**
+ * Simulated edges and upstreams that state rate limits in their responses. Counts the
+ * requests that arrive at each upstream and those that are rejected.
+ */
 export class LimitedFleet {
   readonly clock = new ManualClock();
   readonly network: MemoryNetwork;
@@ -84,38 +84,38 @@
   readonly arrivals = new Map<string, Arrival[]>();
   served = 0;
   refused = 0;
-  /** Boxes that edges know; the list of the core. */
-  private records: readonly BoxRecord[];
+  /** Boxes in the list distributed by the core. */
+  private boxRecords: readonly BoxRecord[];
   private readonly peerLists = new Map<string, readonly BoxRecord[]>();
-  private readonly namedAt = new Map<string, number>();
+  private readonly firstLimitAt = new Map<string, number>();
   private readonly random: Random;
 
-  constructor(private readonly fields: LimitedFleetFields) {
-    const {edges, seed} = fields;
+  constructor(private readonly options: LimitedFleetOptions) {
+    const {edges, seed} = options;
     this.random = new Random(seed);
     this.network = new MemoryNetwork(this.clock, new Random(seed + 1));
     const boxes = Array.from({length: edges}, (_, at) => `e${at}`);
-    this.records = boxes.map(recordOf);
+    this.boxRecords = boxes.map(edgeRecord);
     for (const box of boxes) {
-      this.edges.push(this.edgeOf(box, 1));
+      this.edges.push(this.createEdge(box, 1));
     }
   }
 
-  /** Requests come for so long. */
+  /** Sends requests for the given time, ms. */
   async run(ms: number): Promise<void> {
-    const {perSecond} = this.fields;
+    const {requestsPerSecond} = this.options;
     for (let at = 0; at < ms; at += STEP_MS) {
-      const mean = (perSecond * STEP_MS) / 1_000;
+      const mean = (requestsPerSecond * STEP_MS) / 1_000;
       const count =
         Math.floor(mean) + (this.random.fraction() < mean % 1 ? 1 : 0);
       for (let asked = 0; asked < count; asked += 1) {
-        void this.ask();
+        void this.sendRequest();
       }
       await this.clock.advance(STEP_MS);
     }
   }
 
-  /** Ends an edge; the others hear of it from the core later, or never. */
+  /** Stops an edge without telling the others. */
   kill(at: number): void {
     const edge = this.edges[at];
     if (edge !== undefined) {
@@ -124,67 +124,68 @@
     }
   }
 
-  /** Starts an edge again that was killed; it knows nothing. */
+  /** Restarts a stopped edge with empty state. */
   restart(at: number): void {
     const edge = this.edges[at];
     if (edge !== undefined) {
-      this.edges[at] = this.edgeOf(edge.box, edge.life + 1);
+      this.edges[at] = this.createEdge(edge.box, edge.incarnation + 1);
     }
   }
 
-  /** The core tells all edges which ones there are. */
-  tellBoxes(boxes: readonly string[]): void {
-    this.records = boxes.map(recordOf);
+  /** Distributes the list of edges to all edges. */
+  announceBoxes(boxes: readonly string[]): void {
+    this.boxRecords = boxes.map(edgeRecord);
     this.peerLists.clear();
   }
 
-  /** The most that counts of what one upstream got in any span, of all upstreams. */
-  get most(): number {
-    return this.mostOf(({counts}) => counts);
+  /** Maximum counted arrivals at one upstream in any window. */
+  get peakCountedArrivals(): number {
+    return this.peakOf(({isCounted}) => isCounted);
   }
 
-  /** The most that reached one upstream in any span, FIRST_MS after its first limit. */
-  get mostOfAll(): number {
-    return this.mostOf(() => true);
+  /** Maximum arrivals at one upstream in any window, SETTLING_MS after its first limit. */
+  get peakArrivals(): number {
+    return this.peakOf(() => true);
   }
 
-  private mostOf(isCounted: (arrival: Arrival) => boolean): number {
+  private peakOf(isCounted: (arrival: Arrival) => boolean): number {
     const counts = [...this.arrivals].flatMap(([id, arrivals]) => {
-      const from = (this.namedAt.get(id) ?? Infinity) + FIRST_MS;
+      const from = (this.firstLimitAt.get(id) ?? Infinity) + SETTLING_MS;
       const times = arrivals
         .filter((arrival) => arrival.at >= from && isCounted(arrival))
         .map(({at}) => at);
       return times.map(
         (first, index) =>
-          times.slice(index).filter((at) => at < first + SPAN_MS).length,
+          times.slice(index).filter((at) => at < first + WINDOW_MS).length,
       );
     });
     return Math.max(0, ...counts);
   }
 
-  private async ask(): Promise<void> {
-    const edge = this.fields.atOneEdge
+  private async sendRequest(): Promise<void> {
+    const edge = this.options.usesOneEdge
       ? this.edges[0]
       : this.random.pick(this.edges);
     if (edge?.isUp !== true) {
       return;
     }
-    const heldBack = new Set<EdgeUpstream>();
+    const denied = new Set<EdgeUpstream>();
     for (;;) {
-      const open = edge.upstreams.filter(
+      const admissible = edge.upstreams.filter(
         (each) =>
-          !heldBack.has(each) && edge.admission.waitMs(each, FACTS) === 0,
+          !denied.has(each) &&
+          edge.admission.waitMs(each, ADMISSION_CONTEXT) === 0,
       );
-      const upstream = this.random.pick(open);
+      const upstream = this.random.pick(admissible);
       if (upstream === undefined) {
         this.refused += 1;
         return;
       }
-      if (await edge.admission.admit(upstream, FACTS)) {
+      if (await edge.admission.admit(upstream, ADMISSION_CONTEXT)) {
         await this.send(edge, upstream);
         return;
       }
-      heldBack.add(upstream);
+      denied.add(upstream);
     }
   }
 
@@ -194,43 +195,46 @@
   ): Promise<void> {
     const {id} = upstream;
     const sentAt = this.clock.now();
-    const toldAt = edge.toldAt.get(id) ?? Infinity;
-    const arrival = {at: sentAt, counts: sentAt >= toldAt + TOLD_MS};
+    const knownAt = edge.limitKnownAt.get(id) ?? Infinity;
+    const arrival = {
+      at: sentAt,
+      isCounted: sentAt >= knownAt + REPORT_DELAY_MS,
+    };
     const arrivals = this.arrivals.get(id) ?? [];
     arrivals.push(arrival);
     this.arrivals.set(id, arrivals);
     this.served += 1;
-    await this.clock.sleep(ANSWER_MS);
+    await this.clock.sleep(RESPONSE_MS);
     const now = this.clock.now();
-    const perSecond = this.fields.limitAt(id, now);
+    const perSecond = this.options.limitAt(id, now);
     if (perSecond !== undefined) {
-      this.namedAt.set(id, this.namedAt.get(id) ?? now);
-      edge.toldAt.set(id, edge.toldAt.get(id) ?? now);
+      this.firstLimitAt.set(id, this.firstLimitAt.get(id) ?? now);
+      edge.limitKnownAt.set(id, edge.limitKnownAt.get(id) ?? now);
     }
     if (edge.isUp && upstream.limits.hear(perSecond, sentAt)) {
       edge.admission.shareLimit(upstream);
-      void this.tellAll(upstream);
+      void this.propagateLimit(upstream);
     }
   }
 
-  /** The core tells all edges what one of them has heard. */
-  private async tellAll({id, limits}: EdgeUpstream): Promise<void> {
+  /** Propagates a limit to all edges through the core. */
+  private async propagateLimit({id, limits}: EdgeUpstream): Promise<void> {
     const {limit} = limits;
-    if (this.fields.hasCore === false) {
+    if (this.options.hasCore === false) {
       return;
     }
-    await this.clock.sleep(NEWS_MS);
+    await this.clock.sleep(PROPAGATION_MS);
     for (const {upstreams} of this.edges) {
       upstreams.find((each) => each.id === id)?.limits.learn(limit);
     }
   }
 
-  private edgeOf(box: string, life: number): SimulatedEdge {
+  private createEdge(box: string, incarnation: number): SimulatedEdge {
     const log = new SilentDecisionLog();
-    const upstreams = Array.from({length: this.fields.upstreams}, (_, at) => {
+    const upstreams = Array.from({length: this.options.upstreams}, (_, at) => {
       return new EdgeUpstream(upstreamOf(`i-${at}`), this.clock, log);
     });
-    const admission = this.fields.admissionOf({
+    const admission = this.options.createAdmission({
       box,
       clock: this.clock,
       network: this.network,
@@ -238,8 +242,8 @@
       tolerance: {extra: 5, overage: 1.5},
       upstreamOf: (id) => upstreams.find((each) => each.id === id),
     });
-    const toldAt = new Map<string, number>();
-    return {admission, box, isUp: true, life, toldAt, upstreams};
+    const limitKnownAt = new Map<string, number>();
+    return {admission, box, isUp: true, incarnation, limitKnownAt, upstreams};
   }
 
   private peersOf(self: string): readonly BoxRecord[] {
@@ -247,7 +251,7 @@
     if (known !== undefined) {
       return known;
     }
-    const peers = this.records.filter(({box}) => box !== self);
+    const peers = this.boxRecords.filter(({box}) => box !== self);
     this.peerLists.set(self, peers);
     return peers;
   }
--- a/packages/puffinturn-edge/src/__tests__/utils/PacedAdmission.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/PacedAdmission.ts
@@ -5,11 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * The way that permits are compared with: a few edges, the same ones wherever the same
- * boxes are known, send to an upstream of a bounded rate, each at its own pace, and ask
- * nobody.
- */
+/** Admission by pacing without coordination, compared with permits in tests. */
 import {LRUCache} from 'lru-cache';
 import type {BoxRecord, ColdStart} from 'puffinturn-fleet';
 import type {ColdTolerance} from 'puffinturn-permits';
@@ -23,104 +19,115 @@
   UpstreamAdmission,
 } from '../../upstreams/UpstreamAdmission';
 
-/** How the edges share what one upstream bears. */
-export interface PacedShares {
-  /** Edges that may send to it at all. */
+/** How edges share the rate limit of one upstream. */
+export interface Pacing {
+  /** Number of edges that may send to the upstream. */
   readonly senders: number;
-  /** Least time between two requests of one of them, ms. */
-  readonly gapMs: number;
+  /** Minimum time between two requests of one sender, ms. */
+  readonly intervalMs: number;
 }
 
-/** What a PacedAdmission is made of. */
-export interface PacedAdmissionParts {
+/** Options of a PacedAdmission. */
+export interface PacedAdmissionOptions {
   readonly clock: Clock;
-  /** The own box, and the other edges; a new array where the list has changed. */
+  /** Name of the local box. */
   readonly box: string;
+  /** The other edges; returns a new array if the list has changed. */
   readonly peers: () => readonly BoxRecord[];
   readonly tolerance: ColdTolerance;
 }
 
 const SECOND_MS = 1_000;
 
-/** Part of the most that may arrive in a second which is handed out. */
-const SHARED_PART = 0.85;
+/** Share of the maximum rate that is assigned to senders, from 0 to 1. */
+const TARGET_UTILIZATION = 0.85;
 
-/** Gaps are longer by this factor, so that no second holds one request more. */
-const GAP_MARGIN = 1.03;
+/** Factor on the interval, so that rounding doesn't fit an extra request into a second. */
+const INTERVAL_MARGIN = 1.03;
 
-/** Upstreams that something is remembered of; far more than are ever bounded. */
-const MAX_REMEMBERED = 1_000;
+/** Maximum number of upstreams whose last request is tracked. */
+const MAX_TRACKED_UPSTREAMS = 1_000;
 
 /**
- * Shares that hold the sum within its bounds: no sender has more than its part in
- * any span of a second, and all together send no faster than the upstream bears.
+ * Computes senders and intervals such that no sender exceeds its share in any second and
+ * all senders together stay within the rate limit.
  */
-export function pacedShares(
+export function computePacing(
   {requestsPerSecond}: Pick<ColdStart, 'requestsPerSecond'>,
   {extra, overage}: ColdTolerance,
   edges: number,
-): PacedShares {
-  const most = requestsPerSecond * overage + extra;
-  const shared = Math.max(1, Math.floor(most * SHARED_PART));
-  const senders = Math.min(Math.max(1, edges), shared);
-  const perSender = Math.floor(shared / senders);
-  const peakGapMs = SECOND_MS / perSender;
-  const meanGapMs = (SECOND_MS * senders) / requestsPerSecond;
-  return {gapMs: Math.max(peakGapMs, meanGapMs) * GAP_MARGIN, senders};
+): Pacing {
+  const maxPerSecond = requestsPerSecond * overage + extra;
+  const sharedPerSecond = Math.max(
+    1,
+    Math.floor(maxPerSecond * TARGET_UTILIZATION),
+  );
+  const senders = Math.min(Math.max(1, edges), sharedPerSecond);
+  const perSenderRate = Math.floor(sharedPerSecond / senders);
+  const minIntervalMs = SECOND_MS / perSenderRate;
+  const meanIntervalMs = (SECOND_MS * senders) / requestsPerSecond;
+  return {
+    intervalMs: Math.max(minIntervalMs, meanIntervalMs) * INTERVAL_MARGIN,
+    senders,
+  };
 }
 
-/** See the module comment. */
+/**
+ * Lets a few edges, chosen by rendezvous hashing, send to a rate-limited upstream. Each
+ * sender paces its requests independently.
+ */
 export class PacedAdmission extends UpstreamAdmission {
   private readonly lastSentAt = new LRUCache<string, number>({
-    max: MAX_REMEMBERED,
+    max: MAX_TRACKED_UPSTREAMS,
   });
   private readonly startedAt: number;
-  private edges: readonly BoxRecord[] | undefined;
+  private knownPeers: readonly BoxRecord[] | undefined;
   private readonly ownHash: number;
   private peerHashes: readonly number[] = [];
 
-  constructor(private readonly parts: PacedAdmissionParts) {
+  constructor(private readonly options: PacedAdmissionOptions) {
     super();
-    this.startedAt = parts.clock.now();
-    this.ownHash = hashOf(parts.box);
+    this.startedAt = options.clock.now();
+    this.ownHash = hashOf(options.box);
   }
 
-  override waitMs(upstream: EdgeUpstream, facts: AdmissionContext): number {
-    const requestsPerSecond = maxRequestRate(upstream, facts);
+  override waitMs(upstream: EdgeUpstream, context: AdmissionContext): number {
+    const requestsPerSecond = maxRequestRate(upstream, context);
     if (requestsPerSecond === Infinity) {
       return 0;
     }
-    this.refresh();
-    const {clock, tolerance} = this.parts;
+    this.refreshPeers();
+    const {clock, tolerance} = this.options;
     const edges = this.peerHashes.length + 1;
-    const shares = pacedShares({requestsPerSecond}, tolerance, edges);
-    if (this.rankFor(upstream) >= shares.senders) {
+    const pacing = computePacing({requestsPerSecond}, tolerance, edges);
+    if (this.senderRank(upstream) >= pacing.senders) {
       return Infinity;
     }
-    // A former life of this edge may have sent one just before this one began.
-    const last = this.lastSentAt.get(upstream.id) ?? this.startedAt;
-    return Math.max(0, last + shares.gapMs - clock.now());
+    // A previous incarnation of this edge may have sent a request just before the restart.
+    const lastAt = this.lastSentAt.get(upstream.id) ?? this.startedAt;
+    return Math.max(0, lastAt + pacing.intervalMs - clock.now());
   }
 
   override admit({id}: EdgeUpstream): boolean {
-    this.lastSentAt.set(id, this.parts.clock.now());
+    this.lastSentAt.set(id, this.options.clock.now());
     return true;
   }
 
   override shareLimit(): void {}
 
-  /** How many edges come before this one for an upstream. */
-  private rankFor({hash}: EdgeUpstream): number {
-    const own = rendezvousWeight(this.ownHash, hash);
-    return this.peerHashes.filter((peer) => rendezvousWeight(peer, hash) > own)
-      .length;
+  /** Number of edges ranked before this one as senders to an upstream. */
+  private senderRank({hash}: EdgeUpstream): number {
+    const ownWeight = rendezvousWeight(this.ownHash, hash);
+    return this.peerHashes.filter(
+      (peer) => rendezvousWeight(peer, hash) > ownWeight,
+    ).length;
   }
 
-  private refresh(): void {
-    const edges = this.parts.peers();
-    if (edges !== this.edges) {
-      this.edges = edges;
-      this.peerHashes = edges.map(({box}) => hashOf(box));
+  private refreshPeers(): void {
+    const peers = this.options.peers();
+    if (peers !== this.knownPeers) {
+      this.knownPeers = peers;
+      this.peerHashes = peers.map(({box}) => hashOf(box));
     }
   }
 }
--- a/packages/puffinturn-edge/src/__tests__/utils/PlainUpstream.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/PlainUpstream.ts
@@ -5,28 +5,28 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** An upstream of a plain service in virtual time: some slots and a queue behind them. */
+/** Simulates an upstream of a plain service in virtual time. */
 import type {ManualClock} from 'shared';
 
-/** Requests that it works on at a time. */
+/** Maximum requests processed concurrently. */
 export const SLOTS = 6;
 
-/** Requests that wait there at the most. */
-const QUEUE = 24;
+/** Maximum requests in the queue. */
+const MAX_QUEUED = 24;
 
-/** See the module comment. */
+/** Simulated upstream with a fixed number of slots and a bounded queue. */
 export class PlainUpstream {
   isDark = false;
-  /** By how much its work takes longer than it should. */
+  /** Factor by which processing times are multiplied. */
   slowTimes = 1;
   private busy = 0;
   private readonly waiting: (() => void)[] = [];
 
   constructor(private readonly clock: ManualClock) {}
 
-  /** Serves one request; false where there is no room. */
+  /** Serves one request; returns false if the queue is full. */
   async serve(workMs: number): Promise<boolean> {
-    if (this.busy === SLOTS && this.waiting.length >= QUEUE) {
+    if (this.busy === SLOTS && this.waiting.length >= MAX_QUEUED) {
       return false;
     }
     if (this.busy === SLOTS) {
--- a/packages/puffinturn-edge/src/upstreams/UpstreamChoice.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamChoice.ts
@@ -32,7 +32,7 @@
   /** Whether an upstream is in another region. */
   readonly isRemote: (upstream: EdgeUpstream) => boolean;
   /** Latency that the link adds to the request, ms. */
-  readonly addedLatencyMs: number;
+  readonly transferMs: number;
 }
 
 /** The upstream chosen for a request, and the source of a cached prefix. */
@@ -156,9 +156,7 @@
   const loadFactor = 1 + inFlight / slotCount(upstream);
   if (regionLink?.isRemote(upstream) === true) {
     const responseMs = Math.max(UNMEASURED_ANSWER_MS, answerTime.ms);
-    return (
-      (BASE_RESPONSE_MS + responseMs) * loadFactor + regionLink.addedLatencyMs
-    );
+    return (BASE_RESPONSE_MS + responseMs) * loadFactor + regionLink.transferMs;
   }
   const hallPenaltyMs =
     record.hall === hall ? 0 : CROSS_HALL_RESPONSE_PENALTY_MS;
@@ -240,7 +238,7 @@
     const isRemoteFaster =
       remote !== undefined &&
       (local === undefined ||
-        remote.latencyMs + regionLink.addedLatencyMs < local.latencyMs);
+        remote.latencyMs + regionLink.transferMs < local.latencyMs);
     return isRemoteFaster ? remote.placement : local?.placement;
   }
 
--- a/packages/puffinturn-edge/src/upstreams/UpstreamSelection.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamSelection.ts
@@ -74,21 +74,17 @@
 
 /** Selects the next upstream for a request; returns undefined if none is left. */
 export function selectUpstream(
-  dependencies: SelectionParts,
+  deps: SelectionParts,
   plan: Plan,
   tried: ReadonlySet<EdgeUpstream>,
   request: RequestSize,
 ): Placement | undefined {
-  const all = dependencies.pool.serving(plan.service.name);
+  const all = deps.pool.serving(plan.service.name);
   // Filter by region first, so that canaries are chosen from permitted upstreams only.
-  const allowed = allowedUpstreams(dependencies, plan, all);
+  const allowed = allowedUpstreams(deps, plan, all);
   const isFirst = tried.size === 0;
-  for (const group of dependencies.exposures.groupsFor(
-    plan,
-    allowed,
-    isFirst,
-  )) {
-    const placement = selectFrom(dependencies, plan, tried, request, group);
+  for (const group of deps.exposures.groupsFor(plan, allowed, isFirst)) {
+    const placement = selectFrom(deps, plan, tried, request, group);
     if (placement !== undefined) {
       return placement;
     }
@@ -97,37 +93,34 @@
 }
 
 function selectFrom(
-  dependencies: SelectionParts,
+  deps: SelectionParts,
   plan: Plan,
   tried: ReadonlySet<EdgeUpstream>,
   request: RequestSize,
   allowed: readonly EdgeUpstream[],
 ): Placement | undefined {
-  const {engineChoice, hall, plainChoice} = dependencies;
+  const {engineChoice, hall, plainChoice} = deps;
   const {parts: prompt, service} = plan;
-  const reachable = reachableUpstreams(dependencies, allowed, request);
+  const reachable = reachableUpstreams(deps, allowed, request);
   const admission = admissionFacts(plan, request);
   const untried = reachable
     .filter((upstream) => !tried.has(upstream))
     .filter(
-      (upstream) =>
-        upstreamWaitMs(dependencies, admission, request, upstream) === 0,
+      (upstream) => upstreamWaitMs(deps, admission, request, upstream) === 0,
     );
   const unpaused = untried.filter(({paused}) => !paused);
   const errorThreshold = degradedErrorThreshold(allowed);
   const trusted = unpaused.filter(
-    (upstream) => !shouldSkipFailing(dependencies, upstream),
+    (upstream) => !shouldSkipFailing(deps, upstream),
   );
   const healthy = trusted.filter(
-    (upstream) => !shouldAvoidDegraded(dependencies, upstream, errorThreshold),
+    (upstream) => !shouldAvoidDegraded(deps, upstream, errorThreshold),
   );
   // If upstreams are out of reach because the link is full, reject the request at once
   // instead of delaying it at paused upstreams.
   const isLinkFull = reachable.length < allowed.length;
   const fallbacks =
-    isLinkFull || hasTriedFailing(dependencies, tried)
-      ? []
-      : [unpaused, untried];
+    isLinkFull || hasTriedFailing(deps, tried) ? [] : [unpaused, untried];
   const candidates = [healthy, trusted, ...fallbacks].find(
     ({length}) => length > 0,
   );
@@ -139,30 +132,30 @@
     hall,
     parts: prompt,
     service,
-    regionLink: regionLinkFor(dependencies, plan, request),
+    regionLink: regionLinkFor(deps, plan, request),
   });
 }
 
 /** Explains why `selectUpstream` returned undefined. */
 export function lackOf(
-  dependencies: SelectionParts,
+  deps: SelectionParts,
   plan: Plan,
   request: RequestSize,
 ): Lack {
-  const serving = dependencies.pool.serving(plan.service.name);
-  const allowed = allowedUpstreams(dependencies, plan, serving);
+  const serving = deps.pool.serving(plan.service.name);
+  const allowed = allowedUpstreams(deps, plan, serving);
   const retryAfterS =
     allowed.length === 0 ? RETRY_AFTER_MISSING_S : RETRY_AFTER_BUSY_S;
   if (allowed.length < serving.length) {
     return {cause: 'no-upstream-in-region', retryAfterS};
   }
-  const reachable = reachableUpstreams(dependencies, allowed, request);
+  const reachable = reachableUpstreams(deps, allowed, request);
   if (reachable.length < allowed.length) {
     return {cause: 'region-link-full', retryAfterS};
   }
   const admission = admissionFacts(plan, request);
   const waits = allowed.map((upstream) =>
-    upstreamWaitMs(dependencies, admission, request, upstream),
+    upstreamWaitMs(deps, admission, request, upstream),
   );
   const waitMs = Math.min(...waits);
   if (allowed.length === 0 || waitMs === 0) {
@@ -177,7 +170,7 @@
   const {name} = plan.service;
   return {
     cause: 'upstreams-limited',
-    retryAfterS: dependencies.returnTimes.nextRetryAfterS(name, waitMs, rate),
+    retryAfterS: deps.returnTimes.nextRetryAfterS(name, waitMs, rate),
   };
 }
 
@@ -227,7 +220,7 @@
 ): RegionLink | undefined {
   return regions.several
     ? {
-        addedLatencyMs: crossing.transferMs(plan, bodyBytes),
+        transferMs: crossing.transferMs(plan, bodyBytes),
         isRemote: ({record: {hall}}) => crossing.isAway(hall),
       }
     : undefined;
