--- a/packages/puffinturn-edge/src/upstreams/LimitReports.ts
+++ b/packages/puffinturn-edge/src/upstreams/LimitReports.ts
@@ -26,7 +26,7 @@
 /** Maximum time between two checks for pending reports, ms. */
 const MAX_IDLE_MS = 60_000;
 
-/** Options of LimitReports. */
+/** Options of the limit reporter. */
 export interface LimitReporterOptions {
   readonly admission: UpstreamAdmission;
   readonly box: string;
--- a/packages/puffinturn-edge/src/upstreams/UpstreamAdmission.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamAdmission.ts
@@ -26,7 +26,7 @@
  * rate limit. Both limits apply to all edges together.
  */
 export abstract class UpstreamAdmission {
-  /** Time until a request may be admitted, ms; 0 if `admit` may be called now. */
+  /** Time until a request may be admitted, ms; 0 if it may be tried now. */
   abstract waitMs(upstream: EdgeUpstream, context: AdmissionContext): number;
 
   /** Admits one request or denies it; an admitted request uses up capacity. */
--- a/packages/puffinturn-edge/src/upstreams/UpstreamPool.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamPool.ts
@@ -53,7 +53,7 @@
   private readonly byAddress = new Map<string, EdgeUpstream[]>();
   /** Removed upstreams that may still have requests in flight. */
   private readonly retired = new Set<EdgeUpstream>();
-  /** Cached results of `serving`, cleared when any upstream changes. */
+  /** Serving upstreams by service, cached until any upstream changes. */
   private readonly servingCache = new Map<string, readonly EdgeUpstream[]>();
   private activeEvacuations = NO_EVACUATIONS;
 
@@ -327,7 +327,7 @@
   return a.address === b.address && a.service === b.service;
 }
 
-/** Whether a changed record may change the result of `serving`. */
+/** Whether a changed record may change the list of serving upstreams. */
 function affectsServingList(a: UpstreamRecord, b: UpstreamRecord): boolean {
   return a.hall !== b.hall || a.state !== b.state;
 }
--- a/packages/puffinturn-edge/src/upstreams/UpstreamSelection.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamSelection.ts
@@ -26,7 +26,7 @@
 import type {UpstreamPool} from './UpstreamPool';
 import {degradedErrorThreshold} from './UpstreamPool';
 
-/** Dependencies of `selectUpstream` and `lackOf`. */
+/** Dependencies of the upstream selection. */
 export interface SelectionParts {
   readonly hall: string;
   readonly random: Random;
@@ -136,7 +136,7 @@
   });
 }
 
-/** Explains why `selectUpstream` returned undefined. */
+/** Explains why no upstream was selected for a request. */
 export function lackOf(
   deps: SelectionParts,
   plan: Plan,
@@ -257,7 +257,10 @@
   return regions.several && doubtful && !homeProbes.isAllowed;
 }
 
-/** Skips a degraded upstream for all but a few requests, which detect its recovery. */
+/**
+ * Whether to skip a degraded upstream; a few requests still go there to detect its
+ * recovery.
+ */
 function shouldAvoidDegraded(
   {random}: SelectionParts,
   {errorRate}: EdgeUpstream,
