--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamPool.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamPool.test.ts
@@ -54,13 +54,13 @@
       upstreamOf('i-1', {address: '10.0.0.1:1', hall: 'a'}),
       upstreamOf('i-2', {address: '10.0.0.1:2', hall: 'b'}),
     );
-    const isCold = () => pool.serving('s').map(({cold}) => cold);
+    const coldFlags = () => pool.serving('s').map(({cold}) => cold);
     evacuate(1, 'a');
-    expect(isCold()).toEqual([false]);
+    expect(coldFlags()).toEqual([false]);
     evacuate(2);
-    expect(isCold()).toEqual([true, false]);
+    expect(coldFlags()).toEqual([true, false]);
     await clock.advance(3_001);
-    expect(isCold()).toEqual([false, false]);
+    expect(coldFlags()).toEqual([false, false]);
   });
 });
 
