--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamCrashes.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamCrashes.test.ts
@@ -46,16 +46,16 @@
     await settleTasks();
     return {crashes, probes};
   }
-  return {examine: runProbe, pool, upstream, watch};
+  return {runProbe, pool, upstream, watch};
 }
 
 describe('Crash detection', () => {
   test('reports one crash with all requests that were in flight', async () => {
-    const {examine, upstream, watch} = createWatch(LISTENER.refused);
+    const {runProbe, upstream, watch} = createWatch(LISTENER.refused);
     watch.broke(upstream, 'f1');
     watch.broke(upstream, 'f2');
     watch.broke(upstream, 'f1');
-    const {crashes, probes} = await examine();
+    const {crashes, probes} = await runProbe();
     expect(probes).toBe(1);
     expect(crashes).toEqual([{fingerprints: ['f1', 'f2'], life: 'i-1 1000'}]);
   });
@@ -63,27 +63,27 @@
   test.each([LISTENER.listens, LISTENER.unknown])(
     'reports no crash if the probe returns %s',
     async (state) => {
-      const {examine, upstream, watch} = createWatch(state);
+      const {runProbe, upstream, watch} = createWatch(state);
       watch.broke(upstream, 'f1');
-      expect((await examine()).crashes).toEqual([]);
+      expect((await runProbe()).crashes).toEqual([]);
     },
   );
 
   test.each([UPSTREAM_STATE.draining, UPSTREAM_STATE.gone])(
     'reports no crash of an upstream that is %s',
     async (state) => {
-      const {examine, pool, upstream, watch} = createWatch(LISTENER.refused);
+      const {runProbe, pool, upstream, watch} = createWatch(LISTENER.refused);
       pool.merge([{...RECORD, sequence: 2, state}], 'c1');
       watch.broke(upstream, 'f1');
-      expect((await examine()).crashes).toEqual([]);
+      expect((await runProbe()).crashes).toEqual([]);
     },
   );
 
   test('reports a crash if the next incarnation is announced before the probe', async () => {
-    const {examine, pool, upstream, watch} = createWatch(LISTENER.listens);
+    const {runProbe, pool, upstream, watch} = createWatch(LISTENER.listens);
     watch.broke(upstream, 'f1');
     pool.merge([{...RECORD, bornAt: 2_000, sequence: 1}], 'c1');
-    expect((await examine()).crashes).toEqual([
+    expect((await runProbe()).crashes).toEqual([
       {fingerprints: ['f1'], life: 'i-1 1000'},
     ]);
   });
