--- a/packages/puffinturn-permits/src/Granters.ts
+++ b/packages/puffinturn-permits/src/Granters.ts
@@ -6,14 +6,14 @@
  */
 
 /**
- * Which boxes grant the permits of an upstream: the first two by rendezvous among those
- * of its region, the same ones wherever the same boxes are known.
+ * Selects the boxes that grant the permits of an upstream by rendezvous hashing among the
+ * boxes of its region. Boxes that know the same list of boxes select the same granters.
  */
 import {LRUCache} from 'lru-cache';
 import {hashOf, rendezvousWeight} from 'shared';
 
-import {MAX_REMEMBERED} from './PermitConstants';
-import type {BoundedUpstream} from './PermitMessages';
+import {MAX_TRACKED_UPSTREAMS} from './PermitConstants';
+import type {RateLimitedUpstream} from './PermitMessages';
 
 /** A box that may grant permits. */
 export interface GrantingBox {
@@ -21,12 +21,12 @@
   readonly hall: string;
 }
 
-/** What Granters rest on. */
-export interface GrantersParts {
+/** Dependencies of a GranterSelector. */
+export interface GranterSelectorParts {
   readonly self: GrantingBox;
-  /** The other boxes; a new array where the list has changed. */
+  /** Returns the other boxes; a new array after each change of the list. */
   readonly peers: () => readonly GrantingBox[];
-  /** Whether two halls are in one region. */
+  /** Whether two halls are in the same region. */
   readonly areTogether: (hall: string, other: string) => boolean;
 }
 
@@ -34,34 +34,41 @@
   readonly hash: number;
 }
 
-/** How many boxes grant permits of one upstream. */
-const GRANTERS = 2;
+/** Number of granters per upstream: a primary and a secondary. */
+const GRANTERS_PER_UPSTREAM = 2;
 
-/** See the module comment. */
-export class Granters {
-  private readonly known = new LRUCache<string, readonly string[]>({
-    max: MAX_REMEMBERED,
+/** Selects and caches the granters of upstreams. */
+export class GranterSelector {
+  private readonly cache = new LRUCache<string, readonly string[]>({
+    max: MAX_TRACKED_UPSTREAMS,
   });
   private peers: readonly GrantingBox[] | undefined;
   private boxes: readonly RankedBox[] = [];
 
-  constructor(private readonly parts: GrantersParts) {}
+  constructor(private readonly parts: GranterSelectorParts) {}
 
-  /** The boxes that grant permits of an upstream, the first one first. */
-  of({hall, id}: BoundedUpstream): readonly string[] {
+  /**
+   * Returns the granters of an upstream, the primary first. If its region has no boxes,
+   * the boxes of all regions are candidates.
+   */
+  select({hall, id}: RateLimitedUpstream): readonly string[] {
     this.refresh();
     const key = `${id} ${hall}`;
-    const known = this.known.get(key);
-    if (known !== undefined) {
-      return known;
+    const cachedBoxes = this.cache.get(key);
+    if (cachedBoxes !== undefined) {
+      return cachedBoxes;
     }
     const {areTogether} = this.parts;
-    const near = this.boxes.filter((box) => areTogether(box.hall, hall));
-    const found = firstFor(id, near.length > 0 ? near : this.boxes);
-    this.known.set(key, found);
-    return found;
+    const sameRegion = this.boxes.filter((box) => areTogether(box.hall, hall));
+    const selected = selectByWeight(
+      id,
+      sameRegion.length > 0 ? sameRegion : this.boxes,
+    );
+    this.cache.set(key, selected);
+    return selected;
   }
 
+  /** Updates the candidates if the list of boxes has changed. */
   private refresh(): void {
     const peers = this.parts.peers();
     if (peers !== this.peers) {
@@ -69,16 +76,19 @@
       this.boxes = [this.parts.self, ...peers].map(({box, hall}) => {
         return {box, hall, hash: hashOf(box)};
       });
-      this.known.clear();
+      this.cache.clear();
     }
   }
 }
 
-function firstFor(id: string, boxes: readonly RankedBox[]): readonly string[] {
+function selectByWeight(
+  id: string,
+  boxes: readonly RankedBox[],
+): readonly string[] {
   const key = hashOf(id);
   const weightOf = ({hash}: RankedBox): number => rendezvousWeight(hash, key);
   return [...boxes]
     .sort((a, b) => weightOf(b) - weightOf(a))
-    .slice(0, GRANTERS)
+    .slice(0, GRANTERS_PER_UPSTREAM)
     .map(({box}) => box);
 }
--- a/packages/puffinturn-permits/src/LimitStatements.ts
+++ b/packages/puffinturn-permits/src/LimitStatements.ts
@@ -5,87 +5,89 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** What one life of an upstream says of its limit, as one box knows it. */
+/** Tracks, on one box, the limit that one incarnation of an upstream declares. */
 import type {Clock} from 'shared';
 import {decimalOf} from 'shared';
 
 import type {UpstreamLimit} from './UpstreamLimit';
 import {isLaterLimit, NO_LIMIT, rateOf} from './UpstreamLimit';
 
-/** The least status that says that a request did not go well, whoever is at fault. */
-const LEAST_FAILED_STATUS = 400;
+/** Lowest HTTP status code of an error response. */
+const MIN_ERROR_STATUS = 400;
 
-/** What the head of an answer holds of a limit. */
-export interface LimitAnswer {
+/** Rate limit information of one HTTP response. */
+export interface LimitResponse {
   readonly status: number;
-  /** The value of the header that names a limit; undefined where it has none. */
+  /** Value of the rate limit header; undefined if the response has none. */
   readonly named: string | undefined;
-  /** When its request was sent, by the box's steady clock, ms. */
+  /** When the request was sent, monotonic ms. */
   readonly sentAt: number;
 }
 
-/** See the module comment. */
+/** The current limit of an upstream, updated from its responses and by other boxes. */
 export class LimitStatements {
-  private held = NO_LIMIT;
-  /** When the limit that holds was heard of last, by the box's steady clock, ms. */
-  private heardAt = -Infinity;
+  private current = NO_LIMIT;
+  /** When the current limit was last received, monotonic ms. */
+  private confirmedAt = -Infinity;
 
   constructor(private readonly clock: Clock) {}
 
-  /** The limit that holds. */
+  /** The current limit. */
   get limit(): UpstreamLimit {
-    return this.held;
+    return this.current;
   }
 
   /**
-   * Takes the head of an answer in; true where that changes the limit. Only an answer
-   * that went well shows by naming no limit that there is none, and a figure that can't
-   * be read says nothing.
+   * Records the limit in a response. Returns whether the limit changed. A missing header
+   * removes the limit only if the response is not an error. An invalid header is ignored.
    */
-  hearAnswer({named, sentAt, status}: LimitAnswer): boolean {
+  hearAnswer({named, sentAt, status}: LimitResponse): boolean {
     const perSecond = decimalOf(named);
-    const isUnsaid =
+    const isInconclusive =
       named === undefined
-        ? status >= LEAST_FAILED_STATUS
+        ? status >= MIN_ERROR_STATUS
         : perSecond === undefined;
-    return !isUnsaid && this.hear(perSecond, sentAt);
+    return !isInconclusive && this.hear(perSecond, sentAt);
   }
 
   /**
-   * Takes what an answer says: a figure, or none; true where that changes the limit. A
-   * lower limit counts at once. A higher one, or none, counts only where the request was
-   * sent after the limit that holds was heard of last: else the answer may be the older
-   * word, come late.
+   * Records the limit of a response, or undefined for no limit. Returns whether the limit
+   * changed. A lower limit applies immediately. A higher one, or none, applies only if
+   * the request was sent after the current limit was last received: otherwise a delayed
+   * response could restore an outdated limit.
    */
   hear(perSecond: number | undefined, sentAt: number): boolean {
-    const former = rateOf(this.held);
-    const found = perSecond ?? Infinity;
-    if (found > former && sentAt <= this.heardAt) {
+    const currentRate = rateOf(this.current);
+    const newRate = perSecond ?? Infinity;
+    if (newRate > currentRate && sentAt <= this.confirmedAt) {
       return false;
     }
-    if (found < Infinity) {
-      this.heardAt = this.clock.now();
+    if (newRate < Infinity) {
+      this.confirmedAt = this.clock.now();
     }
-    if (found === former) {
+    if (newRate === currentRate) {
       return false;
     }
-    this.held = {perSecond, revision: this.held.revision + 1};
+    this.current = {perSecond, revision: this.current.revision + 1};
     return true;
   }
 
-  /** Takes what another box knows; true where that changes what is known here. */
-  learn(found: UpstreamLimit): boolean {
-    if (!isLaterLimit(found, this.held)) {
+  /** Merges the limit known to another box. Returns whether the limit changed. */
+  learn(received: UpstreamLimit): boolean {
+    if (!isLaterLimit(received, this.current)) {
       return false;
     }
-    this.held = found;
-    this.heardAt = this.clock.now();
+    this.current = received;
+    this.confirmedAt = this.clock.now();
     return true;
   }
 
-  /** Takes a limit of a former life over, which any word of this one replaces. */
+  /**
+   * Copies the limit of the previous incarnation. Its revision is reset, so that any limit
+   * of the new incarnation replaces it.
+   */
   goOnWith({limit}: LimitStatements): void {
-    this.held = {...limit, revision: 0};
-    this.heardAt = this.clock.now();
+    this.current = {...limit, revision: 0};
+    this.confirmedAt = this.clock.now();
   }
 }
--- a/packages/puffinturn-permits/src/PermitBucket.ts
+++ b/packages/puffinturn-permits/src/PermitBucket.ts
@@ -5,79 +5,87 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Permits of one upstream that one granter has left: a token bucket. */
+/** Token bucket of the permits that a granter has available for one upstream. */
 import type {Clock} from 'shared';
 
-import {
-  KEPT_FOR_URGENT,
-  LEAST_WAIT_MS,
-  LONGEST_WAIT_MS,
-} from './PermitConstants';
+import {MAX_WAIT_MS, MIN_WAIT_MS, RESERVED_FOR_URGENT} from './PermitConstants';
 
 const SECOND_MS = 1_000;
 
-/** How fast permits come, and how many may be kept. */
+/** Refill rate and capacity of a bucket. */
 export interface PermitRate {
+  /** Permits added per second. */
   readonly perSecond: number;
-  /** The most that are kept; at least one. */
-  readonly burst: number;
+  /** Capacity of the bucket; at least 1. */
+  readonly maxPermits: number;
 }
 
-/** See the module comment. */
+/** A token bucket that reserves permits for urgent requests. */
 export class PermitBucket {
-  private settledAt: number;
-  /** Until when refused boxes have been told to wait, one permit apart. */
-  private toldUntil = -Infinity;
+  private refilledAt: number;
+  /** Latest retry time assigned to a refused request, monotonic ms. */
+  private lastRetryAt = -Infinity;
 
   constructor(
     private readonly clock: Clock,
     private rate: PermitRate,
-    /** Permits left, as of `settledAt`. */
+    /** Permits available at `refilledAt`. */
     private permits: number,
   ) {
-    this.settledAt = clock.now();
+    this.refilledAt = clock.now();
   }
 
-  /** Takes another rate over; what was gathered at the former one stays. */
-  adopt(rate: PermitRate): void {
-    this.settle();
+  /** Changes the rate and keeps the permits added so far. */
+  setRate(rate: PermitRate): void {
+    this.refill();
     this.rate = rate;
   }
 
-  /** Takes up to so many permits; those that aren't urgent leave some. */
-  take(wanted: number, isLeastUrgent: boolean): number {
-    this.settle();
-    const free = Math.floor(this.permits - this.leftBy(isLeastUrgent));
-    const taken = Math.min(wanted, Math.max(0, free));
-    this.permits -= taken;
-    return taken;
+  /**
+   * Removes up to the wanted number of permits and returns how many. The least urgent
+   * requests leave the reserved permits.
+   */
+  acquire(wanted: number, isLeastUrgent: boolean): number {
+    this.refill();
+    const available = Math.floor(
+      this.permits - this.reservedPermits(isLeastUrgent),
+    );
+    const acquired = Math.min(wanted, Math.max(0, available));
+    this.permits -= acquired;
+    return acquired;
   }
 
   /**
-   * How long one who was refused should wait, ms. Each is told another time, at the rate
-   * at which permits come: so many come back as can be served.
+   * Returns how long a refused requester should wait, ms. Successive calls spread the
+   * retries at the refill rate, so that refused requesters don't all retry together.
    */
-  nextWaitMs(isLeastUrgent: boolean): number {
+  assignWaitMs(isLeastUrgent: boolean): number {
     const now = this.clock.now();
     const {perSecond} = this.rate;
-    const needed = 1 + this.leftBy(isLeastUrgent);
-    const lacking = Math.max(0, needed - this.permits);
-    const soonest = now + (lacking * SECOND_MS) / perSecond;
-    const afterOthers = this.toldUntil + SECOND_MS / perSecond;
-    const wanted = Math.max(now + LEAST_WAIT_MS, soonest, afterOthers);
-    this.toldUntil = Math.min(now + LONGEST_WAIT_MS, wanted);
-    return this.toldUntil - now;
+    const required = 1 + this.reservedPermits(isLeastUrgent);
+    const missing = Math.max(0, required - this.permits);
+    const availableAt = now + (missing * SECOND_MS) / perSecond;
+    const nextSlotAt = this.lastRetryAt + SECOND_MS / perSecond;
+    const retryAt = Math.max(now + MIN_WAIT_MS, availableAt, nextSlotAt);
+    this.lastRetryAt = Math.min(now + MAX_WAIT_MS, retryAt);
+    return this.lastRetryAt - now;
   }
 
-  /** Permits that a request leaves to others; where one is ever kept, none can be. */
-  private leftBy(isLeastUrgent: boolean): number {
-    return isLeastUrgent ? Math.min(KEPT_FOR_URGENT, this.rate.burst - 1) : 0;
+  /**
+   * Permits that a request must leave in the bucket; none if the capacity is 1, because
+   * the least urgent requests would never get a permit.
+   */
+  private reservedPermits(isLeastUrgent: boolean): number {
+    return isLeastUrgent
+      ? Math.min(RESERVED_FOR_URGENT, this.rate.maxPermits - 1)
+      : 0;
   }
 
-  private settle(): void {
+  /** Adds the permits accrued since the last refill. */
+  private refill(): void {
     const now = this.clock.now();
-    const came = ((now - this.settledAt) / SECOND_MS) * this.rate.perSecond;
-    this.permits = Math.min(this.rate.burst, this.permits + came);
-    this.settledAt = now;
+    const added = ((now - this.refilledAt) / SECOND_MS) * this.rate.perSecond;
+    this.permits = Math.min(this.rate.maxPermits, this.permits + added);
+    this.refilledAt = now;
   }
 }
--- a/packages/puffinturn-permits/src/PermitConstants.ts
+++ b/packages/puffinturn-permits/src/PermitConstants.ts
@@ -5,50 +5,56 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Figures of permits, with unit and reason. */
+/** Constants of permits. */
 
-/** Permits that may be used at once, beyond those that the rate brings. */
-export const BURST = 2;
+/** Burst size that does not depend on the rate, in permits. */
+export const BASE_BURST = 2;
 
-/** The same as a time of the rate, s, so that a high rate is not cut by its clock. */
-export const BURST_S = 0.1;
+/**
+ * Rate-dependent part of the burst size, in seconds of the rate. It keeps timer
+ * granularity from reducing a high rate.
+ */
+export const BURST_SECONDS = 0.1;
 
-/** Part of the rate that the first granter hands out, its clock and the way allowed for. */
-export const FIRST_PART = 0.95;
+/**
+ * Fraction of the rate that the primary granter hands out. The rest is headroom for
+ * clock differences and network delay.
+ */
+export const PRIMARY_RATE_FRACTION = 0.95;
 
 /**
- * Part of the rate that the second granter hands out, for boxes that don't reach the
- * first one. It may do so while the first one serves others, so that both together stay
- * near the rate.
+ * Fraction of the rate that the secondary granter hands out to boxes that can't reach
+ * the primary. Both may be granting at once, so their sum must stay near the rate.
  */
-export const SECOND_PART = 0.25;
+export const SECONDARY_RATE_FRACTION = 0.25;
 
-/** Permits that are left to urgent requests by the others. */
-export const KEPT_FOR_URGENT = 1;
+/** Permits that the least urgent requests leave for urgent ones. */
+export const RESERVED_FOR_URGENT = 1;
 
 /**
- * Least rate at which permits are granted, requests a second: an upstream that names 0,
- * or next to it, is asked every ten seconds whether it still does.
+ * Minimum rate at which permits are granted, requests per second. An upstream with a
+ * limit of 0 still gets a request every ten seconds, which shows whether the limit
+ * has changed.
  */
-export const LEAST_PER_SECOND = 0.1;
+export const MIN_REQUESTS_PER_SECOND = 0.1;
 
-/** Longest time for a granter's answer, ms; a caller waits meanwhile. */
-export const ASK_MS = 200;
+/** Timeout of a permit request, ms; callers wait for it. */
+export const REQUEST_TIMEOUT_MS = 200;
 
-/** A granter that didn't answer is passed over for this time, ms. */
-export const SUSPECT_MS = 1_000;
+/** How long a granter is skipped after a failed request, ms. */
+export const UNRESPONSIVE_GRANTER_MS = 1_000;
 
-/** Wait told where no granter answers, ms. */
-export const UNGRANTED_WAIT_MS = 300;
+/** Wait before the next permit request when no granter is available, ms. */
+export const NO_GRANTER_WAIT_MS = 300;
 
-/** Least wait that a refusal names, ms: the next question takes a way too. */
-export const LEAST_WAIT_MS = 20;
+/** Minimum wait in a refusal, ms. */
+export const MIN_WAIT_MS = 20;
 
-/** Longest wait that a refusal names, ms; permits that nobody uses are lost. */
-export const LONGEST_WAIT_MS = 4_000;
+/** Maximum wait in a refusal, ms; a longer wait would leave permits unused. */
+export const MAX_WAIT_MS = 4_000;
 
-/** Upstreams that something is remembered of; far more than are bounded at a time. */
-export const MAX_REMEMBERED = 2_000;
+/** Maximum number of entries in each per-upstream cache. */
+export const MAX_TRACKED_UPSTREAMS = 2_000;
 
-/** A box's permits of one upstream are logged at most so often, ms. */
-export const LOG_EVERY_MS = 1_000;
+/** Minimum interval between reports of the grant counts of an upstream, ms. */
+export const LOG_INTERVAL_MS = 1_000;
--- a/packages/puffinturn-permits/src/PermitGranter.ts
+++ b/packages/puffinturn-permits/src/PermitGranter.ts
@@ -6,71 +6,72 @@
  */
 
 /**
- * Grants permits for requests to upstreams that take only so many a second from all
- * boxes together: whole requests, to whoever asks, so that no box holds a part that
- * another one lacks. One box grants those of an upstream, and a second one some for
- * boxes that don't reach the first (docs/design/permits.md).
+ * Grants permits for requests to rate-limited upstreams. Permits are granted for single
+ * requests on demand, so that no box holds an unused share of the limit. Each upstream
+ * has a primary granter, and a secondary one with a lower rate for boxes that can't reach
+ * the primary. See docs/design/permits.md.
  */
 import {LRUCache} from 'lru-cache';
 import type {Clock} from 'shared';
 
-import type {Granters} from './Granters';
+import type {GranterSelector} from './Granters';
 import type {PermitRate} from './PermitBucket';
 import {PermitBucket} from './PermitBucket';
 import {
-  BURST,
-  BURST_S,
-  FIRST_PART,
-  LEAST_PER_SECOND,
-  LOG_EVERY_MS,
-  MAX_REMEMBERED,
-  SECOND_PART,
-  UNGRANTED_WAIT_MS,
+  BASE_BURST,
+  BURST_SECONDS,
+  LOG_INTERVAL_MS,
+  MAX_TRACKED_UPSTREAMS,
+  MIN_REQUESTS_PER_SECOND,
+  NO_GRANTER_WAIT_MS,
+  PRIMARY_RATE_FRACTION,
+  SECONDARY_RATE_FRACTION,
 } from './PermitConstants';
 import type {PermitReply, PermitRequest} from './PermitMessages';
 import type {UpstreamLimit} from './UpstreamLimit';
-import {laterLimit, rateOf} from './UpstreamLimit';
+import {newerLimit, rateOf} from './UpstreamLimit';
 
-/** What may arrive beyond the rate that a cold upstream bears, in any second. */
+/** The most requests in any second of a warm-up: `rate * overage + extra`. */
 export interface ColdTolerance {
-  /** Multiple of the rate. */
   readonly overage: number;
-  /** Requests on top of that. */
+  /** Requests. */
   readonly extra: number;
 }
 
-/** What a granter did about one upstream since its last such line. */
-export interface PermitCount {
+/** Permits granted and refused for one upstream since the last report. */
+export interface GrantCounts {
   readonly upstream: string;
-  /** The rate that it grants at, requests a second. */
+  /** The limit in effect, requests per second. */
   readonly perSecond: number;
   readonly granted: number;
   readonly refused: number;
 }
 
-/** What a PermitGranter is made of. */
+/** Dependencies of a PermitGranter. */
 export interface PermitGranterParts {
   readonly box: string;
   readonly clock: Clock;
-  readonly granters: Granters;
+  readonly selector: GranterSelector;
   readonly coldTolerance: ColdTolerance;
-  /** What is known here of an upstream's limit. */
+  /** Returns the limit of an upstream as known to this box. */
   readonly limitOf: (id: string) => UpstreamLimit;
-  /** Told from time to time what was granted. */
-  readonly onCount: (count: PermitCount) => void;
+  /** Called periodically with the permits granted for an upstream. */
+  readonly onCounts: (counts: GrantCounts) => void;
 }
 
-interface Account {
+/** Bucket and unreported counts of one upstream. */
+interface GrantState {
   readonly bucket: PermitBucket;
   granted: number;
   refused: number;
-  countedAt: number;
+  /** When the counts were last reported, monotonic ms. */
+  reportedAt: number;
 }
 
-/** See the module comment. */
+/** Grants permits on one box. */
 export class PermitGranter {
-  private readonly accounts = new LRUCache<string, Account>({
-    max: MAX_REMEMBERED,
+  private readonly states = new LRUCache<string, GrantState>({
+    max: MAX_TRACKED_UPSTREAMS,
   });
   private readonly startedAt: number;
 
@@ -78,99 +79,107 @@
     this.startedAt = parts.clock.now();
   }
 
-  /** Answers a question for permits, of this box or of another one. */
+  /** Handles a permit request from this or another box. */
   grant(request: PermitRequest): PermitReply {
     const {upstream, wanted} = request;
-    const {box, granters, limitOf} = this.parts;
-    const limit = laterLimit(limitOf(upstream.id), request.limit);
-    const rank = granters.of(upstream).indexOf(box);
+    const {box, limitOf, selector} = this.parts;
+    const limit = newerLimit(limitOf(upstream.id), request.limit);
+    const rank = selector.select(upstream).indexOf(box);
     const perSecond = boundOf(limit, request.coldPerSecond);
     if (perSecond === Infinity) {
       return {granted: wanted, limit, waitMs: 0};
     }
     if (rank < 0) {
-      // The asking box knows other boxes; it finds the granters with its next list.
-      return {granted: 0, limit, waitMs: UNGRANTED_WAIT_MS};
+      // The requesting box has a different list of boxes. It selects the right granters
+      // once its list is updated.
+      return {granted: 0, limit, waitMs: NO_GRANTER_WAIT_MS};
     }
-    const rate = this.rateFor(perSecond, rank, request.coldPerSecond);
-    const account = this.accountOf(upstream.id, rate);
-    const granted = account.bucket.take(wanted, request.isLeastUrgent);
-    this.count(upstream.id, account, granted, wanted - granted, perSecond);
+    const rate = this.computeRate(perSecond, rank, request.coldPerSecond);
+    const state = this.getState(upstream.id, rate);
+    const granted = state.bucket.acquire(wanted, request.isLeastUrgent);
+    this.recordGrant(upstream.id, state, granted, wanted - granted, perSecond);
     const waitMs =
-      granted < wanted ? account.bucket.nextWaitMs(request.isLeastUrgent) : 0;
+      granted < wanted ? state.bucket.assignWaitMs(request.isLeastUrgent) : 0;
     return {granted, limit, waitMs};
   }
 
-  private rateFor(
+  /** Returns the rate and burst size of a granter with the given rank. */
+  private computeRate(
     perSecond: number,
     rank: number,
     coldPerSecond: number | undefined,
   ): PermitRate {
-    const part = rank === 0 ? FIRST_PART : SECOND_PART;
-    const most = rank === 0 ? BURST + BURST_S * perSecond : 1;
-    const room =
-      coldPerSecond === undefined ? Infinity : this.coldRoom(coldPerSecond);
+    const fraction =
+      rank === 0 ? PRIMARY_RATE_FRACTION : SECONDARY_RATE_FRACTION;
+    const normalMax = rank === 0 ? BASE_BURST + BURST_SECONDS * perSecond : 1;
+    const coldMax =
+      coldPerSecond === undefined ? Infinity : this.coldBurst(coldPerSecond);
     return {
-      burst: Math.max(1, Math.min(most, room)),
-      perSecond: perSecond * part,
+      maxPermits: Math.max(1, Math.min(normalMax, coldMax)),
+      perSecond: perSecond * fraction,
     };
   }
 
-  /** Requests that a cold upstream bears at once beyond those of a whole second. */
-  private coldRoom(perSecond: number): number {
+  /**
+   * Maximum burst during warm-up: the requests allowed in one second minus those that the
+   * primary rate adds in that second.
+   */
+  private coldBurst(perSecond: number): number {
     const {extra, overage} = this.parts.coldTolerance;
-    return perSecond * (overage - FIRST_PART) + extra;
+    return perSecond * (overage - PRIMARY_RATE_FRACTION) + extra;
   }
 
   /**
-   * A granter that has just started has gathered nothing before, as its former life may
-   * have granted as many as the upstream takes.
+   * Returns the state of an upstream. A new bucket only has the permits accrued since
+   * this process started, because a previous process may have granted up to the limit
+   * just before.
    */
-  private accountOf(id: string, rate: PermitRate): Account {
-    const known = this.accounts.get(id);
-    if (known !== undefined) {
-      known.bucket.adopt(rate);
-      return known;
+  private getState(id: string, rate: PermitRate): GrantState {
+    const existing = this.states.get(id);
+    if (existing !== undefined) {
+      existing.bucket.setRate(rate);
+      return existing;
     }
     const {clock} = this.parts;
     const now = clock.now();
-    const gathered = ((now - this.startedAt) / 1_000) * rate.perSecond;
-    const permits = Math.min(rate.burst, gathered);
-    const account: Account = {
+    const accrued = ((now - this.startedAt) / 1_000) * rate.perSecond;
+    const permits = Math.min(rate.maxPermits, accrued);
+    const state: GrantState = {
       bucket: new PermitBucket(clock, rate, permits),
-      countedAt: now,
       granted: 0,
       refused: 0,
+      reportedAt: now,
     };
-    this.accounts.set(id, account);
-    return account;
+    this.states.set(id, state);
+    return state;
   }
 
-  private count(
+  /** Counts granted and refused permits and reports them periodically. */
+  private recordGrant(
     upstream: string,
-    account: Account,
+    state: GrantState,
     granted: number,
     refused: number,
     perSecond: number,
   ): void {
-    account.granted += granted;
-    account.refused += refused;
+    state.granted += granted;
+    state.refused += refused;
     const now = this.parts.clock.now();
-    if (now - account.countedAt >= LOG_EVERY_MS) {
-      account.countedAt = now;
-      const counts = {granted: account.granted, refused: account.refused};
-      this.parts.onCount({...counts, perSecond, upstream});
-      account.granted = 0;
-      account.refused = 0;
+    if (now - state.reportedAt >= LOG_INTERVAL_MS) {
+      state.reportedAt = now;
+      const counts = {granted: state.granted, refused: state.refused};
+      this.parts.onCounts({...counts, perSecond, upstream});
+      state.granted = 0;
+      state.refused = 0;
     }
   }
 }
 
-/** Requests a second that an upstream takes now; Infinity where nothing bounds them. */
+/** Requests per second currently allowed to an upstream; Infinity if unlimited. */
 export function boundOf(
   limit: UpstreamLimit,
   coldPerSecond: number | undefined,
 ): number {
-  const named = Math.max(LEAST_PER_SECOND, rateOf(limit));
-  return Math.min(named, coldPerSecond ?? Infinity);
+  const limitPerSecond = Math.max(MIN_REQUESTS_PER_SECOND, rateOf(limit));
+  return Math.min(limitPerSecond, coldPerSecond ?? Infinity);
 }
--- a/packages/puffinturn-permits/src/PermitMessages.ts
+++ b/packages/puffinturn-permits/src/PermitMessages.ts
@@ -5,35 +5,36 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Questions for permits between boxes. */
+/** Messages that boxes exchange to request permits. */
 import type {UpstreamLimit} from './UpstreamLimit';
 
-/** Name of the service on the link between boxes. */
+/** Service name of permit requests on the link between boxes. */
 export const PERMIT_SERVICE = 'permits';
 
-/** An upstream whose rate is bounded, as boxes name it to each other. */
-export interface BoundedUpstream {
+/** Identifies a rate-limited upstream in messages between boxes. */
+export interface RateLimitedUpstream {
   readonly id: string;
   readonly hall: string;
 }
 
-/** Asks for permits for requests to one upstream. */
+/** Requests permits for one upstream. */
 export interface PermitRequest {
-  readonly upstream: BoundedUpstream;
-  /** What the upstream said of its limit, as the asking box knows it. */
+  readonly upstream: RateLimitedUpstream;
+  /** The limit of the upstream as known to the requesting box. */
   readonly limit: UpstreamLimit;
-  /** Requests a second that it bears while it is cold; undefined once it is warm. */
+  /** Requests per second allowed during warm-up; undefined after it. */
   readonly coldPerSecond?: number | undefined;
+  /** Number of permits requested; 0 only reports the limit. */
   readonly wanted: number;
-  /** Whether they are for requests of the least urgent kind. */
+  /** Whether the permits are for requests of the lowest urgency. */
   readonly isLeastUrgent: boolean;
 }
 
-/** What was granted, of what was wanted. Permits are to be used at once. */
+/** The reply to a permit request. Permits must be used immediately. */
 export interface PermitReply {
   readonly granted: number;
-  /** When to ask again, ms; 0 where all was granted. */
+  /** How long to wait before the next request, ms; 0 if all permits were granted. */
   readonly waitMs: number;
-  /** What the granter knows of the limit. */
+  /** The limit of the upstream as known to the granter. */
   readonly limit: UpstreamLimit;
 }
--- a/packages/puffinturn-permits/src/Permits.ts
+++ b/packages/puffinturn-permits/src/Permits.ts
@@ -6,188 +6,209 @@
  */
 
 /**
- * Permits of one box for requests to upstreams that take only so many a second: it
- * asks the box that grants them, one question at a time for each upstream, and doesn't
- * ask before the time that a refusal named. Without a permit nothing is sent, whatever
- * else is out of reach.
+ * Obtains permits for requests to rate-limited upstreams from the boxes that grant them.
+ * Each upstream has at most one permit request per urgency in flight. If no granter can be
+ * reached, no permit is given, so that the limit also holds during a network partition.
  */
 import {LRUCache} from 'lru-cache';
 import type {Link} from 'puffinturn-wire';
 import type {Clock} from 'shared';
 
 import type {GrantingBox} from './Granters';
-import {Granters} from './Granters';
+import {GranterSelector} from './Granters';
 import {
-  ASK_MS,
-  MAX_REMEMBERED,
-  SUSPECT_MS,
-  UNGRANTED_WAIT_MS,
+  MAX_TRACKED_UPSTREAMS,
+  NO_GRANTER_WAIT_MS,
+  REQUEST_TIMEOUT_MS,
+  UNRESPONSIVE_GRANTER_MS,
 } from './PermitConstants';
-import type {ColdTolerance, PermitCount} from './PermitGranter';
+import type {ColdTolerance, GrantCounts} from './PermitGranter';
 import {PermitGranter} from './PermitGranter';
 import type {PermitReply, PermitRequest} from './PermitMessages';
 import {PERMIT_SERVICE} from './PermitMessages';
 import type {UpstreamLimit} from './UpstreamLimit';
 
-/** What Permits are made of. */
+/** Dependencies of Permits. */
 export interface PermitsParts {
   readonly self: GrantingBox;
-  /** The other boxes; a new array where the list has changed. */
+  /** Returns the other boxes; a new array after each change of the list. */
   readonly peers: () => readonly GrantingBox[];
-  /** Whether two halls are in one region. */
+  /** Whether two halls are in the same region. */
   readonly areTogether: (hall: string, other: string) => boolean;
   readonly clock: Clock;
   readonly link: Link;
   readonly coldTolerance: ColdTolerance;
-  /** What is known here of an upstream's limit. */
+  /** Returns the limit of an upstream as known to this box. */
   readonly limitOf: (id: string) => UpstreamLimit;
-  /** Takes what another box knows of a limit. */
+  /** Merges the limit of an upstream as known to another box. */
   readonly learnLimit: (
     id: string,
     limit: UpstreamLimit,
     source: string,
   ) => void;
-  /** Told from time to time what this box has granted to all. */
-  readonly onCount?: (count: PermitCount) => void;
+  /** Called periodically with the permits that this box granted to all boxes. */
+  readonly onCount?: (counts: GrantCounts) => void;
 }
 
-/** What is asked of a granter, for one request. */
+/** The contents of a permit request for a single permit. */
 export type PermitQuestion = Omit<PermitRequest, 'wanted'>;
 
 interface Waiter {
-  readonly question: PermitQuestion;
-  readonly settle: (isGranted: boolean) => void;
+  readonly query: PermitQuestion;
+  readonly resolve: (isGranted: boolean) => void;
 }
 
-/** Requests of one urgency for one upstream. */
-interface Line {
+/** Requests of one urgency that wait for a permit of one upstream. */
+interface WaitQueue {
   waiters: Waiter[];
-  asking: boolean;
-  /** No permit before this time, by the box's steady clock, ms. */
-  closedUntil: number;
+  /** Whether a permit request is in flight. */
+  isRequesting: boolean;
+  /** No permit is available before this time, monotonic ms. */
+  retryAt: number;
 }
 
-/** See the module comment. */
+/** Requests permits from granters and grants permits to other boxes. */
 export class Permits implements Disposable {
-  private readonly lines = new LRUCache<string, Line>({max: MAX_REMEMBERED});
-  /** Until when a granter that didn't answer is passed over, by box. */
-  private readonly suspectUntil = new Map<string, number>();
-  private readonly granters: Granters;
-  private readonly granter: PermitGranter;
+  private readonly queues = new LRUCache<string, WaitQueue>({
+    max: MAX_TRACKED_UPSTREAMS,
+  });
+  /** When an unresponsive granter may be called again, monotonic ms, by box. */
+  private readonly skippedUntil = new Map<string, number>();
+  private readonly selector: GranterSelector;
+  private readonly localGranter: PermitGranter;
   private readonly registration: Disposable;
 
   constructor(private readonly parts: PermitsParts) {
     const {clock, coldTolerance, learnLimit, limitOf, link, self} = parts;
-    this.granters = new Granters(parts);
-    this.granter = new PermitGranter({
+    this.selector = new GranterSelector(parts);
+    this.localGranter = new PermitGranter({
       box: self.box,
       clock,
       coldTolerance,
-      granters: this.granters,
       limitOf,
-      onCount: parts.onCount ?? (() => undefined),
+      onCounts: parts.onCount ?? (() => undefined),
+      selector: this.selector,
     });
     this.registration = link.register(PERMIT_SERVICE, async (body, from) => {
       const request = body as PermitRequest;
       learnLimit(request.upstream.id, request.limit, from);
-      return this.granter.grant(request);
+      return this.localGranter.grant(request);
     });
   }
 
-  /** How long until a permit may be had, ms; 0 where one may be asked for now. */
+  /** Returns the wait before the next permit request, ms; 0 if one may be sent now. */
   waitMs(id: string, isLeastUrgent: boolean): number {
-    const closedUntil = this.lines.get(keyOf(id, isLeastUrgent))?.closedUntil;
-    return Math.max(0, (closedUntil ?? 0) - this.parts.clock.now());
+    const retryAt = this.queues.get(queueKey(id, isLeastUrgent))?.retryAt;
+    return Math.max(0, (retryAt ?? 0) - this.parts.clock.now());
   }
 
-  /** A permit for one request, to be used at once; false where there is none now. */
-  take(question: PermitQuestion): Promise<boolean> {
-    const {isLeastUrgent, upstream} = question;
-    const line = this.lineOf(keyOf(upstream.id, isLeastUrgent));
+  /**
+   * Requests a permit for one request. Resolves to false if none is available now. A
+   * granted permit must be used immediately.
+   */
+  take(query: PermitQuestion): Promise<boolean> {
+    const {isLeastUrgent, upstream} = query;
+    const queue = this.getQueue(queueKey(upstream.id, isLeastUrgent));
     return new Promise((resolve) => {
-      line.waiters.push({question, settle: resolve});
-      if (!line.asking) {
-        void this.ask(line);
+      queue.waiters.push({query, resolve});
+      if (!queue.isRequesting) {
+        void this.drainQueue(queue);
       }
     });
   }
 
-  /** Tells the granter of an upstream what it said of its limit. */
-  async tell(question: PermitQuestion): Promise<void> {
-    await this.request({...question, wanted: 0});
+  /** Reports the limit of an upstream to its granter without requesting a permit. */
+  async tell(query: PermitQuestion): Promise<void> {
+    await this.requestPermits({...query, wanted: 0});
   }
 
   [Symbol.dispose](): void {
     this.registration[Symbol.dispose]();
   }
 
-  private lineOf(key: string): Line {
-    const known = this.lines.get(key);
-    if (known !== undefined) {
-      return known;
+  private getQueue(key: string): WaitQueue {
+    const existing = this.queues.get(key);
+    if (existing !== undefined) {
+      return existing;
     }
-    const line: Line = {asking: false, closedUntil: -Infinity, waiters: []};
-    this.lines.set(key, line);
-    return line;
+    const queue: WaitQueue = {
+      isRequesting: false,
+      retryAt: -Infinity,
+      waiters: [],
+    };
+    this.queues.set(key, queue);
+    return queue;
   }
 
-  /** Asks for all that wait, until none does; those that come meanwhile ask next. */
-  private async ask(line: Line): Promise<void> {
+  /**
+   * Requests permits for all waiters until the queue is empty. Waiters that are added
+   * during a request are part of the next one. After a refusal all of them are rejected.
+   */
+  private async drainQueue(queue: WaitQueue): Promise<void> {
     const {clock} = this.parts;
-    line.asking = true;
+    queue.isRequesting = true;
     for (
-      let [first] = line.waiters;
+      let [first] = queue.waiters;
       first !== undefined;
-      [first] = line.waiters
+      [first] = queue.waiters
     ) {
-      const {waiters} = line;
-      line.waiters = [];
+      const {waiters} = queue;
+      queue.waiters = [];
       const wanted = waiters.length;
-      const {granted, waitMs} = await this.request({...first.question, wanted});
-      waiters.forEach(({settle}, at) => settle(at < granted));
+      const {granted, waitMs} = await this.requestPermits({
+        ...first.query,
+        wanted,
+      });
+      waiters.forEach(({resolve}, index) => resolve(index < granted));
       if (granted < wanted) {
-        line.closedUntil = clock.now() + waitMs;
-        line.waiters.splice(0).forEach(({settle}) => settle(false));
+        queue.retryAt = clock.now() + waitMs;
+        queue.waiters.splice(0).forEach(({resolve}) => resolve(false));
       }
     }
-    line.asking = false;
+    queue.isRequesting = false;
   }
 
-  private async request(request: PermitRequest): Promise<PermitReply> {
+  /** Calls the granters of an upstream in order until one replies. */
+  private async requestPermits(request: PermitRequest): Promise<PermitReply> {
     const {learnLimit, self} = this.parts;
-    for (const granting of this.granters.of(request.upstream)) {
-      if (granting === self.box) {
-        return this.granter.grant(request);
+    for (const granterBox of this.selector.select(request.upstream)) {
+      if (granterBox === self.box) {
+        return this.localGranter.grant(request);
       }
-      const reply = await this.askBox(granting, request);
+      const reply = await this.callGranter(granterBox, request);
       if (reply !== undefined) {
-        learnLimit(request.upstream.id, reply.limit, granting);
+        learnLimit(request.upstream.id, reply.limit, granterBox);
         return reply;
       }
     }
     const {limit} = request;
-    return {granted: 0, limit, waitMs: UNGRANTED_WAIT_MS};
+    return {granted: 0, limit, waitMs: NO_GRANTER_WAIT_MS};
   }
 
-  /** What a granter answers; undefined where it is silent or was just now. */
-  private async askBox(
+  /** Returns the reply of a granter; undefined if the call failed or is skipped. */
+  private async callGranter(
     box: string,
     request: PermitRequest,
   ): Promise<PermitReply | undefined> {
     const {clock, link} = this.parts;
-    if (clock.now() < (this.suspectUntil.get(box) ?? -Infinity)) {
+    if (clock.now() < (this.skippedUntil.get(box) ?? -Infinity)) {
       return undefined;
     }
-    const answer = await link.call(box, PERMIT_SERVICE, request, ASK_MS);
-    if (answer.isErr()) {
-      this.suspectUntil.set(box, clock.now() + SUSPECT_MS);
+    const result = await link.call(
+      box,
+      PERMIT_SERVICE,
+      request,
+      REQUEST_TIMEOUT_MS,
+    );
+    if (result.isErr()) {
+      this.skippedUntil.set(box, clock.now() + UNRESPONSIVE_GRANTER_MS);
       return undefined;
     }
-    this.suspectUntil.delete(box);
-    return answer.value as PermitReply;
+    this.skippedUntil.delete(box);
+    return result.value as PermitReply;
   }
 }
 
-function keyOf(id: string, isLeastUrgent: boolean): string {
+function queueKey(id: string, isLeastUrgent: boolean): string {
   return `${isLeastUrgent ? 'low' : 'high'} ${id}`;
 }
--- a/packages/puffinturn-permits/src/UpstreamLimit.ts
+++ b/packages/puffinturn-permits/src/UpstreamLimit.ts
@@ -6,40 +6,40 @@
  */
 
 /**
- * How many requests a second an upstream says that it takes from all boxes together,
- * as boxes tell each other.
+ * The request rate limit that an upstream declares for all boxes together, in the form
+ * in which boxes exchange it.
  */
 
-/** What was said last. */
+/** The latest limit that an upstream declared. */
 export interface UpstreamLimit {
-  /** Requests a second; undefined where it names no limit any more. */
+  /** Requests per second; undefined if there is no limit. */
   readonly perSecond?: number | undefined;
-  /** Grows with each change that any box has seen; 0 while none was ever named. */
+  /** Increases with each change; 0 before the first one of an incarnation. */
   readonly revision: number;
 }
 
-/** Of an upstream that has never named one. */
+/** The limit of an upstream that has never declared one. */
 export const NO_LIMIT: UpstreamLimit = {perSecond: undefined, revision: 0};
 
 /**
- * Whether a statement is later than another one. Of two that boxes heard at the same
- * time the lower one counts, as the upstream bears what is less.
+ * Whether a limit replaces the current one. If two boxes recorded different limits
+ * under the same revision, the lower one is used because it is safe for the upstream.
  */
 export function isLaterLimit(
-  found: UpstreamLimit,
-  held: UpstreamLimit,
+  candidate: UpstreamLimit,
+  current: UpstreamLimit,
 ): boolean {
-  return found.revision === held.revision
-    ? rateOf(found) < rateOf(held)
-    : found.revision > held.revision;
+  return candidate.revision === current.revision
+    ? rateOf(candidate) < rateOf(current)
+    : candidate.revision > current.revision;
 }
 
-/** The later of two statements. */
-export function laterLimit(a: UpstreamLimit, b: UpstreamLimit): UpstreamLimit {
+/** Returns the newer of two limits. */
+export function newerLimit(a: UpstreamLimit, b: UpstreamLimit): UpstreamLimit {
   return isLaterLimit(b, a) ? b : a;
 }
 
-/** Requests a second that a limit allows; Infinity where there is none. */
+/** Requests per second that a limit allows; Infinity if there is no limit. */
 export function rateOf({perSecond}: UpstreamLimit): number {
   return perSecond ?? Infinity;
 }
--- a/packages/puffinturn-permits/src/__tests__/unit/LimitStatements.test.ts
+++ b/packages/puffinturn-permits/src/__tests__/unit/LimitStatements.test.ts
@@ -9,61 +9,65 @@
 
 import {LimitStatements} from '../../LimitStatements';
 
-describe('What an upstream says of its limit', () => {
+/**
+ * Guards against delayed responses and other boxes restoring an outdated rate limit, and
+ * against a limit that is never lifted.
+ */
+describe('LimitStatements', () => {
   let clock: ManualClock;
-  let limits: LimitStatements;
+  let tracker: LimitStatements;
 
   beforeEach(async () => {
     clock = new ManualClock();
-    limits = new LimitStatements(clock);
+    tracker = new LimitStatements(clock);
     await clock.advance(1_000);
   });
 
-  test('holds until an answer to a later request says otherwise', async () => {
-    expect(limits.hear(2, 900)).toBe(true);
-    expect(limits.limit.perSecond).toBe(2);
+  test('keeps a limit until a response to a later request removes it', async () => {
+    expect(tracker.hear(2, 900)).toBe(true);
+    expect(tracker.limit.perSecond).toBe(2);
     await clock.advance(100);
-    expect(limits.hear(undefined, 999)).toBe(false);
-    expect(limits.limit.perSecond).toBe(2);
-    expect(limits.hear(undefined, 1_001)).toBe(true);
-    expect(limits.limit.perSecond).toBeUndefined();
+    expect(tracker.hear(undefined, 999)).toBe(false);
+    expect(tracker.limit.perSecond).toBe(2);
+    expect(tracker.hear(undefined, 1_001)).toBe(true);
+    expect(tracker.limit.perSecond).toBeUndefined();
   });
 
-  test('counts at once where it falls, and later where it rises', () => {
-    limits.hear(2, 900);
-    expect(limits.hear(3, 950)).toBe(false);
-    expect(limits.hear(1, 950)).toBe(true);
-    expect(limits.hear(3, 1_001)).toBe(true);
-    expect(limits.limit.perSecond).toBe(3);
+  test('lowers a limit immediately but raises it only for later requests', () => {
+    tracker.hear(2, 900);
+    expect(tracker.hear(3, 950)).toBe(false);
+    expect(tracker.hear(1, 950)).toBe(true);
+    expect(tracker.hear(3, 1_001)).toBe(true);
+    expect(tracker.limit.perSecond).toBe(3);
   });
 
-  test('is no news where it is said again, but newer than late answers', async () => {
-    limits.hear(2, 900);
+  test('ignores delayed responses after the same limit is received again', async () => {
+    tracker.hear(2, 900);
     await clock.advance(100);
-    expect(limits.hear(2, 1_050)).toBe(false);
-    expect(limits.hear(undefined, 1_090)).toBe(false);
-    expect(limits.hear(undefined, 1_101)).toBe(true);
+    expect(tracker.hear(2, 1_050)).toBe(false);
+    expect(tracker.hear(undefined, 1_090)).toBe(false);
+    expect(tracker.hear(undefined, 1_101)).toBe(true);
   });
 
-  test('is learned from other boxes in whatever order', () => {
-    const found = [
+  test('merges limits from other boxes to the same result in any order', () => {
+    const received = [
       {perSecond: 5, revision: 1},
       {perSecond: 2, revision: 2},
       {perSecond: undefined, revision: 2},
     ];
-    for (const order of [found, [...found].reverse()]) {
-      const learned = new LimitStatements(clock);
-      order.forEach((limit) => learned.learn(limit));
-      expect(learned.limit).toEqual({perSecond: 2, revision: 2});
+    for (const order of [received, [...received].reverse()]) {
+      const merged = new LimitStatements(clock);
+      order.forEach((limit) => merged.learn(limit));
+      expect(merged.limit).toEqual({perSecond: 2, revision: 2});
     }
   });
 
-  test('of a former life is replaced by any word of this one', () => {
-    const former = new LimitStatements(clock);
-    former.learn({perSecond: 2, revision: 9});
-    limits.goOnWith(former);
-    expect(limits.limit.perSecond).toBe(2);
-    limits.learn({perSecond: undefined, revision: 1});
-    expect(limits.limit.perSecond).toBeUndefined();
+  test('replaces the limit of the previous incarnation by any newer one', () => {
+    const predecessor = new LimitStatements(clock);
+    predecessor.learn({perSecond: 2, revision: 9});
+    tracker.goOnWith(predecessor);
+    expect(tracker.limit.perSecond).toBe(2);
+    tracker.learn({perSecond: undefined, revision: 1});
+    expect(tracker.limit.perSecond).toBeUndefined();
   });
 });
--- a/packages/puffinturn-permits/src/__tests__/unit/PermitGranter.test.ts
+++ b/packages/puffinturn-permits/src/__tests__/unit/PermitGranter.test.ts
@@ -8,43 +8,46 @@
 import fc from 'fast-check';
 import {ManualClock} from 'shared';
 
-import {Granters} from '../../Granters';
+import {GranterSelector} from '../../Granters';
 import {PermitGranter} from '../../PermitGranter';
 import type {PermitRequest} from '../../PermitMessages';
 import type {UpstreamLimit} from '../../UpstreamLimit';
 import {NO_LIMIT} from '../../UpstreamLimit';
 
 const UPSTREAM = {hall: 'h', id: 'i-1'};
-const LIMIT_SPAN_MS = 4_000;
-const COLD_SPAN_MS = 1_000;
+const LIMIT_WINDOW_MS = 4_000;
+const COLD_WINDOW_MS = 1_000;
 
-/** Long enough for a granter to have gathered all that it may. */
-const SETTLED_MS = 100_000;
+/** Long enough to fill the bucket of a new granter. */
+const FULL_BUCKET_MS = 100_000;
 
-function start(coldTolerance = {extra: 5, overage: 1.5}, others = 0) {
+function createGranter(
+  coldTolerance = {extra: 5, overage: 1.5},
+  peerCount = 0,
+) {
   const clock = new ManualClock();
-  const peers = Array.from({length: others}, (_, at) => {
-    return {box: `b${at}`, hall: 'h'};
+  const peers = Array.from({length: peerCount}, (_, index) => {
+    return {box: `b${index}`, hall: 'h'};
   });
   const self = {box: 'self', hall: 'h'};
   const areTogether = () => true;
-  const granters = new Granters({areTogether, peers: () => peers, self});
+  const selector = new GranterSelector({areTogether, peers: () => peers, self});
   const granter = new PermitGranter({
     box: self.box,
     clock,
     coldTolerance,
-    granters,
     limitOf: () => NO_LIMIT,
-    onCount: () => undefined,
+    onCounts: () => undefined,
+    selector,
   });
-  return {clock, granter, granters};
+  return {clock, granter, selector};
 }
 
-function limitOf(perSecond: number): UpstreamLimit {
+function createLimit(perSecond: number): UpstreamLimit {
   return {perSecond, revision: 1};
 }
 
-function ask(fields: Partial<PermitRequest>): PermitRequest {
+function createRequest(fields: Partial<PermitRequest>): PermitRequest {
   return {
     isLeastUrgent: false,
     limit: NO_LIMIT,
@@ -54,16 +57,17 @@
   };
 }
 
-/** The most that lies in any span of the given length. */
-function mostIn(times: readonly number[], spanMs: number): number {
+/** Returns the highest number of times in any window of the given length. */
+function maxInWindow(times: readonly number[], windowMs: number): number {
   const counts = times.map(
-    (first) => times.filter((at) => at >= first && at < first + spanMs).length,
+    (start) =>
+      times.filter((at) => at >= start && at < start + windowMs).length,
   );
   return Math.max(0, ...counts);
 }
 
-/** Waits between questions, and how many permits each one is for. */
-const questions = fc.array(
+/** Permit requests and the waits before them. */
+const requestSequence = fc.array(
   fc.record({
     isLeastUrgent: fc.boolean(),
     waitMs: fc.integer({max: 400, min: 0}),
@@ -72,49 +76,58 @@
   {maxLength: 150, minLength: 20},
 );
 
-describe('What a granter grants', () => {
-  test('is in no span more than an upstream may get by its limit', async () => {
+/** Guards against exceeding the rate limit of an upstream and against lost permits. */
+describe('PermitGranter', () => {
+  test('never exceeds the limit of an upstream in any window', async () => {
     const property = fc.asyncProperty(
-      questions,
+      requestSequence,
       fc.double({max: 100, min: 0, noNaN: true}),
-      async (asked, perSecond) => {
-        const {clock, granter} = start();
-        await clock.advance(SETTLED_MS);
+      async (requests, perSecond) => {
+        const {clock, granter} = createGranter();
+        await clock.advance(FULL_BUCKET_MS);
         const times: number[] = [];
-        for (const {isLeastUrgent, waitMs, wanted} of asked) {
+        for (const {isLeastUrgent, waitMs, wanted} of requests) {
           await clock.advance(waitMs);
-          const limit = limitOf(perSecond);
-          const reply = granter.grant(ask({isLeastUrgent, limit, wanted}));
+          const limit = createLimit(perSecond);
+          const reply = granter.grant(
+            createRequest({isLeastUrgent, limit, wanted}),
+          );
           times.push(...Array(reply.granted).fill(clock.now()));
         }
-        const allowed = (perSecond * 1.5 * LIMIT_SPAN_MS) / 1_000 + 5;
-        expect(mostIn(times, LIMIT_SPAN_MS)).toBeLessThanOrEqual(allowed);
+        const allowed = (perSecond * 1.5 * LIMIT_WINDOW_MS) / 1_000 + 5;
+        expect(maxInWindow(times, LIMIT_WINDOW_MS)).toBeLessThanOrEqual(
+          allowed,
+        );
       },
     );
     await fc.assert(property, {numRuns: 60, seed: 3});
   });
 
-  test('is in no second more than a cold upstream may get', async () => {
+  test('never exceeds the warm-up rate of an upstream in any second', async () => {
     const property = fc.asyncProperty(
-      questions,
+      requestSequence,
       fc.record({
         extra: fc.integer({max: 20, min: 0}),
         overage: fc.double({max: 3, min: 1, noNaN: true}),
         requestsPerSecond: fc.double({max: 300, min: 1.2, noNaN: true}),
       }),
-      async (asked, {extra, overage, requestsPerSecond}) => {
-        const {clock, granter} = start({extra, overage});
-        await clock.advance(SETTLED_MS);
+      async (requests, {extra, overage, requestsPerSecond}) => {
+        const {clock, granter} = createGranter({extra, overage});
+        await clock.advance(FULL_BUCKET_MS);
         const times: number[] = [];
-        for (const {isLeastUrgent, waitMs, wanted} of asked) {
+        for (const {isLeastUrgent, waitMs, wanted} of requests) {
           await clock.advance(waitMs / 10);
           const coldPerSecond = requestsPerSecond;
-          const question = ask({coldPerSecond, isLeastUrgent, wanted});
-          const reply = granter.grant(question);
+          const request = createRequest({
+            coldPerSecond,
+            isLeastUrgent,
+            wanted,
+          });
+          const reply = granter.grant(request);
           times.push(...Array(reply.granted).fill(clock.now()));
         }
         const allowed = Math.max(1, requestsPerSecond * overage + extra);
-        expect(mostIn(times, COLD_SPAN_MS)).toBeLessThanOrEqual(
+        expect(maxInWindow(times, COLD_WINDOW_MS)).toBeLessThanOrEqual(
           Math.ceil(allowed),
         );
       },
@@ -122,86 +135,90 @@
     await fc.assert(property, {numRuns: 60, seed: 3});
   });
 
-  test('follows a limit that changes, and the lower one of two bounds', async () => {
-    const {clock, granter} = start();
-    await clock.advance(SETTLED_MS);
-    const grantsIn = async (fields: Partial<PermitRequest>) => {
+  test('applies a changed limit and the lower of limit and warm-up rate', async () => {
+    const {clock, granter} = createGranter();
+    await clock.advance(FULL_BUCKET_MS);
+    const countGrants = async (fields: Partial<PermitRequest>) => {
       let granted = 0;
-      for (let at = 0; at < 100; at += 1) {
+      for (let turn = 0; turn < 100; turn += 1) {
         await clock.advance(100);
-        granted += granter.grant(ask(fields)).granted;
+        granted += granter.grant(createRequest(fields)).granted;
       }
       return granted;
     };
-    const high = await grantsIn({limit: limitOf(5)});
-    const low = await grantsIn({limit: limitOf(0.5)});
-    const both = await grantsIn({coldPerSecond: 0.5, limit: limitOf(5)});
-    expect(high).toBeGreaterThan(40);
-    expect(high).toBeLessThanOrEqual(52);
-    expect(low).toBeLessThanOrEqual(8);
-    expect(both).toBeLessThanOrEqual(8);
+    const atHighLimit = await countGrants({limit: createLimit(5)});
+    const atLowLimit = await countGrants({limit: createLimit(0.5)});
+    const atWarmUpRate = await countGrants({
+      coldPerSecond: 0.5,
+      limit: createLimit(5),
+    });
+    expect(atHighLimit).toBeGreaterThan(40);
+    expect(atHighLimit).toBeLessThanOrEqual(52);
+    expect(atLowLimit).toBeLessThanOrEqual(8);
+    expect(atWarmUpRate).toBeLessThanOrEqual(8);
   });
 
-  test('is nothing right after its start, as a former life may have granted', async () => {
-    const {clock, granter} = start();
-    const question = ask({limit: limitOf(1)});
-    expect(granter.grant(question).granted).toBe(0);
+  test('grants nothing right after a start, when a previous process may have granted', async () => {
+    const {clock, granter} = createGranter();
+    const request = createRequest({limit: createLimit(1)});
+    expect(granter.grant(request).granted).toBe(0);
     await clock.advance(1_100);
-    expect(granter.grant(question).granted).toBe(1);
+    expect(granter.grant(request).granted).toBe(1);
   });
 
-  test('leaves one permit to urgent requests, and loses none by it', async () => {
-    const {clock, granter} = start();
-    await clock.advance(SETTLED_MS);
-    const limit = limitOf(1);
-    const low = ask({isLeastUrgent: true, limit, wanted: 9});
-    expect(granter.grant(low).granted).toBe(1);
-    expect(granter.grant(low).granted).toBe(0);
-    expect(granter.grant(ask({limit})).granted).toBe(1);
+  test('reserves one permit for urgent requests without lowering the rate', async () => {
+    const {clock, granter} = createGranter();
+    await clock.advance(FULL_BUCKET_MS);
+    const limit = createLimit(1);
+    const leastUrgent = createRequest({isLeastUrgent: true, limit, wanted: 9});
+    expect(granter.grant(leastUrgent).granted).toBe(1);
+    expect(granter.grant(leastUrgent).granted).toBe(0);
+    expect(granter.grant(createRequest({limit})).granted).toBe(1);
     let granted = 0;
-    for (let at = 0; at < 100; at += 1) {
+    for (let turn = 0; turn < 100; turn += 1) {
       await clock.advance(100);
-      granted += granter.grant({...low, wanted: 1}).granted;
+      granted += granter.grant({...leastUrgent, wanted: 1}).granted;
     }
     expect(granted).toBeGreaterThanOrEqual(8);
   });
 
-  test('tells those whom it refuses different times', async () => {
-    const {clock, granter} = start();
-    await clock.advance(SETTLED_MS);
-    const question = ask({limit: limitOf(2)});
-    granter.grant({...question, wanted: 9});
-    const waits = [1, 2, 3].map(() => granter.grant(question).waitMs);
+  test('assigns different waits to refused requests', async () => {
+    const {clock, granter} = createGranter();
+    await clock.advance(FULL_BUCKET_MS);
+    const request = createRequest({limit: createLimit(2)});
+    granter.grant({...request, wanted: 9});
+    const waits = [1, 2, 3].map(() => granter.grant(request).waitMs);
     expect(new Set(waits).size).toBe(3);
     await clock.advance(waits[0] ?? 0);
-    expect(granter.grant(question).granted).toBe(1);
+    expect(granter.grant(request).granted).toBe(1);
   });
 
-  test('is all that is asked for where nothing bounds an upstream any more', () => {
-    const {granter} = start();
+  test('grants all requested permits if an upstream has no limit', () => {
+    const {granter} = createGranter();
     const limit: UpstreamLimit = {perSecond: undefined, revision: 2};
-    expect(granter.grant(ask({limit, wanted: 7})).granted).toBe(7);
+    expect(granter.grant(createRequest({limit, wanted: 7})).granted).toBe(7);
   });
 
-  test('is nothing at a box that others come before', () => {
-    const {granter, granters} = start(undefined, 30);
-    const ids = Array.from({length: 200}, (_, at) => `i-${at}`);
-    const own = ids.filter((id) =>
-      granters.of({hall: 'h', id}).includes('self'),
+  test('grants nothing on a box that is not selected as a granter', () => {
+    const {granter, selector} = createGranter(undefined, 30);
+    const ids = Array.from({length: 200}, (_, index) => `i-${index}`);
+    const ownIds = ids.filter((id) =>
+      selector.select({hall: 'h', id}).includes('self'),
     );
-    expect(own.length).toBeGreaterThan(0);
-    expect(own.length).toBeLessThan(40);
-    const foreign = ids.find((id) => !own.includes(id)) ?? '';
-    const upstream = {hall: 'h', id: foreign};
-    const question = ask({limit: limitOf(5), upstream});
-    expect(granter.grant(question)).toMatchObject({granted: 0});
+    expect(ownIds.length).toBeGreaterThan(0);
+    expect(ownIds.length).toBeLessThan(40);
+    const otherId = ids.find((id) => !ownIds.includes(id)) ?? '';
+    const upstream = {hall: 'h', id: otherId};
+    const request = createRequest({limit: createLimit(5), upstream});
+    expect(granter.grant(request)).toMatchObject({granted: 0});
   });
 });
 
-describe('The boxes that grant', () => {
-  test('are of the region of the upstream, where it has any', () => {
+/** Guards against permit requests that leave the region of the upstream. */
+describe('GranterSelector', () => {
+  test('selects boxes in the region of the upstream if there are any', () => {
     const regionOf = (hall: string) => hall.slice(0, 1);
-    const granters = new Granters({
+    const selector = new GranterSelector({
       areTogether: (a, b) => regionOf(a) === regionOf(b),
       peers: () => [
         {box: 'w', hall: 'w1'},
@@ -210,8 +227,8 @@
       ],
       self: {box: 'e', hall: 'e1'},
     });
-    expect(granters.of({hall: 'e9', id: 'i'})).toEqual(['e']);
-    expect(granters.of({hall: 'w1', id: 'i'})).toHaveLength(2);
-    expect(granters.of({hall: 'n1', id: 'i'})).toHaveLength(2);
+    expect(selector.select({hall: 'e9', id: 'i'})).toEqual(['e']);
+    expect(selector.select({hall: 'w1', id: 'i'})).toHaveLength(2);
+    expect(selector.select({hall: 'n1', id: 'i'})).toHaveLength(2);
   });
 });
--- a/packages/puffinturn-permits/src/index.ts
+++ b/packages/puffinturn-permits/src/index.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Upstreams that take only so many requests a second from all boxes together. */
+/** Permits that enforce the request rate limit of an upstream across all boxes. */
 export type {GrantingBox} from './Granters';
 export {LimitStatements} from './LimitStatements';
 export type {ColdTolerance} from './PermitGranter';
