--- a/packages/puffinturn-quarantine/src/CrashEvidence.ts
+++ b/packages/puffinturn-quarantine/src/CrashEvidence.ts
@@ -6,10 +6,10 @@
  */
 
 /**
- * What one box knows of requests that crash upstreams: those that the others have
- * quarantined, and those that the box's own crashes suffice for, also while nobody
- * else can be reached. What was seen here waits until it has been told; told twice, it
- * counts once.
+ * Tracks, on one box, the requests that crash upstreams: those that other boxes have
+ * quarantined, and those that the crashes observed by this box suffice to quarantine,
+ * even during a network partition. Observations are kept until they have been reported.
+ * Reporting a crash twice is harmless because it is counted once.
  */
 import {LRUCache} from 'lru-cache';
 import type {Clock} from 'shared';
@@ -18,65 +18,67 @@
 import {CrashRegister} from './CrashRegister';
 import {
   CRASHES_TO_QUARANTINE,
-  MAX_ANSWERED,
-  MAX_UNTOLD,
-  SUSPECTED_MS,
-  SUSPICION_MS,
+  LOOKUP_AFTER_CRASH_MS,
+  MAX_SUCCESSFUL_REQUESTS,
+  MAX_UNREPORTED,
+  SUSPECT_TTL_MS,
 } from './QuarantineConstants';
 
-interface SeenCrash {
+interface ObservedCrash {
   readonly crash: Crash;
-  /** When it was noticed, monotonic ms. */
+  /** When the crash was detected, monotonic ms. */
   readonly at: number;
 }
 
-/** What has not been told yet. */
-export interface Untold {
-  readonly crashes: readonly SeenCrash[];
+/** Observations that have not been reported yet. */
+export interface PendingReport {
+  readonly crashes: readonly ObservedCrash[];
   readonly answered: readonly string[];
 }
 
-/** See the module comment. */
+/** The requests that this box must not run, and the observations to report. */
 export class CrashEvidence {
-  /** Crashes seen here, until the requests that were there get a whole answer. */
-  private readonly own = new CrashRegister();
+  /** Crashes observed by this box; a complete response clears a request. */
+  private readonly localCrashes = new CrashRegister();
   /**
-   * When requests got a whole answer here, monotonic ms. One that was answered does not
-   * crash what runs it, however many crashes it is at.
+   * When requests last got a complete response, monotonic ms, by fingerprint. They are not
+   * suspected for some time, even if they are in flight at a crash.
    */
-  private readonly answeredAt = new LRUCache<string, number>({
-    max: MAX_ANSWERED,
+  private readonly succeededAt = new LRUCache<string, number>({
+    max: MAX_SUCCESSFUL_REQUESTS,
   });
-  /** Until when they are looked out for, monotonic ms. */
-  private suspectedUntil = -Infinity;
-  private quarantined: ReadonlySet<string> = new Set();
+  /** Until when all requests are looked up after a crash, monotonic ms. */
+  private lookupUntil = -Infinity;
+  private remoteQuarantine: ReadonlySet<string> = new Set();
   /**
-   * Requests that the others suspect: any box that serves one clears it, as those that
-   * were at its crashes may have started anew since.
+   * Requests suspected by other boxes. A success on any box clears them, because the boxes
+   * that reported the crashes may have restarted since.
    */
-  private suspectedByOthers = new Set<string>();
-  private crashes: SeenCrash[] = [];
+  private remoteSuspects = new Set<string>();
+  /** Unreported crashes. */
+  private crashes: ObservedCrash[] = [];
+  /** Fingerprints of unreported successes. */
   private answered: string[] = [];
 
   constructor(private readonly clock: Clock) {}
 
-  /** Whether no request is quarantined or suspected, so that none need be looked up. */
+  /** Whether no request is quarantined or suspected, so that lookups can be skipped. */
   get isEmpty(): boolean {
     return (
-      this.quarantined.size === 0 &&
-      this.suspectedByOthers.size === 0 &&
-      this.own.quarantine.fingerprints.length === 0 &&
-      this.clock.now() >= this.suspectedUntil
+      this.remoteQuarantine.size === 0 &&
+      this.remoteSuspects.size === 0 &&
+      this.localCrashes.quarantine.fingerprints.length === 0 &&
+      this.clock.now() >= this.lookupUntil
     );
   }
 
-  /** The requests that the others have quarantined. */
+  /** The requests quarantined by other boxes. */
   get fingerprints(): readonly string[] {
-    return [...this.quarantined];
+    return [...this.remoteQuarantine];
   }
 
-  /** What has not been told yet; undefined where there is nothing. */
-  get untold(): Untold | undefined {
+  /** The unreported observations; undefined if there are none. */
+  get untold(): PendingReport | undefined {
     const {answered, crashes} = this;
     const isEmpty = answered.length === 0 && crashes.length === 0;
     return isEmpty ? undefined : {answered, crashes};
@@ -84,79 +86,85 @@
 
   /** Whether a request must not be run. */
   isQuarantined(fingerprint: string): boolean {
-    this.own.expire(this.clock.wallTime());
+    this.localCrashes.expire(this.clock.wallTime());
     return (
-      this.quarantined.has(fingerprint) || this.own.isQuarantined(fingerprint)
+      this.remoteQuarantine.has(fingerprint) ||
+      this.localCrashes.isQuarantined(fingerprint)
     );
   }
 
-  /** Whether one more crash would have a request quarantined. */
+  /** Whether one more crash would quarantine a request. */
   isLastTry(fingerprint: string): boolean {
     return (
-      this.suspectedByOthers.has(fingerprint) ||
-      this.own.crashesOf(fingerprint) >= CRASHES_TO_QUARANTINE - 1
+      this.remoteSuspects.has(fingerprint) ||
+      this.localCrashes.crashCount(fingerprint) >= CRASHES_TO_QUARANTINE - 1
     );
   }
 
-  /** Takes over what the others have quarantined, and whom they suspect. */
+  /** Replaces the requests that other boxes have quarantined or suspect. */
   adopt({fingerprints, suspects}: Omit<Quarantine, 'revision'>): void {
-    const former = this.quarantined;
-    this.quarantined = new Set(fingerprints);
-    this.suspectedByOthers = new Set(suspects);
-    for (const fingerprint of former) {
-      if (!this.quarantined.has(fingerprint)) {
-        this.own.release(fingerprint);
+    const previous = this.remoteQuarantine;
+    this.remoteQuarantine = new Set(fingerprints);
+    this.remoteSuspects = new Set(suspects);
+    for (const fingerprint of previous) {
+      if (!this.remoteQuarantine.has(fingerprint)) {
+        this.localCrashes.release(fingerprint);
       }
     }
   }
 
-  /** Notes a crash and which requests of this box were there. */
+  /** Records a crash and the requests of this box that were in flight. */
   crashed({fingerprints, life}: Crash): void {
     const {clock} = this;
     const crash: Crash = {
-      fingerprints: fingerprints.filter((one) => !this.wasAnswered(one)),
+      fingerprints: fingerprints.filter(
+        (fingerprint) => !this.hasSucceededRecently(fingerprint),
+      ),
       life,
     };
     if (crash.fingerprints.length === 0) {
       return;
     }
-    this.suspectedUntil = clock.now() + SUSPECTED_MS;
+    this.lookupUntil = clock.now() + LOOKUP_AFTER_CRASH_MS;
     const report = {answered: [], crashes: [{...crash, agoMs: 0}]};
-    this.own.report(report, clock.wallTime());
-    const seen = {at: clock.now(), crash};
-    this.crashes = [...this.crashes, seen].slice(-MAX_UNTOLD);
+    this.localCrashes.report(report, clock.wallTime());
+    const observed = {at: clock.now(), crash};
+    this.crashes = [...this.crashes, observed].slice(-MAX_UNREPORTED);
   }
 
   /**
-   * Notes that a request got a whole answer: it does not crash what runs it. True
-   * where others have to hear of it.
+   * Records that a request got a complete response and clears it. Returns whether this
+   * must be reported to other boxes.
    */
   served(fingerprint: string): boolean {
-    this.answeredAt.set(fingerprint, this.clock.now());
-    const isKnownHere = this.own.holds(fingerprint);
-    const isKnownElsewhere = this.suspectedByOthers.delete(fingerprint);
-    if (!isKnownHere && !isKnownElsewhere) {
+    this.succeededAt.set(fingerprint, this.clock.now());
+    const isTrackedLocally = this.localCrashes.isTracked(fingerprint);
+    const isRemoteSuspect = this.remoteSuspects.delete(fingerprint);
+    if (!isTrackedLocally && !isRemoteSuspect) {
       return false;
     }
-    this.own.release(fingerprint);
+    this.localCrashes.release(fingerprint);
     this.crashes = this.crashes.map(({at, crash}) => ({
       at,
       crash: {
-        fingerprints: crash.fingerprints.filter((one) => one !== fingerprint),
+        fingerprints: crash.fingerprints.filter(
+          (other) => other !== fingerprint,
+        ),
         life: crash.life,
       },
     }));
-    this.answered = [...this.answered, fingerprint].slice(-MAX_UNTOLD);
+    this.answered = [...this.answered, fingerprint].slice(-MAX_UNREPORTED);
     return true;
   }
 
-  private wasAnswered(fingerprint: string): boolean {
-    const at = this.answeredAt.get(fingerprint) ?? -Infinity;
-    return this.clock.now() - at < SUSPICION_MS;
+  /** Whether a request got a complete response within the lifetime of a suspect. */
+  private hasSucceededRecently(fingerprint: string): boolean {
+    const at = this.succeededAt.get(fingerprint) ?? -Infinity;
+    return this.clock.now() - at < SUSPECT_TTL_MS;
   }
 
-  /** What is told of all that has not been told. */
-  reportOf({answered, crashes}: Untold): CrashReport {
+  /** Builds the report of unreported observations. */
+  reportOf({answered, crashes}: PendingReport): CrashReport {
     const now = this.clock.now();
     return {
       answered,
@@ -164,9 +172,13 @@
     };
   }
 
-  /** Notes that something has been told. */
-  told({answered, crashes}: Untold): void {
-    this.crashes = this.crashes.filter((seen) => !crashes.includes(seen));
-    this.answered = this.answered.filter((one) => !answered.includes(one));
+  /** Removes observations that have been reported. */
+  told({answered, crashes}: PendingReport): void {
+    this.crashes = this.crashes.filter(
+      (observed) => !crashes.includes(observed),
+    );
+    this.answered = this.answered.filter(
+      (fingerprint) => !answered.includes(fingerprint),
+    );
   }
 }
--- a/packages/puffinturn-quarantine/src/CrashRegister.ts
+++ b/packages/puffinturn-quarantine/src/CrashRegister.ts
@@ -6,60 +6,60 @@
  */
 
 /**
- * Which requests were there when upstreams crashed, and which are quarantined for it:
- * they are not run for a while. A request is quarantined once it was present at three
- * crashes, not all at one moment, with no whole answer in between. A whole
- * answer removes all that is held against a request, so that crashes with another
- * cause, however many, quarantine none that is served at all.
+ * Tracks the requests that were in flight when upstreams crashed, and quarantines them
+ * after three crashes that were not all simultaneous. A quarantined request is not run
+ * for some time. A complete response clears a suspect, so that crashes with another cause
+ * don't quarantine requests that succeed.
  *
- * Applying the same reports in the same order gives the same state everywhere: times
- * come with the reports.
+ * The state is deterministic: it depends only on the reports, their order and the times
+ * passed with them. Replicas that apply the same reports have the same state.
  */
 import {
-  COUNTED_AT_A_MOMENT,
   CRASHES_TO_QUARANTINE,
-  MAX_LIVES,
+  MAX_INCARNATIONS_PER_SUSPECT,
   MAX_QUARANTINED,
+  MAX_SIMULTANEOUS_CRASHES,
   MAX_SUSPECTS,
-  QUARANTINE_MS,
-  SAME_MOMENT_MS,
-  SUSPICION_MS,
+  QUARANTINE_DURATION_MS,
+  SIMULTANEOUS_CRASH_MS,
+  SUSPECT_TTL_MS,
 } from './QuarantineConstants';
 
-/** One life of an upstream has ended unplanned. */
+/** The unplanned end of one incarnation of an upstream. */
 export interface Crash {
-  /** Names that life among all lives of all upstreams. */
+  /** Incarnation id, unique among all upstreams. */
   readonly life: string;
-  /** Fingerprints of the requests that were there, as far as the reporter knows. */
+  /** Fingerprints of the requests in flight, as known to the reporter. */
   readonly fingerprints: readonly string[];
 }
 
-/** A crash as it is reported. */
+/** A crash with its age, as sent in a report. */
 export interface ReportedCrash extends Crash {
-  /** How long ago it was noticed, ms. */
+  /** Time since the crash was detected, ms. */
   readonly agoMs: number;
 }
 
-/** What a box has seen since its last report. */
+/** The crashes and successes that a box observed since its last report. */
 export interface CrashReport {
   readonly crashes: readonly ReportedCrash[];
-  /** Fingerprints of suspects that got a whole answer. */
+  /** Fingerprints of suspects that got a complete response. */
   readonly answered: readonly string[];
 }
 
-/** Nothing was seen. */
+/** An empty report. */
 export const NO_REPORT: CrashReport = {answered: [], crashes: []};
 
-/** The quarantined requests, as of one revision. */
+/** One revision of the quarantined requests and the suspects. */
 export interface Quarantine {
-  /** Grows by 1 with each change; 0 before the first one. */
+  /** Increases by 1 with each change; 0 before the first one. */
   readonly revision: number;
+  /** Fingerprints of quarantined requests. */
   readonly fingerprints: readonly string[];
-  /** Requests that one more crash has quarantined, unless they are answered. */
+  /** Fingerprints of requests that one more crash would quarantine. */
   readonly suspects: readonly string[];
 }
 
-/** No request was ever quarantined. */
+/** The quarantine before the first change. */
 export const NO_QUARANTINE: Quarantine = {
   fingerprints: [],
   revision: 0,
@@ -68,43 +68,44 @@
 
 interface Suspect {
   readonly fingerprint: string;
-  /** Lives that it crashed, or was there when they ended. */
+  /** Incarnations that crashed while the request was in flight. */
   readonly lives: readonly string[];
-  /** When the crashes were that count, Unix ms. */
+  /** Times of the counted crashes, Unix ms. */
   readonly moments: readonly number[];
 }
 
 interface QuarantinedRequest {
   readonly fingerprint: string;
-  /** Unix ms. */
+  /** Start of the quarantine, Unix ms. */
   readonly since: number;
 }
 
-/** The state as a snapshot holds it. */
+/** The state as stored in a snapshot. */
 export interface CrashImage {
   readonly revision: number;
   readonly suspects: readonly Suspect[];
   readonly quarantined: readonly QuarantinedRequest[];
 }
 
-/** The image before the first report; also that of snapshots without any. */
+/** The state before the first report, and that of snapshots without one. */
 export const NO_CRASHES: CrashImage = {
   quarantined: [],
   revision: 0,
   suspects: [],
 };
 
-/** See the module comment. */
+/** Suspects and quarantined requests, updated by crash reports. */
 export class CrashRegister {
-  /** Suspects by fingerprint, the one that was reported last at the end. */
+  /** Suspects by fingerprint, the most recently reported last. */
   private readonly suspects = new Map<string, Suspect>();
-  /** Since when requests are quarantined, by fingerprint; the oldest first. */
+  /** Start of the quarantine by fingerprint, Unix ms; the oldest first. */
   private readonly quarantined = new Map<string, number>();
-  private told = NO_QUARANTINE;
+  /** The current revision for other boxes. */
+  private published = NO_QUARANTINE;
 
-  /** The quarantined requests. */
+  /** The quarantined requests and the suspects. */
   get quarantine(): Quarantine {
-    return this.told;
+    return this.published;
   }
 
   /** Whether a request is quarantined. */
@@ -112,71 +113,77 @@
     return this.quarantined.has(fingerprint);
   }
 
-  /** Whether anything is held against a request. */
-  holds(fingerprint: string): boolean {
+  /** Whether a request is a suspect or quarantined. */
+  isTracked(fingerprint: string): boolean {
     return this.suspects.has(fingerprint) || this.isQuarantined(fingerprint);
   }
 
-  /** Crashes counted for a request that is not quarantined. */
-  crashesOf(fingerprint: string): number {
+  /** Returns the number of crashes counted for a suspect; 0 for other requests. */
+  crashCount(fingerprint: string): number {
     return this.suspects.get(fingerprint)?.moments.length ?? 0;
   }
 
-  /** Ends what is over at a time, Unix ms; true where the quarantine changed. */
+  /**
+   * Ends the quarantines that have expired at the given time, Unix ms. Returns whether
+   * the quarantine changed.
+   */
   expire(at: number): boolean {
     return this.hasExpired(at) && this.report(NO_REPORT, at);
   }
 
-  /** Takes a report in at a time, Unix ms; true where others have to hear of it. */
+  /**
+   * Applies a report that arrived at the given time, Unix ms. Returns whether the
+   * quarantine changed.
+   */
   report({answered, crashes}: CrashReport, at: number): boolean {
-    this.forget(at);
+    this.removeExpired(at);
     for (const fingerprint of answered) {
       this.suspects.delete(fingerprint);
     }
-    for (const {agoMs, fingerprints, life} of crashes) {
+    for (const {agoMs, fingerprints, life: incarnation} of crashes) {
       for (const fingerprint of fingerprints) {
-        this.addCrash(fingerprint, life, at - agoMs);
+        this.recordCrash(fingerprint, incarnation, at - agoMs);
       }
     }
-    return this.update();
+    return this.publishChanges();
   }
 
-  /** Quarantines requests that another register has quarantined. */
+  /** Quarantines requests that are quarantined in another register. */
   hold(fingerprints: readonly string[], at: number): void {
     for (const fingerprint of fingerprints) {
       if (!this.quarantined.has(fingerprint)) {
-        this.add(fingerprint, at);
+        this.addToQuarantine(fingerprint, at);
       }
     }
-    this.update();
+    this.publishChanges();
   }
 
-  /** Lets a request run again. */
+  /** Removes a request from the suspects and the quarantine. */
   release(fingerprint: string): void {
     this.suspects.delete(fingerprint);
     this.quarantined.delete(fingerprint);
-    this.update();
+    this.publishChanges();
   }
 
-  /** Whether the time of a quarantined request is over at a time, Unix ms. */
+  /** Whether any quarantine has expired at the given time, Unix ms. */
   hasExpired(at: number): boolean {
-    const [oldest = Infinity] = this.quarantined.values();
-    return at - oldest > QUARANTINE_MS;
+    const [oldestStart = Infinity] = this.quarantined.values();
+    return at - oldestStart > QUARANTINE_DURATION_MS;
   }
 
-  /** Its part of a snapshot. */
+  /** Returns the state for a snapshot. */
   image(): CrashImage {
     return {
       quarantined: [...this.quarantined].map(([fingerprint, since]) => ({
         fingerprint,
         since,
       })),
-      revision: this.told.revision,
+      revision: this.published.revision,
       suspects: [...this.suspects.values()],
     };
   }
 
-  /** Takes over what a snapshot holds. */
+  /** Replaces the state by that of a snapshot. */
   restore({quarantined, revision, suspects}: CrashImage): void {
     this.suspects.clear();
     this.quarantined.clear();
@@ -186,55 +193,63 @@
     for (const {fingerprint, since} of quarantined) {
       this.quarantined.set(fingerprint, since);
     }
-    this.told = {...this.lists(), revision};
+    this.published = {...this.buildLists(), revision};
   }
 
-  private addCrash(fingerprint: string, life: string, at: number): void {
+  /**
+   * Records a crash of an incarnation that has not been reported for this request yet. The
+   * crash is not counted if too many were simultaneous.
+   */
+  private recordCrash(
+    fingerprint: string,
+    incarnation: string,
+    at: number,
+  ): void {
     if (this.quarantined.has(fingerprint)) {
       return;
     }
-    const known = this.suspects.get(fingerprint);
-    if (known?.lives.includes(life) === true) {
+    const existing = this.suspects.get(fingerprint);
+    if (existing?.lives.includes(incarnation) === true) {
       return;
     }
-    const {lives = [], moments = []} = known ?? {};
-    const near = moments.filter(
-      (moment) => Math.abs(at - moment) < SAME_MOMENT_MS,
+    const {lives = [], moments = []} = existing ?? {};
+    const simultaneous = moments.filter(
+      (moment) => Math.abs(at - moment) < SIMULTANEOUS_CRASH_MS,
     );
-    const counts = near.length < COUNTED_AT_A_MOMENT;
+    const isCounted = simultaneous.length < MAX_SIMULTANEOUS_CRASHES;
     const suspect: Suspect = {
       fingerprint,
-      lives: [...lives, life].slice(-MAX_LIVES),
-      moments: counts ? [...moments, at] : moments,
+      lives: [...lives, incarnation].slice(-MAX_INCARNATIONS_PER_SUSPECT),
+      moments: isCounted ? [...moments, at] : moments,
     };
     this.suspects.delete(fingerprint);
     if (suspect.moments.length >= CRASHES_TO_QUARANTINE) {
-      this.add(fingerprint, at);
+      this.addToQuarantine(fingerprint, at);
     } else {
       this.suspects.set(fingerprint, suspect);
-      dropOldest(this.suspects, MAX_SUSPECTS);
+      evictOldest(this.suspects, MAX_SUSPECTS);
     }
   }
 
-  private add(fingerprint: string, at: number): void {
+  private addToQuarantine(fingerprint: string, at: number): void {
     this.quarantined.set(fingerprint, at);
-    dropOldest(this.quarantined, MAX_QUARANTINED);
+    evictOldest(this.quarantined, MAX_QUARANTINED);
   }
 
-  /** Makes a new revision where what others are told has changed. */
-  private update(): boolean {
-    const {fingerprints, revision, suspects} = this.told;
-    const lists = this.lists();
-    const isSame =
-      isEqual(lists.fingerprints, fingerprints) &&
-      isEqual(lists.suspects, suspects);
-    if (!isSame) {
-      this.told = {...lists, revision: revision + 1};
+  /** Creates a new revision if the lists have changed, and returns whether they have. */
+  private publishChanges(): boolean {
+    const {fingerprints, revision, suspects} = this.published;
+    const newLists = this.buildLists();
+    const isUnchanged =
+      areEqual(newLists.fingerprints, fingerprints) &&
+      areEqual(newLists.suspects, suspects);
+    if (!isUnchanged) {
+      this.published = {...newLists, revision: revision + 1};
     }
-    return !isSame;
+    return !isUnchanged;
   }
 
-  private lists(): Omit<Quarantine, 'revision'> {
+  private buildLists(): Omit<Quarantine, 'revision'> {
     const suspects = [...this.suspects.values()].filter(
       ({moments}) => moments.length >= CRASHES_TO_QUARANTINE - 1,
     );
@@ -246,34 +261,35 @@
     };
   }
 
-  private forget(at: number): void {
+  /** Drops expired suspects and ends expired quarantines. */
+  private removeExpired(at: number): void {
     for (const [fingerprint, {moments}] of this.suspects) {
-      if (at - Math.max(...moments) > SUSPICION_MS) {
+      if (at - Math.max(...moments) > SUSPECT_TTL_MS) {
         this.suspects.delete(fingerprint);
       }
     }
     for (const [fingerprint, since] of this.quarantined) {
-      if (at - since > QUARANTINE_MS) {
+      if (at - since > QUARANTINE_DURATION_MS) {
         this.quarantined.delete(fingerprint);
-        this.putOnTrial(fingerprint, at);
+        this.addToProbation(fingerprint, at);
       }
     }
   }
 
-  /** One more crash has a request quarantined again. */
-  private putOnTrial(fingerprint: string, at: number): void {
+  /** Makes a released request a suspect that one more crash quarantines again. */
+  private addToProbation(fingerprint: string, at: number): void {
     const moments = Array<number>(CRASHES_TO_QUARANTINE - 1).fill(at);
     this.suspects.set(fingerprint, {fingerprint, lives: [], moments});
   }
 }
 
-function isEqual(a: readonly string[], b: readonly string[]): boolean {
-  return a.length === b.length && a.every((one, at) => one === b[at]);
+function areEqual(a: readonly string[], b: readonly string[]): boolean {
+  return a.length === b.length && a.every((value, index) => value === b[index]);
 }
 
-function dropOldest(map: Map<string, unknown>, most: number): void {
+function evictOldest(map: Map<string, unknown>, maxSize: number): void {
   const [oldest] = map.keys();
-  if (map.size > most && oldest !== undefined) {
+  if (map.size > maxSize && oldest !== undefined) {
     map.delete(oldest);
   }
 }
--- a/packages/puffinturn-quarantine/src/CrashWatch.ts
+++ b/packages/puffinturn-quarantine/src/CrashWatch.ts
@@ -6,10 +6,10 @@
  */
 
 /**
- * Notices when an upstream crashes, and which requests of this box were there. A
- * connection that breaks proves little: it may be reset, or an answer lost. The
- * upstream has crashed where just after that nothing listens at its address, or
- * another life is there, though it never said that it would leave.
+ * Detects upstream crashes and the requests of this box that were in flight. A broken
+ * connection alone is not a crash. An upstream has crashed if its address refuses
+ * connections soon afterwards or belongs to another incarnation, and no shutdown was
+ * announced.
  */
 import type {Clock} from 'shared';
 import {TaskGroup} from 'shared';
@@ -19,67 +19,69 @@
 import {LISTENER} from './ListenerProbe';
 
 /**
- * Time from the first break to the probe, ms: connections of a process that ends are
- * reset one after the other, and all requests that were there are to be known.
+ * Delay from the first failed request to the probe, ms. The connections of a crashed
+ * process are reset one after another, and the report must include all requests.
  */
-const PROBE_AFTER_MS = 50;
+const PROBE_DELAY_MS = 50;
 
-/** One life of an upstream. */
+/** One incarnation of an upstream. */
 export interface WatchedUpstream {
-  /** Names that life among all lives of all upstreams. */
+  /** Incarnation id, unique among all upstreams. */
   readonly life: string;
-  /** Whether it, or somebody for it, said that it leaves. */
+  /** Whether its shutdown was announced. */
   readonly leaves: boolean;
-  /** Whether another life took its place though it never said so. */
+  /** Whether another incarnation replaced it without an announced shutdown. */
   readonly supplanted: boolean;
 }
 
-/** What a CrashWatch is made of. */
+/** Dependencies of a CrashWatch. */
 export interface CrashWatchParts<Upstream extends WatchedUpstream> {
   readonly clock: Clock;
+  /** Called for each detected crash. */
   readonly crashed: (crash: Crash, upstream: Upstream) => void;
-  /** Whether anything listens at an upstream's address. */
+  /** Probes whether a process is listening on the address of an upstream. */
   readonly probe: (upstream: Upstream) => Promise<ListenerState>;
 }
 
-/** See the module comment. */
+/** Detects crashes by probing upstreams after failed requests. */
 export class CrashWatch<
   Upstream extends WatchedUpstream,
 > implements AsyncDisposable {
-  /** Requests broken since the last probe, by life. */
-  private readonly broken = new Map<string, Set<string>>();
+  /** Requests that failed since the last probe, by incarnation. */
+  private readonly interrupted = new Map<string, Set<string>>();
   private readonly tasks = new TaskGroup();
 
   constructor(private readonly parts: CrashWatchParts<Upstream>) {}
 
-  /** Notes that a request broke off at an upstream. */
+  /** Records a request whose connection broke and schedules a probe. */
   broke(upstream: Upstream, fingerprint: string): void {
-    const known = this.broken.get(upstream.life);
-    if (known !== undefined) {
-      known.add(fingerprint);
+    const existing = this.interrupted.get(upstream.life);
+    if (existing !== undefined) {
+      existing.add(fingerprint);
       return;
     }
-    this.broken.set(upstream.life, new Set([fingerprint]));
-    this.tasks.start((signal) => this.examine(upstream, signal));
+    this.interrupted.set(upstream.life, new Set([fingerprint]));
+    this.tasks.start((signal) => this.checkForCrash(upstream, signal));
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  private async examine(
+  /** Probes an upstream after a delay and reports a crash. */
+  private async checkForCrash(
     upstream: Upstream,
     signal: AbortSignal,
   ): Promise<void> {
     const {clock, crashed, probe} = this.parts;
-    const {life} = upstream;
-    await clock.sleep(PROBE_AFTER_MS, signal);
+    const {life: incarnation} = upstream;
+    await clock.sleep(PROBE_DELAY_MS, signal);
     const state = await probe(upstream);
-    const fingerprints = [...(this.broken.get(life) ?? [])];
-    this.broken.delete(life);
-    const isAbsent = state === LISTENER.refused && !upstream.leaves;
-    if (isAbsent || upstream.supplanted) {
-      crashed({fingerprints, life}, upstream);
+    const fingerprints = [...(this.interrupted.get(incarnation) ?? [])];
+    this.interrupted.delete(incarnation);
+    const hasStopped = state === LISTENER.refused && !upstream.leaves;
+    if (hasStopped || upstream.supplanted) {
+      crashed({fingerprints, life: incarnation}, upstream);
     }
   }
 }
--- a/packages/puffinturn-quarantine/src/Fingerprint.ts
+++ b/packages/puffinturn-quarantine/src/Fingerprint.ts
@@ -6,30 +6,30 @@
  */
 
 /**
- * Tells which requests are the same. A request that is sent again has a new id and
- * may meet another box; what it asks for, who asks and its body stay.
+ * Computes request fingerprints. A retried request may have a new id and may arrive at
+ * another box, but its target, caller and body are the same.
  */
 import {hash} from 'node:crypto';
 
-/** What makes two requests the same. */
+/** The parts of a request that identify it. */
 export interface RequestContent {
   readonly method: string;
-  /** The name of the host that was asked for, as the caller sent it. */
+  /** The requested host name, as sent by the caller. */
   readonly host: string;
-  /** Path and query. */
+  /** Path and query string. */
   readonly path: string;
-  /** The team, or what else names the caller. */
+  /** The team, or another identifier of the caller. */
   readonly caller: string;
   readonly body: Uint8Array;
 }
 
-/** Characters of a fingerprint: 128 bits, so that no two requests share one. */
+/** Length in hexadecimal characters: 128 bits make collisions negligible. */
 const FINGERPRINT_LENGTH = 32;
 
-/** The same for the same request in every process. */
+/** Returns the fingerprint of a request; equal in all processes. */
 export function fingerprintOf(content: RequestContent): string {
   const {body, caller, host, method, path} = content;
-  const ofBody = body.length === 0 ? '' : hash('sha256', body);
-  const text = JSON.stringify([method, host, path, caller, ofBody]);
+  const bodyHash = body.length === 0 ? '' : hash('sha256', body);
+  const text = JSON.stringify([method, host, path, caller, bodyHash]);
   return hash('sha256', text).slice(0, FINGERPRINT_LENGTH);
 }
--- a/packages/puffinturn-quarantine/src/ListenerProbe.ts
+++ b/packages/puffinturn-quarantine/src/ListenerProbe.ts
@@ -5,40 +5,40 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Finds out whether anything listens at an address. */
+/** Probes whether a process is listening on an address. */
 import {connect} from 'node:net';
 
-/** What a try to connect showed. */
+/** Results of a probe. */
 export const LISTENER = {
-  /** A connection came up. */
+  /** The connection was established. */
   listens: 'listens',
-  /** The machine answers, and nothing listens there. */
+  /** The connection was refused, so no process is listening. */
   refused: 'refused',
-  /** Nothing answered in time, or the way there failed. */
+  /** The connection timed out or failed with another error. */
   unknown: 'unknown',
 } as const;
 
-/** One of LISTENER. */
+/** A value of LISTENER. */
 export type ListenerState = (typeof LISTENER)[keyof typeof LISTENER];
 
-/** Longest time that a try may take, ms: some round trips between regions. */
-const PROBE_MS = 500;
+/** Connection timeout, ms; several round trips between regions. */
+const PROBE_TIMEOUT_MS = 500;
 
-/** Tries to connect once and closes the connection again. */
+/** Connects once and closes the connection. */
 export function probeListener(
   host: string,
   port: number,
 ): Promise<ListenerState> {
   return new Promise((resolve) => {
     const socket = connect({host, port});
-    const end = (state: ListenerState): void => {
+    const finish = (state: ListenerState): void => {
       socket.destroy();
       resolve(state);
     };
-    socket.setTimeout(PROBE_MS, () => end(LISTENER.unknown));
-    socket.once('connect', () => end(LISTENER.listens));
+    socket.setTimeout(PROBE_TIMEOUT_MS, () => finish(LISTENER.unknown));
+    socket.once('connect', () => finish(LISTENER.listens));
     socket.once('error', ({code}: NodeJS.ErrnoException) =>
-      end(code === 'ECONNREFUSED' ? LISTENER.refused : LISTENER.unknown),
+      finish(code === 'ECONNREFUSED' ? LISTENER.refused : LISTENER.unknown),
     );
   });
 }
--- a/packages/puffinturn-quarantine/src/QuarantineConstants.ts
+++ b/packages/puffinturn-quarantine/src/QuarantineConstants.ts
@@ -5,62 +5,58 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** When requests are quarantined, and how much is kept of them. */
+/** Constants of the quarantine: thresholds, durations and capacities. */
 
 /**
- * Crashes after which a request is quarantined. Two may be bad luck on a day of many
- * crashes: of 196 requests present at a crash on a day with 33 crashes, 12 were
- * present at two and none at three.
+ * Number of crashes after which a request is quarantined. Two are not enough, because a
+ * harmless request can be in flight at two crashes by chance.
  */
 export const CRASHES_TO_QUARANTINE = 3;
 
 /**
- * Crashes within this time are at the same moment, ms. Upstreams that lose power
- * together end within milliseconds, and a request that many send is at several of
- * them; reports of one such moment differ by the time of a probe and of a commit.
+ * Crashes within this time count as simultaneous, ms. Upstreams that lose power together
+ * stop within milliseconds, and reports of them differ by the time of a probe and a
+ * log commit.
  */
-export const SAME_MOMENT_MS = 250;
+export const SIMULTANEOUS_CRASH_MS = 250;
 
 /**
- * Crashes at the same moment that count. One moment alone must quarantine none; but
- * copies of a harmful request also come together, and every crash that does not count
- * costs one more upstream.
+ * Number of simultaneous crashes that count. A single event such as a power failure must
+ * not quarantine a request. Yet copies of a harmful request also arrive together, and
+ * each crash that is not counted costs another upstream.
  */
-export const COUNTED_AT_A_MOMENT = 2;
+export const MAX_SIMULTANEOUS_CRASHES = 2;
 
-/** Lives kept of one suspect: each edge that saw a crash reports it. */
-export const MAX_LIVES = 8;
+/** Incarnations stored per suspect, to count a crash reported by several edges once. */
+export const MAX_INCARNATIONS_PER_SUSPECT = 8;
 
-/** A suspect that no crash has been added to for so long is forgotten, ms. */
-export const SUSPICION_MS = 10 * 60_000;
+/** How long after its last crash a suspect is dropped, ms. */
+export const SUSPECT_TTL_MS = 10 * 60_000;
 
 /**
- * A quarantined request is tried again after this time, ms: upstreams may have been
- * mended by then, or may have crashed for another reason. One more crash has it
- * quarantined again, so that a harmful one costs six upstreams an hour.
+ * How long a request stays quarantined, ms. It is then tried again, as upstreams may have
+ * been fixed or may have crashed for another reason. One more crash quarantines it again,
+ * so that a harmful request crashes at most six upstreams an hour.
  */
-export const QUARANTINE_MS = 10 * 60_000;
+export const QUARANTINE_DURATION_MS = 10 * 60_000;
 
-/**
- * Answered requests that one box remembers, some 100 bytes each: those that are asked
- * for often enough to be at several crashes stay among them.
- */
-export const MAX_ANSWERED = 2_000;
+/** Successful requests that a box remembers; about 100 bytes each. */
+export const MAX_SUCCESSFUL_REQUESTS = 2_000;
 
-/** Suspects kept; one takes some 200 bytes of the log's snapshot. */
+/** Maximum number of suspects; about 200 bytes each in the log snapshot. */
 export const MAX_SUSPECTS = 2_000;
 
-/** Quarantined requests kept; every edge is told all of them. */
+/** Maximum number of quarantined requests; all of them are sent to every edge. */
 export const MAX_QUARANTINED = 256;
 
 /**
- * How long after a crash seen here requests are looked up before they are sent, ms;
- * those that the others have quarantined or suspect are looked up in any case.
+ * How long after a local crash requests are looked up before they are sent, ms. Requests
+ * that other boxes quarantined or suspect are always looked up.
  */
-export const SUSPECTED_MS = 60_000;
+export const LOOKUP_AFTER_CRASH_MS = 60_000;
 
 /**
- * Crashes and answers kept while nobody takes reports; the oldest are dropped. A
- * hall's upstreams that crash a few times in a long cut stay below it.
+ * Maximum number of unreported crashes, and of unreported successes. When more accumulate
+ * during a network partition, the oldest are dropped.
  */
-export const MAX_UNTOLD = 500;
+export const MAX_UNREPORTED = 500;
--- a/packages/puffinturn-quarantine/src/__tests__/unit/CrashEvidence.test.ts
+++ b/packages/puffinturn-quarantine/src/__tests__/unit/CrashEvidence.test.ts
@@ -8,11 +8,18 @@
 import {ManualClock} from 'shared';
 
 import {CrashEvidence} from '../../CrashEvidence';
-import {QUARANTINE_MS, SUSPECTED_MS} from '../../QuarantineConstants';
+import {
+  LOOKUP_AFTER_CRASH_MS,
+  QUARANTINE_DURATION_MS,
+} from '../../QuarantineConstants';
 
 const SECOND_MS = 1_000;
 
-describe('What a box knows of crashing requests', () => {
+/**
+ * Guards against running a harmful request again and against quarantining a request that
+ * succeeds.
+ */
+describe('CrashEvidence', () => {
   let clock: ManualClock;
   let evidence: CrashEvidence;
 
@@ -21,20 +28,20 @@
     evidence = new CrashEvidence(clock);
   });
 
-  async function crash(life: string): Promise<void> {
-    evidence.crashed({fingerprints: ['f'], life});
+  async function recordCrash(incarnation: string): Promise<void> {
+    evidence.crashed({fingerprints: ['f'], life: incarnation});
     await clock.advance(SECOND_MS);
   }
 
-  test('is empty again some time after the last crash', async () => {
+  test('is empty again after the lookup time since the last crash', async () => {
     expect(evidence.isEmpty).toBe(true);
-    await crash('a');
+    await recordCrash('a');
     expect(evidence.isEmpty).toBe(false);
-    await clock.advance(SUSPECTED_MS);
+    await clock.advance(LOOKUP_AFTER_CRASH_MS);
     expect(evidence.isEmpty).toBe(true);
   });
 
-  test('clears a request that only others suspect', () => {
+  test('clears a request that is suspected only by other boxes', () => {
     evidence.adopt({fingerprints: [], suspects: ['f']});
     expect(evidence.isEmpty).toBe(false);
     expect(evidence.isLastTry('f')).toBe(true);
@@ -44,33 +51,35 @@
     expect(evidence.served('g')).toBe(false);
   });
 
-  test('does not suspect what was answered here, however many crashes it is at', async () => {
+  test('does not suspect a request that succeeded on this box before several crashes', async () => {
     evidence.served('f');
-    for (const life of ['a', 'b', 'c', 'd']) {
-      await crash(life);
+    for (const incarnation of ['a', 'b', 'c', 'd']) {
+      await recordCrash(incarnation);
     }
     expect(evidence.untold).toBeUndefined();
     expect(evidence.isQuarantined('f')).toBe(false);
   });
 
-  test('drops crashes that nobody has been told of before an answer', async () => {
-    await crash('a');
-    await crash('b');
+  test('removes a successful request from unreported crashes', async () => {
+    await recordCrash('a');
+    await recordCrash('b');
     evidence.served('f');
-    const untold = evidence.untold;
-    const crashes = untold?.crashes.flatMap(({crash}) => crash.fingerprints);
+    const pendingReport = evidence.untold;
+    const crashes = pendingReport?.crashes.flatMap(
+      ({crash}) => crash.fingerprints,
+    );
     expect(crashes).toEqual([]);
-    expect(untold?.answered).toEqual(['f']);
+    expect(pendingReport?.answered).toEqual(['f']);
   });
 
-  test('keeps what it quarantined itself until the time for that is over', async () => {
-    for (const life of ['a', 'b', 'c']) {
-      await crash(life);
+  test('keeps its own quarantine until it expires', async () => {
+    for (const incarnation of ['a', 'b', 'c']) {
+      await recordCrash(incarnation);
     }
-    await clock.advance(SUSPECTED_MS);
+    await clock.advance(LOOKUP_AFTER_CRASH_MS);
     expect(evidence.isEmpty).toBe(false);
     expect(evidence.isQuarantined('f')).toBe(true);
-    await clock.advance(QUARANTINE_MS);
+    await clock.advance(QUARANTINE_DURATION_MS);
     expect(evidence.isQuarantined('f')).toBe(false);
     expect(evidence.isEmpty).toBe(true);
   });
--- a/packages/puffinturn-quarantine/src/__tests__/unit/Fingerprint.test.ts
+++ b/packages/puffinturn-quarantine/src/__tests__/unit/Fingerprint.test.ts
@@ -15,8 +15,9 @@
   path: '/chat/1?q=2',
 };
 
-describe('A fingerprint', () => {
-  test('is the same for the same request', () => {
+/** Guards against confusing different requests and against missing repeated ones. */
+describe('fingerprintOf', () => {
+  test('returns the same fingerprint for the same request', () => {
     const copy = {...REQUEST, body: Buffer.from('a prompt')};
     expect(fingerprintOf(copy)).toBe(fingerprintOf(REQUEST));
     expect(fingerprintOf(REQUEST)).toMatch(/^[0-9a-f]{32}$/);
@@ -29,14 +30,14 @@
     {host: 'b.example'},
     {method: 'PUT'},
     {path: '/chat/1?q=3'},
-  ])('differs with %p', (fields) => {
+  ])('returns another fingerprint for %p', (fields) => {
     const other = fingerprintOf({...REQUEST, ...fields});
     expect(other).not.toBe(fingerprintOf(REQUEST));
   });
 
-  test('does not confuse where one part ends and the next begins', () => {
-    const one = fingerprintOf({...REQUEST, caller: 'tu', path: '/v'});
-    const other = fingerprintOf({...REQUEST, caller: 't', path: 'u/v'});
-    expect(one).not.toBe(other);
+  test('separates adjacent parts of a request', () => {
+    const first = fingerprintOf({...REQUEST, caller: 'tu', path: '/v'});
+    const second = fingerprintOf({...REQUEST, caller: 't', path: 'u/v'});
+    expect(first).not.toBe(second);
   });
 });
--- a/packages/puffinturn-quarantine/src/index.ts
+++ b/packages/puffinturn-quarantine/src/index.ts
@@ -4,8 +4,8 @@
  * This source code is licensed under the Apache License 2.0 found in the
  * LICENSE file in the root directory of this source tree.
  */
-/** Requests that crash the upstreams that run them. */
-export type {Untold} from './CrashEvidence';
+/** Quarantine of requests that crash upstreams. */
+export type {PendingReport as Untold} from './CrashEvidence';
 export {CrashEvidence} from './CrashEvidence';
 export type {
   Crash,
