--- a/packages/puffinturn-fleet/src/AnswerTotals.ts
+++ b/packages/puffinturn-fleet/src/AnswerTotals.ts
@@ -5,16 +5,15 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Answers by route and version, of all edges together, kept up as edges report. */
 import type {VersionTally} from './Rollouts';
 
-/** Answers of one version on one route; times in the buckets of TIME_RATIO_BOUNDS. */
+/** Answers of one version on one route, with a histogram of times as in VersionTally. */
 export type AnswerCounts = Pick<VersionTally, 'answers' | 'failures' | 'times'>;
 
-/** No answers. */
+/** Counts without any answers. */
 export const NO_ANSWERS: AnswerCounts = {answers: 0, failures: 0, times: []};
 
-/** Counts that grow in place, as many edges report many routes. */
+/** Mutable, to avoid allocations when many edges report many routes. */
 interface Total {
   readonly route: string;
   readonly version: string;
@@ -23,11 +22,11 @@
   failures: number;
 }
 
-/** See the module comment. */
+/** Sums the answers of all edges by route and version. */
 export class AnswerTotals {
   private readonly totals = new Map<string, Total>();
 
-  /** All tallies, one for each route and version. */
+  /** Returns one tally for each route and version. */
   get tallies(): VersionTally[] {
     return [...this.totals.values()].map((total) => ({
       ...total,
@@ -35,51 +34,55 @@
     }));
   }
 
-  /** Takes in what one edge counts more than before. */
-  add(key: string, now: VersionTally, before: AnswerCounts): void {
-    const total = this.totals.get(key) ?? noneOf(now);
+  /** Adds the increase of an edge's counts from `previous` to `current`. */
+  addIncrease(
+    key: string,
+    current: VersionTally,
+    previous: AnswerCounts,
+  ): void {
+    const total = this.totals.get(key) ?? emptyTotal(current);
     this.totals.set(key, total);
-    total.answers += now.answers - before.answers;
-    total.failures += now.failures - before.failures;
-    for (const [at, count] of now.times.entries()) {
-      total.times[at] =
-        (total.times[at] ?? 0) + count - (before.times[at] ?? 0);
+    total.answers += current.answers - previous.answers;
+    total.failures += current.failures - previous.failures;
+    for (const [index, count] of current.times.entries()) {
+      total.times[index] =
+        (total.times[index] ?? 0) + count - (previous.times[index] ?? 0);
     }
   }
 }
 
-function noneOf({route, version}: VersionTally): Total {
+function emptyTotal({route, version}: VersionTally): Total {
   return {answers: 0, failures: 0, route, times: [], version};
 }
 
-/** Tells the tallies of one edge apart. */
+/** Returns a key that is unique for each route and version. */
 export function tallyKey(route: string, version: string): string {
-  // The length keeps apart what would be the same put together.
+  // The length prevents collisions of names that contain spaces.
   return `${route.length} ${route} ${version}`;
 }
 
-/** Both together. */
-export function sumOf(a: AnswerCounts, b: AnswerCounts): AnswerCounts {
-  return combine(a, b, (one, other) => one + other);
+/** Returns the sum of two counts. */
+export function addCounts(a: AnswerCounts, b: AnswerCounts): AnswerCounts {
+  return combine(a, b, (left, right) => left + right);
 }
 
-/** What `a` has more than `b`. */
-export function differenceOf(a: AnswerCounts, b: AnswerCounts): AnswerCounts {
-  return combine(a, b, (one, other) => one - other);
+/** Returns the counts of `a` minus those of `b`. */
+export function subtractCounts(a: AnswerCounts, b: AnswerCounts): AnswerCounts {
+  return combine(a, b, (left, right) => left - right);
 }
 
 function combine(
   a: AnswerCounts,
   b: AnswerCounts,
-  join: (one: number, other: number) => number,
+  operation: (left: number, right: number) => number,
 ): AnswerCounts {
   const longer = a.times.length >= b.times.length ? a : b;
-  const times = longer.times.map((_, at) =>
-    join(a.times[at] ?? 0, b.times[at] ?? 0),
+  const times = longer.times.map((_, index) =>
+    operation(a.times[index] ?? 0, b.times[index] ?? 0),
   );
   return {
-    answers: join(a.answers, b.answers),
-    failures: join(a.failures, b.failures),
+    answers: operation(a.answers, b.answers),
+    failures: operation(a.failures, b.failures),
     times,
   };
 }
--- a/packages/puffinturn-fleet/src/ExposureBlocks.ts
+++ b/packages/puffinturn-fleet/src/ExposureBlocks.ts
@@ -5,75 +5,77 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Exposure that one leader has taken out of the log for a roll-out. What edges are
- * granted is within a block that a record holds, so that the next leader, which takes
- * all of the newest block as used, never grants it again.
- */
 import type {ExposureLedger} from './ExposureLedger';
 import type {LeaderCalls} from './LeaderCalls';
 import type {RolloutClock} from './RolloutClock';
-import {BLOCK_REQUESTS} from './RolloutConstants';
+import {GRANT_BLOCK_REQUESTS} from './RolloutConstants';
 
-/** What ExposureBlocks are made of. */
-export interface ExposureBlocksParts {
+/** Dependencies of an ExposureAllocator. */
+export interface ExposureAllocatorParts {
   readonly service: string;
   /** The number of the order. */
   readonly number: number;
-  /** What the log held as this leader began. */
-  readonly granted: number;
-  readonly elapsed: RolloutClock;
+  /** Exposure allocated in the log at the start of this leader's term. */
+  readonly initialGranted: number;
+  readonly rolloutClock: RolloutClock;
   readonly leader: LeaderCalls;
   readonly ledger: ExposureLedger;
 }
 
-/** See the module comment. */
-export class ExposureBlocks {
-  /** The most that may be granted. */
-  private end: number;
-  /** The record of the next block, while it is on its way. */
-  private taking: Promise<boolean> | undefined;
+/**
+ * Allocates exposure for a rollout in the log, in blocks, before the leader grants it.
+ * A new leader treats the whole newest block as used, so exposure is never granted
+ * twice.
+ */
+export class ExposureAllocator {
+  /** Total exposure allocated in the log. */
+  private limit: number;
+  /** The allocation in flight, if any. */
+  private pendingBlock: Promise<boolean> | undefined;
 
-  constructor(private readonly parts: ExposureBlocksParts) {
-    this.end = parts.granted;
+  constructor(private readonly parts: ExposureAllocatorParts) {
+    this.limit = parts.initialGranted;
   }
 
-  /** Whether the log holds this much, once the records for it are written. */
-  async hold(granted: number): Promise<boolean> {
-    while (this.end < granted) {
-      this.taking ??= this.take();
-      if (!(await this.taking)) {
+  /**
+   * Allocates until the log covers `granted`. Returns false if a record could not be
+   * written.
+   */
+  async ensurePersisted(granted: number): Promise<boolean> {
+    while (this.limit < granted) {
+      this.pendingBlock ??= this.allocateBlock();
+      if (!(await this.pendingBlock)) {
         return false;
       }
     }
     return true;
   }
 
-  /** Writes the time since the order and the requests counted, and takes nothing. */
-  note(): Promise<boolean> {
-    return this.propose(this.end);
+  /** Writes the elapsed time and the request count without allocating exposure. */
+  recordProgress(): Promise<boolean> {
+    return this.propose(this.limit);
   }
 
-  private async take(): Promise<boolean> {
+  private async allocateBlock(): Promise<boolean> {
     const {budget, granted} = this.parts.ledger;
-    const ahead = Math.min(budget, granted + BLOCK_REQUESTS);
-    const wanted = Math.max(granted, ahead);
-    const isHeld = await this.propose(wanted);
-    this.end = isHeld ? Math.max(this.end, wanted) : this.end;
-    this.taking = undefined;
-    return isHeld;
+    const withNextBlock = Math.min(budget, granted + GRANT_BLOCK_REQUESTS);
+    const newLimit = Math.max(granted, withNextBlock);
+    const isAccepted = await this.propose(newLimit);
+    this.limit = isAccepted ? Math.max(this.limit, newLimit) : this.limit;
+    this.pendingBlock = undefined;
+    return isAccepted;
   }
 
   private async propose(granted: number): Promise<boolean> {
-    const {elapsed, leader, ledger, number, service} = this.parts;
-    const held = await leader.propose({
+    const {leader, ledger, number, rolloutClock, service} = this.parts;
+    const result = await leader.propose({
       counted: ledger.requests,
-      elapsedMs: elapsed.elapsedOf(service) ?? 0,
+      elapsedMs: rolloutClock.getElapsedMs(service) ?? 0,
       granted,
       kind: 'exposure-block',
       number,
       service,
     });
-    return held.isOk();
+    return result.isOk();
   }
 }
--- a/packages/puffinturn-fleet/src/ExposureLedger.ts
+++ b/packages/puffinturn-fleet/src/ExposureLedger.ts
@@ -5,156 +5,172 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * What edges have done in one roll-out, and how many requests they may send to the
- * new version. Counts are cumulative by the life of an edge, so reports that come
- * twice, late, or of lives that are over do no harm. What was granted stays used, also
- * by a life that is over.
- */
 import {AnswerTotals, NO_ANSWERS, tallyKey} from './AnswerTotals';
 import {
-  GRANTED_PART,
-  LEAST_UNUSED_GRANTS,
-  UNUSED_GRANTS_PART,
+  CANARY_BUDGET_FRACTION,
+  MIN_UNUSED_GRANT_LIMIT,
+  UNUSED_GRANT_FRACTION,
 } from './RolloutConstants';
 import type {ExposureBound, ExposureReport, VersionTally} from './Rollouts';
 
-interface Life {
+/** State of one edge incarnation. */
+interface EdgeState {
   readonly report: ExposureReport;
   readonly tallies: Map<string, VersionTally>;
-  readonly heardAt: number;
-  /** Granted to it in all, by this leader and those before. */
+  readonly reportedAt: number;
+  /** Total granted to this incarnation, including grants of earlier leaders. */
   readonly granted: number;
 }
 
-/** What the log knows of the exposure under former leaders. */
-export interface ExposureBase {
-  /** An upper bound of what they granted. */
+/** State from the log at the start of a leader's term. */
+export interface LedgerBaseline {
+  /** Upper bound of the exposure granted by earlier leaders. */
   readonly granted: number;
-  /** A lower bound of the requests of the service. */
+  /** Lower bound of the requests to the service since the order. */
   readonly counted: number;
 }
 
-/** See the module comment. */
+/**
+ * Tracks the exposure of one rollout, the requests that edges send to the new version,
+ * and grants more within the bound. Counts are cumulative per edge incarnation, so
+ * duplicate and delayed reports are harmless. Grants of an incarnation that has ended
+ * stay used.
+ */
 export class ExposureLedger {
-  private readonly lives = new Map<string, Life>();
+  private readonly edges = new Map<string, EdgeState>();
   private readonly answers = new AnswerTotals();
-  /** Granted by this leader. */
-  private ownGrants = 0;
-  /** Of all lives together. */
-  private reported = 0;
-  private exposedByAll = 0;
+  /** Granted in this leader's term. */
+  private grantedByThisLeader = 0;
+  /** Sum over all incarnations. */
+  private reportedRequests = 0;
+  private exposedRequests = 0;
 
   constructor(
     private readonly bound: ExposureBound,
-    private readonly base: ExposureBase,
+    private readonly baseline: LedgerBaseline,
   ) {}
 
-  /** Requests of the service since the order that are known of. */
+  /** Known requests to the service since the order. */
   get requests(): number {
-    return Math.max(this.base.counted, this.reported);
+    return Math.max(this.baseline.counted, this.reportedRequests);
   }
 
-  /** Requests that went to the new version, as far as edges have told. */
+  /** Reported requests to the new version. */
   get exposed(): number {
-    return this.exposedByAll;
+    return this.exposedRequests;
   }
 
-  /** Whether any edge has told this leader of its requests. */
+  /** Whether any edge has reported to this leader. */
   get hasReports(): boolean {
-    return this.lives.size > 0;
+    return this.edges.size > 0;
   }
 
-  /** All that may have been granted, by any leader. */
+  /** Upper bound of the exposure granted by all leaders. */
   get granted(): number {
-    return this.base.granted + this.ownGrants;
+    return this.baseline.granted + this.grantedByThisLeader;
   }
 
-  /** All that may be granted by now. */
+  /** Exposure that may be granted in total at the current request count. */
   get budget(): number {
     const {extra, share} = this.bound;
-    return Math.floor(GRANTED_PART * (share * this.requests + extra));
+    return Math.floor(CANARY_BUDGET_FRACTION * (share * this.requests + extra));
   }
 
-  /** Whether this many further requests may all be exposed within the bound. */
-  mayExposeAll(further: number): boolean {
+  /** Whether the bound allows sending this many more requests to the new version. */
+  canExposeAll(additionalRequests: number): boolean {
     const {extra, share} = this.bound;
-    const exposed = this.granted + further;
-    return exposed <= share * (this.requests + further) + extra;
+    const exposed = this.granted + additionalRequests;
+    return exposed <= share * (this.requests + additionalRequests) + extra;
   }
 
-  /** Takes a report in. */
-  take(life: string, report: ExposureReport, now: number): void {
-    const known = this.lives.get(life);
-    const newest = newestOf(known?.report, report);
-    this.reported += newest.requests - (known?.report.requests ?? 0);
-    this.exposedByAll += newest.exposed - (known?.report.exposed ?? 0);
-    const tallies = known?.tallies ?? new Map<string, VersionTally>();
-    this.takeTallies(tallies, report.tallies);
-    this.lives.set(life, {
-      granted: Math.max(known?.granted ?? 0, report.granted),
-      heardAt: now,
-      report: newest,
+  /** Records a report of an edge. */
+  recordReport(
+    incarnationId: string,
+    report: ExposureReport,
+    now: number,
+  ): void {
+    const previous = this.edges.get(incarnationId);
+    const latest = selectNewer(previous?.report, report);
+    this.reportedRequests += latest.requests - (previous?.report.requests ?? 0);
+    this.exposedRequests += latest.exposed - (previous?.report.exposed ?? 0);
+    const tallies = previous?.tallies ?? new Map<string, VersionTally>();
+    this.recordTallies(tallies, report.tallies);
+    this.edges.set(incarnationId, {
+      granted: Math.max(previous?.granted ?? 0, report.granted),
+      reportedAt: now,
+      report: latest,
       tallies,
     });
   }
 
-  /** Grants what a life may have by now; all that it was granted so far. */
-  grant(name: string): number {
-    const life = this.lives.get(name);
-    if (life === undefined) {
+  /** Increases the grant of an incarnation if possible. Returns its total grant. */
+  grant(incarnationId: string): number {
+    const edge = this.edges.get(incarnationId);
+    if (edge === undefined) {
       return 0;
     }
-    const more = Math.max(0, Math.min(this.room, this.lackOf(life)));
-    const granted = life.granted + more;
-    this.lives.set(name, {...life, granted});
-    this.ownGrants += more;
+    const increase = Math.max(
+      0,
+      Math.min(this.remainingBudget, this.grantDeficit(edge)),
+    );
+    const granted = edge.granted + increase;
+    this.edges.set(incarnationId, {...edge, granted});
+    this.grantedByThisLeader += increase;
     return granted;
   }
 
-  /** All answers, of all lives together, by route and version. */
+  /** Answers of all incarnations by route and version. */
   get tallies(): VersionTally[] {
     return this.answers.tallies;
   }
 
-  /** Reports of the lives that were heard of since then. */
+  /** Returns the reports received at or after `time`. */
   reportsSince(time: number): ExposureReport[] {
-    return [...this.lives.values()]
-      .filter(({heardAt}) => heardAt >= time)
+    return [...this.edges.values()]
+      .filter(({reportedAt}) => reportedAt >= time)
       .map(({report}) => report);
   }
 
-  private get room(): number {
+  private get remainingBudget(): number {
     return this.budget - this.granted;
   }
 
-  /** What a life lacks to its fair part, unless it has enough unused. */
-  private lackOf({granted, report}: Life): number {
+  /**
+   * Returns how much an incarnation is below its fair share, limited by its unused
+   * grants.
+   */
+  private grantDeficit({granted, report}: EdgeState): number {
     const {exposed, requests} = report;
-    const fair = (this.budget * requests) / Math.max(1, this.reported);
-    const usable = Math.max(LEAST_UNUSED_GRANTS, requests * UNUSED_GRANTS_PART);
+    const fairShare =
+      (this.budget * requests) / Math.max(1, this.reportedRequests);
+    const maxUnused = Math.max(
+      MIN_UNUSED_GRANT_LIMIT,
+      requests * UNUSED_GRANT_FRACTION,
+    );
     const unused = Math.max(0, granted - exposed);
-    return Math.ceil(Math.min(fair - granted, usable - unused));
+    return Math.ceil(Math.min(fairShare - granted, maxUnused - unused));
   }
 
-  /** Counts of answers only grow, so that the one with more is the newer. */
-  private takeTallies(
+  /**
+   * Ignores tallies with fewer answers than known: counts only grow, so they are older.
+   */
+  private recordTallies(
     known: Map<string, VersionTally>,
     reported: readonly VersionTally[],
   ): void {
     for (const tally of reported) {
       const key = tallyKey(tally.route, tally.version);
-      const held = known.get(key) ?? NO_ANSWERS;
-      if (tally.answers > held.answers) {
-        this.answers.add(key, tally, held);
+      const previous = known.get(key) ?? NO_ANSWERS;
+      if (tally.answers > previous.answers) {
+        this.answers.addIncrease(key, tally, previous);
         known.set(key, tally);
       }
     }
   }
 }
 
-/** Counts only grow, so the one with more requests is the newer. */
-function newestOf(
+/** Counts only grow, so a report with lower counts is older. */
+function selectNewer(
   known: ExposureReport | undefined,
   report: ExposureReport,
 ): ExposureReport {
@@ -165,10 +181,10 @@
   return (
     report.requests < known.requests ||
     report.exposed < known.exposed ||
-    answersOf(report) < answersOf(known)
+    countAnswers(report) < countAnswers(known)
   );
 }
 
-function answersOf({tallies}: ExposureReport): number {
+function countAnswers({tallies}: ExposureReport): number {
   return tallies.reduce((sum, {answers}) => sum + answers, 0);
 }
--- a/packages/puffinturn-fleet/src/RolloutClock.ts
+++ b/packages/puffinturn-fleet/src/RolloutClock.ts
@@ -5,72 +5,76 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Time since the orders of roll-outs, by the steady clock of one box, which looks at
- * each order as it applies it and so keeps the time as leaders change. What a box finds
- * in its log after a start goes on from the newest record, or from the time of day
- * where that shows more.
- */
 import type {Clock} from 'shared';
 
 import type {FleetMachine} from './FleetMachine';
 import type {RolloutProgress} from './RolloutRegister';
 
-interface Beginning {
+interface OrderStart {
   readonly number: number;
-  /** When the order was taken, by the steady clock. */
-  readonly at: number;
+  /** Time of the order on the monotonic clock of this box. */
+  readonly startedAt: number;
 }
 
-/** See the module comment. */
+/**
+ * Measures the time since each rollout order on the monotonic clock of one box. Every
+ * box tracks it, so that the elapsed time survives a change of leader. After a restart
+ * it resumes from the newest log record, or from the wall clock if that shows more.
+ */
 export class RolloutClock {
-  private readonly beginnings = new Map<string, Beginning>();
-  private lookedAt: number | undefined;
+  private readonly orderStarts = new Map<string, OrderStart>();
+  private lastRefreshAt: number | undefined;
 
   constructor(
     private readonly clock: Clock,
     private readonly machine: FleetMachine,
   ) {}
 
-  /** Takes note of orders and times that were applied since the last look. */
-  look(): void {
-    const lookedAt = this.lookedAt ?? -Infinity;
-    this.lookedAt = this.clock.now();
+  /** Reads orders and elapsed times applied since the last call. */
+  refresh(): void {
+    const previousRefreshAt = this.lastRefreshAt ?? -Infinity;
+    this.lastRefreshAt = this.clock.now();
     for (const {service} of this.machine.rollouts.services) {
       const progress = this.machine.rolloutProgressOf(service);
       if (progress !== undefined) {
-        this.note(service, progress, lookedAt);
+        this.recordStart(service, progress, previousRefreshAt);
       }
     }
   }
 
-  /** Time since the newest order for a service, ms; undefined without one. */
-  elapsedOf(service: string): number | undefined {
-    this.look();
-    const beginning = this.beginnings.get(service);
-    return beginning && this.clock.now() - beginning.at;
+  /**
+   * Returns the time since the newest order for a service in ms, or undefined if there
+   * is none.
+   */
+  getElapsedMs(service: string): number | undefined {
+    this.refresh();
+    const start = this.orderStarts.get(service);
+    return start && this.clock.now() - start.startedAt;
   }
 
   /**
-   * An order that came since the last look is no older than that look, whatever the
-   * time of day says: boxes' times of day differ, and may step by seconds.
+   * Treats an order that appeared since the last refresh as no older than that refresh,
+   * because wall clocks of boxes differ and may jump by seconds.
    */
-  private note(
+  private recordStart(
     service: string,
     progress: RolloutProgress,
-    lookedAt: number,
+    previousRefreshAt: number,
   ): void {
     const {elapsedMs, number, orderedAt} = progress;
     const now = this.clock.now();
-    const known = this.beginnings.get(service);
-    const at =
-      known?.number === number
-        ? Math.min(known.at, now - elapsedMs)
+    const previous = this.orderStarts.get(service);
+    const startedAt =
+      previous?.number === number
+        ? Math.min(previous.startedAt, now - elapsedMs)
         : now -
           Math.max(
             elapsedMs,
-            Math.min(this.clock.wallTime() - orderedAt, now - lookedAt),
+            Math.min(
+              this.clock.wallTime() - orderedAt,
+              now - previousRefreshAt,
+            ),
           );
-    this.beginnings.set(service, {at, number});
+    this.orderStarts.set(service, {number, startedAt});
   }
 }
--- a/packages/puffinturn-fleet/src/RolloutConstants.ts
+++ b/packages/puffinturn-fleet/src/RolloutConstants.ts
@@ -5,172 +5,184 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Bounds of roll-outs, each with its reason. */
+/** Constants of rollouts. */
 
 /**
- * The part of the bounded share, and of the requests beyond it, that edges may be
- * granted while a version is tried. The rest of the bound is for the shift, in which all
- * requests go to the new version until it shows to be bad.
+ * Fraction of the exposure bound that may be granted during the canary phase. The rest
+ * is reserved for the shift, when all requests go to the new version until a failure is
+ * detected.
  */
-export const GRANTED_PART = 0.35;
+export const CANARY_BUDGET_FRACTION = 0.35;
 
-/** Grants that an edge may hold unused: enough for one exchange of a quiet edge. */
-export const LEAST_UNUSED_GRANTS = 4;
+/** Unused grants that any edge may hold; enough for one report interval. */
+export const MIN_UNUSED_GRANT_LIMIT = 4;
 
-/** The same as a part of its requests so far, for busy edges. */
-export const UNUSED_GRANTS_PART = 0.02;
+/** Unused grants that a busy edge may hold, as a fraction of its requests so far. */
+export const UNUSED_GRANT_FRACTION = 0.02;
 
 /**
- * Exposure taken out of the log at a time beyond what is asked for, in requests: few
- * enough that a lost leader's block is no loss, enough to spare most records.
+ * Requests allocated per log record beyond the current grants. Saves log writes, and
+ * limits what is lost with a leader.
  */
-export const BLOCK_REQUESTS = 16;
+export const GRANT_BLOCK_REQUESTS = 16;
 
 /**
- * How often a leader looks at the roll-outs under way, ms: a part of the time within
- * which a version that fails under load must be found, as all requests go to it then.
+ * Interval at which the leader evaluates rollouts in progress, ms. Short, because a
+ * version that fails under load receives all requests during the shift.
  */
-export const STEP_MS = 100;
+export const LEADER_STEP_INTERVAL_MS = 100;
 
-/** How often a box looks whether there are any, where nothing wakes it, ms. */
-export const IDLE_LOOK_MS = 1_000;
+/** Polling interval while no rollout is in progress, ms. */
+export const IDLE_POLL_INTERVAL_MS = 1_000;
 
-/** Time since the order is written to the log this often at least, ms. */
-export const ELAPSED_NOTE_MS = 2_000;
+/** Maximum interval between log records of the elapsed time, ms. */
+export const ELAPSED_RECORD_INTERVAL_MS = 2_000;
 
-/** Lines about exposure come this often at most, ms. */
-export const EXPOSURE_LINE_MS = 1_000;
+/** Minimum interval between log lines about exposure, ms. */
+export const EXPOSURE_LOG_INTERVAL_MS = 1_000;
 
 /**
- * How long a leader gathers the upstreams of a service before it names its stable
- * version, ms: longer than they take between two heartbeats, so that most are known.
+ * Delay before the leader determines the stable version of a service, ms. Longer than a
+ * heartbeat interval, so that most upstreams have registered.
  */
-export const STABLE_GATHER_MS = 3_000;
+export const STABLE_VERSION_DELAY_MS = 3_000;
 
 /**
- * An order that comes again this soon after it was taken is a copy, ms: longer than
- * operators send it again for, with a slow way on top.
+ * Time after an order in which an identical order counts as a retry, ms. Covers the
+ * retries of an operator plus network delay.
  */
-export const COPY_WITHIN_MS = 10_000;
+export const DUPLICATE_ORDER_WINDOW_MS = 10_000;
 
-/** The part of its time that a version is tried for at least before all use it. */
-export const TRIAL_PART = 0.6;
+/** Minimum duration of the canary phase, as a fraction of the rollout duration. */
+export const MIN_CANARY_FRACTION = 0.6;
 
-/** From this part of the time on less evidence is enough, as time runs out. */
-export const LATE_TRIAL_PART = 0.8;
+/** Fraction of the rollout duration after which fewer answers and slots suffice. */
+export const LATE_CANARY_FRACTION = 0.8;
 
 /**
- * The part of the new version's requests that are answered, over that of the stable
- * one, before it counts as good: the answers of a slow one are still to come.
+ * Minimum answered fraction of the new version's requests, relative to the stable
+ * version. Slow answers arrive late and would otherwise be missed.
  */
-export const LEAST_ANSWERED_PART = 0.6;
+export const MIN_ANSWERED_RATIO = 0.6;
 
 /**
- * The part of its time after which a version is tried though no upstream of it is warm
- * yet: cold ones are slow and show little, but so does no trial.
+ * Fraction of the rollout duration after which the canary phase starts without a warm
+ * upstream. Cold upstreams give slow answers, but waiting longer would leave no time.
  */
-export const COLD_WAIT_PART = 0.25;
+export const MAX_WARMUP_FRACTION = 0.25;
 
-/** Routes that a verdict gives figures of, so that its record stays small. */
-export const FIGURED_ROUTES = 8;
+/** Maximum number of routes in the record of a verdict, to limit its size. */
+export const MAX_REPORTED_ROUTES = 8;
 
-/** Answers of the new version before it counts as good. */
-export const LEAST_ANSWERS = 25;
+/** Minimum answers of the new version before the shift. */
+export const MIN_ANSWERS = 25;
 
-/** The same once time runs out, for services with few requests. */
-export const LEAST_LATE_ANSWERS = 8;
+/** Minimum answers of the new version late in the canary phase, for low traffic. */
+export const MIN_ANSWERS_LATE = 8;
 
-/** Answers of the new version on each main route before it counts as good. */
-export const LEAST_ROUTE_ANSWERS = 8;
+/** Minimum answers of the new version per main route before the shift. */
+export const MIN_ANSWERS_PER_ROUTE = 8;
 
-/** The part of a service's answers from which on a route is a main one. */
-export const MAIN_ROUTE_PART = 0.05;
+/** Minimum fraction of a service's answers for a route to count as a main route. */
+export const MAIN_ROUTE_FRACTION = 0.05;
 
 /**
- * Slots of the new version's ready upstreams as a part of those of the stable one
- * before all requests go to them, so that they bear the load.
+ * Minimum ratio of the new version's slots to those of the stable version before the
+ * shift, so that the new version can serve all requests.
  */
-export const LEAST_SLOTS_PART = 0.75;
+export const MIN_SLOTS_RATIO = 0.75;
 
 /**
- * The same once time runs out: some of the stable version's may have crashed, which
- * shows late.
+ * Minimum slot ratio late in the canary phase. Lower, because crashed upstreams of the
+ * stable version may still be counted.
  */
-export const LEAST_LATE_SLOTS_PART = 0.5;
+export const MIN_SLOTS_RATIO_LATE = 0.5;
 
 /**
- * An outcome falls this long before the deadline at the latest, ms: a record has to be
- * written and the operator has to read it in time.
+ * Time before the deadline at which an outcome is decided, ms. Leaves time to write the
+ * record and for the operator to read it.
  */
 export const VERDICT_BEFORE_DEADLINE_MS = 500;
 
 /**
- * A shift begins this long before the deadline where the bound leaves no time for an
- * earlier one, ms: one second for a version that fails under load to be found, in which
- * about the rest of the bound is used. What is open at the former version for longer
- * breaks off.
+ * Time before the deadline at which the shift starts even if the exposure bound does
+ * not cover all remaining requests, ms. Leaves about one second to detect a failure
+ * under load. Requests in flight at the previous version are cut off at the deadline.
  */
-export const SHIFT_BEFORE_DEADLINE_MS = 1_500;
+export const FORCED_SHIFT_BEFORE_DEADLINE_MS = 1_500;
 
-/** Later than this before the deadline no shift begins, ms: edges have to hear of it. */
-export const LAST_SHIFT_BEFORE_DEADLINE_MS = 750;
+/** Latest start of the shift before the deadline, ms; edges need time to learn of it. */
+export const LATEST_SHIFT_BEFORE_DEADLINE_MS = 750;
 
 /**
- * The part of its time that a version serves all requests for at least before it is
- * completed early, as some fail under load only.
+ * Minimum duration of the shift as a fraction of the rollout duration, because some
+ * versions fail only under load.
  */
-export const LEAST_SHIFT_PART = 0.1;
+export const MIN_SHIFT_FRACTION = 0.1;
 
 /**
- * How long a new leader hears edges before it completes a roll-out whose time is over,
- * ms: two reports of an edge, so that it does not complete what has turned bad.
+ * Time for which a new leader collects reports before it completes a rollout at its
+ * deadline, ms. Two report intervals, so that a version that has failed is not
+ * completed.
  */
-export const LEARN_MS = 500;
+export const REPORT_GATHER_MS = 500;
 
-/** How long it waits for the first of them, ms: edges may have started anew as well. */
-export const LEARN_WITHOUT_REPORTS_MS = 3_000;
+/**
+ * Maximum time that a new leader waits for the first report, ms; edges may have
+ * restarted too.
+ */
+export const MAX_REPORT_WAIT_MS = 3_000;
 
-/** An edge that has not reported for this long is not waited for, ms. */
-export const REPORTED_LATELY_MS = 1_500;
+/** Age after which a report is ignored when checking that all edges have shifted, ms. */
+export const REPORT_EXPIRY_MS = 1_500;
 
-/** Error rate that no test takes for raised: a service without any errors would be judged by one. */
-export const NORMAL_FAILURES = 0.02;
+/**
+ * Lower limit of the baseline failure rate, so that a few failures do not cause a
+ * rollback when the stable version has none.
+ */
+export const MIN_BASELINE_FAILURE_RATE = 0.02;
 
-/** A bad version's error rate lies this much above the normal one; less can't be told within a trial. */
-export const BAD_FAILURES_LIFT = 0.1;
+/**
+ * Increase over the baseline failure rate that marks a bad version. A smaller one can't
+ * be detected within the canary phase.
+ */
+export const FAILURE_RATE_INCREASE = 0.1;
 
-/** Part of slow answers that no test takes for raised: its prompts are not kept yet. */
-export const NORMAL_SLOW = 0.05;
+/**
+ * Lower limit of the baseline rate of slow answers; the new version starts with a cold
+ * prompt cache.
+ */
+export const MIN_BASELINE_SLOW_RATE = 0.05;
 
-/** How far above the normal part of slow answers a bad version's is. */
-export const BAD_SLOW_LIFT = 0.25;
+/** Increase over the baseline rate of slow answers that marks a bad version. */
+export const SLOW_RATE_INCREASE = 0.25;
 
-/** Factor on the rate seen of the stable version, which is known from few answers. */
-export const NORMAL_MARGIN = 1.5;
+/** Factor on the observed baseline rate, because it is estimated from few answers. */
+export const BASELINE_MARGIN = 1.5;
 
-/** Answers that the normal rate counts for beside those of the stable version. */
+/** Weight of the lower limit in the estimate of the baseline rate, in answers. */
 export const PRIOR_ANSWERS = 50;
 
-/** No test is made of a rate this high: good and bad look alike then. */
-export const HOPELESS_RATE = 0.9;
+/** Maximum raised rate that is tested; above it, good and bad versions look alike. */
+export const MAX_TESTABLE_RATE = 0.9;
 
-/** Time over the expected one from which on an answer may count as slow. */
-export const LEAST_SLOW_RATIO = 2;
+/** Minimum ratio of actual to expected time for a slow answer. */
+export const MIN_SLOW_RATIO = 2;
 
-/** Steps with answers of the stable version that its rates are taken from. */
-export const STABLE_STEPS = 50;
+/** Number of recent steps from which the baseline rate is estimated. */
+export const BASELINE_STEPS = 50;
 
 /**
- * Log likelihood ratio from which on a version is bad. A good version with the normal
- * rate is taken for bad less than once in 10,000 answers.
+ * Log-likelihood ratio at which a version is bad. A version at the baseline rate
+ * exceeds it less than once in 10,000 answers.
  */
-export const BAD_FROM = Math.log(10_000);
+export const BAD_THRESHOLD = Math.log(10_000);
 
-/** From here on a version is not called good, as the next answers may decide. */
-export const SUSPECT_FROM = BAD_FROM / 3;
+/** Log-likelihood ratio at which a version is suspect and does not count as good. */
+export const SUSPECT_THRESHOLD = BAD_THRESHOLD / 3;
 
 /**
- * The most that one step adds, so that one upstream that breaks off all that it has at
- * once does not decide about its version.
+ * Maximum increase of the log-likelihood ratio per step, so that one upstream that
+ * fails all its in-flight requests at once does not cause a rollback.
  */
-export const MOST_PER_STEP = BAD_FROM * 0.6;
+export const MAX_INCREASE_PER_STEP = BAD_THRESHOLD * 0.6;
--- a/packages/puffinturn-fleet/src/RolloutControl.ts
+++ b/packages/puffinturn-fleet/src/RolloutControl.ts
@@ -5,10 +5,6 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Roll-outs at a control box: takes orders, reads and reports of exposure, here or at
- * the leader, and while this box leads moves on what is under way.
- */
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {Replica} from 'puffinturn-log';
 import type {Link} from 'puffinturn-wire';
@@ -19,10 +15,14 @@
 import {FLEET_SERVICE} from './FleetMessages';
 import type {LeaderCalls} from './LeaderCalls';
 import {RolloutClock} from './RolloutClock';
-import {COPY_WITHIN_MS, IDLE_LOOK_MS, STEP_MS} from './RolloutConstants';
+import {
+  DUPLICATE_ORDER_WINDOW_MS,
+  IDLE_POLL_INTERVAL_MS,
+  LEADER_STEP_INTERVAL_MS,
+} from './RolloutConstants';
 import {RolloutLeader} from './RolloutLeader';
 import type {RolloutOrderRecord, RolloutRecordOutcome} from './RolloutRegister';
-import {isUnderWay} from './RolloutRegister';
+import {isInProgress} from './RolloutRegister';
 import type {
   ExposureBound,
   ExposureReply,
@@ -35,12 +35,12 @@
 import {ROLLOUT_ORDER} from './Rollouts';
 import type {UpstreamTable} from './Upstreams';
 
-/** What a RolloutControl is made of. */
+/** Dependencies of a RolloutControl. */
 export interface RolloutControlParts {
-  /** Undefined where roll-outs are not switched on. */
+  /** Undefined if rollouts are disabled. */
   readonly exposure?: ExposureBound | undefined;
   readonly clock: Clock;
-  /** Notified on every change of the machine that boxes have to hear of. */
+  /** Notified of every state machine change that boxes must learn of. */
   readonly changed: Condition;
   readonly leader: LeaderCalls;
   readonly link: Link;
@@ -54,34 +54,42 @@
 
 const UNAVAILABLE: RolloutOrderReply = {outcome: ROLLOUT_ORDER.unavailable};
 
-const NOT_CURRENT: RolloutReadReply = {current: false, versions: undefined};
+const STALE_READ: RolloutReadReply = {current: false, versions: undefined};
 
-/** See the module comment. */
+/**
+ * Handles rollout orders, reads and exposure reports at a control box, and forwards
+ * them to the leader if this box is not the leader. The leader also advances rollouts
+ * in progress.
+ */
 export class RolloutControl implements AsyncDisposable {
-  private readonly elapsed: RolloutClock;
+  private readonly rolloutClock: RolloutClock;
   private readonly rolloutLeader: RolloutLeader | undefined;
   private readonly handlers = new DisposableList();
   private readonly tasks = new TaskGroup();
 
   constructor(private readonly parts: RolloutControlParts) {
     const {clock, exposure, link, machine} = parts;
-    this.elapsed = new RolloutClock(clock, machine);
+    this.rolloutClock = new RolloutClock(clock, machine);
     this.rolloutLeader =
       exposure &&
-      new RolloutLeader({...parts, bound: exposure, elapsed: this.elapsed});
+      new RolloutLeader({
+        ...parts,
+        bound: exposure,
+        rolloutClock: this.rolloutClock,
+      });
     this.handlers.add(
       link.register(FLEET_SERVICE.beginRollout, (body) =>
-        this.beginHere(body as RolloutOrder),
+        this.beginAsLeader(body as RolloutOrder),
       ),
     );
     this.handlers.add(
       link.register(FLEET_SERVICE.readRollout, (body) =>
-        this.readHere(body as string),
+        this.readAsLeader(body as string),
       ),
     );
     this.handlers.add(
       link.register(FLEET_SERVICE.exposure, (body) =>
-        this.exchange(body as ExposureRequest),
+        this.exchangeExposure(body as ExposureRequest),
       ),
     );
     if (this.rolloutLeader !== undefined) {
@@ -90,23 +98,23 @@
     }
   }
 
-  /** Orders a roll-out; accepted once a quorum holds it. */
+  /** Orders a rollout. The order is accepted once a quorum has stored it. */
   begin(order: RolloutOrder): Promise<RolloutOrderReply> {
     return this.parts.leader.atLeader(
       FLEET_SERVICE.beginRollout,
       order,
       UNAVAILABLE,
-      () => this.beginHere(order),
+      () => this.beginAsLeader(order),
     );
   }
 
-  /** The versions of a service, as a barrier of the log shows them. */
+  /** Returns the versions of a service after a linearizable read of the log. */
   read(service: string): Promise<RolloutReadReply> {
     return this.parts.leader.atLeader(
       FLEET_SERVICE.readRollout,
       service,
-      NOT_CURRENT,
-      () => this.readHere(service),
+      STALE_READ,
+      () => this.readAsLeader(service),
     );
   }
 
@@ -115,7 +123,7 @@
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  private exchange(request: ExposureRequest): Promise<ExposureReply> {
+  private exchangeExposure(request: ExposureRequest): Promise<ExposureReply> {
     const {leader} = this.parts;
     return leader.atLeader(
       FLEET_SERVICE.exposure,
@@ -125,14 +133,14 @@
     );
   }
 
-  private async readHere(service: string): Promise<RolloutReadReply> {
+  private async readAsLeader(service: string): Promise<RolloutReadReply> {
     const current = await this.parts.leader.isCurrent();
     const versions = this.parts.machine.versionsOf(service);
-    return current ? {current, versions} : NOT_CURRENT;
+    return current ? {current, versions} : STALE_READ;
   }
 
-  private async beginHere(order: RolloutOrder): Promise<RolloutOrderReply> {
-    const reply = await this.takeOrder(order);
+  private async beginAsLeader(order: RolloutOrder): Promise<RolloutOrderReply> {
+    const reply = await this.handleOrder(order);
     const {service, targetVersion} = order;
     const rollout = this.parts.machine.versionsOf(service)?.rollout;
     this.parts.log.note({
@@ -145,38 +153,40 @@
     return reply;
   }
 
-  private async takeOrder(order: RolloutOrder): Promise<RolloutOrderReply> {
+  private async handleOrder(order: RolloutOrder): Promise<RolloutOrderReply> {
     if (this.rolloutLeader === undefined) {
       return {outcome: ROLLOUT_ORDER.disabled};
     }
     const {rolloutLeader} = this;
     if (
-      !(await rolloutLeader.beginTerm()) ||
+      !(await rolloutLeader.ensureCurrentTerm()) ||
       !(await this.parts.leader.isCurrent())
     ) {
       return UNAVAILABLE;
     }
-    const known = this.knownOutcome(order);
-    return known === undefined
+    const existing = this.existingOutcome(order);
+    return existing === undefined
       ? this.proposeOrder(order, rolloutLeader)
-      : this.replyOf(order, known);
+      : this.toReply(order, existing);
   }
 
-  /** The outcome where the order changes nothing. */
-  private knownOutcome(order: RolloutOrder): RolloutOrderOutcome | undefined {
+  /** Returns the outcome if the order would change nothing. */
+  private existingOutcome(
+    order: RolloutOrder,
+  ): RolloutOrderOutcome | undefined {
     const {durationMs, service, targetVersion} = order;
     const {machine} = this.parts;
     if (!machine.isService(service)) {
       return ROLLOUT_ORDER.unknownService;
     }
     const rollout = machine.versionsOf(service)?.rollout;
-    const isSame = rollout?.targetVersion === targetVersion;
-    if (isUnderWay(rollout)) {
-      return isSame ? ROLLOUT_ORDER.accepted : ROLLOUT_ORDER.conflict;
+    const isSameVersion = rollout?.targetVersion === targetVersion;
+    if (isInProgress(rollout)) {
+      return isSameVersion ? ROLLOUT_ORDER.accepted : ROLLOUT_ORDER.conflict;
     }
-    const elapsedMs = this.elapsed.elapsedOf(service) ?? Infinity;
-    const isCopy = isSame && rollout.durationMs === durationMs;
-    return isCopy && elapsedMs < COPY_WITHIN_MS
+    const elapsedMs = this.rolloutClock.getElapsedMs(service) ?? Infinity;
+    const isDuplicate = isSameVersion && rollout.durationMs === durationMs;
+    return isDuplicate && elapsedMs < DUPLICATE_ORDER_WINDOW_MS
       ? ROLLOUT_ORDER.accepted
       : undefined;
   }
@@ -187,29 +197,29 @@
   ): Promise<RolloutOrderReply> {
     const {clock, leader, machine} = this.parts;
     const {service, targetVersion} = order;
-    const held = machine.versionsOf(service);
+    const versions = machine.versionsOf(service);
     const stableVersion =
-      held?.stableVersion ??
-      rolloutLeader.stableVersionOf(service, targetVersion);
-    // Without any upstream it can't be told which version serves.
+      versions?.stableVersion ??
+      rolloutLeader.detectStableVersion(service, targetVersion);
+    // Without upstreams the stable version is unknown.
     if (stableVersion === undefined) {
       return UNAVAILABLE;
     }
     const record: RolloutOrderRecord = {
       ...order,
       kind: 'rollout-order',
-      knownNumber: held?.rollout?.number ?? 0,
+      knownNumber: versions?.rollout?.number ?? 0,
       orderedAt: clock.wallTime(),
       stableVersion,
     };
     const outcome = await leader.propose<RolloutRecordOutcome>(record);
     return outcome.match(
-      (applied) => this.replyOf(order, applied.order),
+      (applied) => this.toReply(order, applied.order),
       () => UNAVAILABLE,
     );
   }
 
-  private replyOf(
+  private toReply(
     {service}: RolloutOrder,
     outcome: RolloutOrderOutcome,
   ): RolloutOrderReply {
@@ -219,25 +229,25 @@
       : {outcome};
   }
 
-  /** Every box looks at the time of orders; the leader moves them on. */
+  /** Tracks the elapsed time on every box, and advances rollouts on the leader. */
   private async run(
     rolloutLeader: RolloutLeader,
     signal: AbortSignal,
   ): Promise<void> {
     const {changed, clock, replica} = this.parts;
     while (!signal.aborted) {
-      this.elapsed.look();
+      this.rolloutClock.refresh();
       if (replica.isLeader) {
         await rolloutLeader.step();
       }
-      await (this.anyUnderWay
-        ? clock.sleep(STEP_MS, signal)
-        : sleepUnlessNotified(clock, changed, IDLE_LOOK_MS, signal));
+      await (this.hasActiveRollout
+        ? clock.sleep(LEADER_STEP_INTERVAL_MS, signal)
+        : sleepUnlessNotified(clock, changed, IDLE_POLL_INTERVAL_MS, signal));
     }
   }
 
-  private get anyUnderWay(): boolean {
+  private get hasActiveRollout(): boolean {
     const {services} = this.parts.machine.rollouts;
-    return services.some(({rollout}) => isUnderWay(rollout));
+    return services.some(({rollout}) => isInProgress(rollout));
   }
 }
--- a/packages/puffinturn-fleet/src/RolloutCourse.ts
+++ b/packages/puffinturn-fleet/src/RolloutCourse.ts
@@ -5,32 +5,28 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * One roll-out as one leader sees it: what edges have told and were granted, and the
- * comparison of the versions. Does nothing by itself.
- */
 import type {VersionAnswers} from 'puffinturn-decisions';
 
-import type {ExposureBase} from './ExposureLedger';
+import type {LedgerBaseline} from './ExposureLedger';
 import {ExposureLedger} from './ExposureLedger';
 import {
-  COLD_WAIT_PART,
-  LEARN_MS,
-  LEARN_WITHOUT_REPORTS_MS,
-  MAIN_ROUTE_PART,
-  REPORTED_LATELY_MS,
+  MAIN_ROUTE_FRACTION,
+  MAX_REPORT_WAIT_MS,
+  MAX_WARMUP_FRACTION,
+  REPORT_EXPIRY_MS,
+  REPORT_GATHER_MS,
 } from './RolloutConstants';
 import type {ExposureBound, Rollout, ServiceVersions} from './Rollouts';
 import {ROLLOUT_STATE} from './Rollouts';
 import type {RolloutVerdict} from './RolloutVerdict';
-import {verdictOn} from './RolloutVerdict';
+import {decideVerdict} from './RolloutVerdict';
 import {slotsOf} from './ServiceUpstreams';
 import type {UpstreamRecord} from './Upstreams';
 import {VersionComparison} from './VersionComparison';
 
-/** What a course is judged by besides the reports of edges. */
-export interface CourseSight {
-  /** By the steady clock, ms. */
+/** Input of an evaluation besides the reports of edges. */
+export interface EvaluationInput {
+  /** Current time on the monotonic clock, ms. */
   readonly now: number;
   /** Time since the order, ms. */
   readonly elapsedMs: number;
@@ -38,54 +34,61 @@
   readonly upstreams: readonly UpstreamRecord[];
 }
 
-/** See the module comment. */
-export class RolloutCourse {
+/**
+ * Evaluates one rollout on the leader from the reports of edges. It compares the
+ * versions and returns verdicts, but changes nothing itself.
+ */
+export class RolloutEvaluator {
   readonly number: number;
   readonly ledger: ExposureLedger;
   private readonly comparison: VersionComparison;
-  private shiftingSince: number | undefined;
-  private ledSince: number | undefined;
-  private heardSince: number | undefined;
+  private shiftStartedAt: number | undefined;
+  private leadingSince: number | undefined;
+  private firstReportAt: number | undefined;
 
   constructor(
     private readonly versions: ServiceVersions & {readonly rollout: Rollout},
     bound: ExposureBound,
-    base: ExposureBase,
+    baseline: LedgerBaseline,
   ) {
     const {rollout, stableVersion} = versions;
     this.number = rollout.number;
-    this.ledger = new ExposureLedger(bound, base);
+    this.ledger = new ExposureLedger(bound, baseline);
     this.comparison = new VersionComparison(
       stableVersion,
       rollout.targetVersion,
     );
   }
 
-  /** Compares what was reported since the last look; the verdict, if there is one. */
-  judge(sight: CourseSight): RolloutVerdict | undefined {
-    const {elapsedMs, now, rollout, upstreams} = sight;
+  /**
+   * Compares the answers reported since the last call. Returns a verdict if there is
+   * one.
+   */
+  evaluate(input: EvaluationInput): RolloutVerdict | undefined {
+    const {elapsedMs, now, rollout, upstreams} = input;
     const {service, stableVersion} = this.versions;
     const {durationMs, state, targetVersion} = rollout;
     if (state === ROLLOUT_STATE.shifting) {
-      this.shiftingSince ??= now;
+      this.shiftStartedAt ??= now;
     }
-    this.ledSince ??= now;
+    this.leadingSince ??= now;
     if (this.ledger.hasReports) {
-      this.heardSince ??= now;
+      this.firstReportAt ??= now;
     }
-    this.comparison.take(this.ledger.tallies);
-    return verdictOn({
-      answers: this.comparison.targetAnswers,
-      bad: this.comparison.cause,
+    this.comparison.update(this.ledger.tallies);
+    return decideVerdict({
+      targetAnswers: this.comparison.targetAnswers,
+      badCause: this.comparison.badCause,
       durationMs,
       elapsedMs,
-      isShifted: this.isShifted(now),
+      isShiftFinished: this.isShiftFinished(now),
       isSuspect: this.comparison.isSuspect,
-      hasHeardEdges: this.hasHeardEdges(now),
-      restFits: this.restFits(elapsedMs),
-      routeAnswers: this.comparison.fewestOnMainRoute(MAIN_ROUTE_PART),
-      ...this.answeredParts(),
-      shiftingMs: now - (this.shiftingSince ?? now),
+      hasWaitedForReports: this.hasWaitedForReports(now),
+      canExposeRemaining: this.canExposeRemaining(elapsedMs),
+      minMainRouteAnswers:
+        this.comparison.minMainRouteAnswers(MAIN_ROUTE_FRACTION),
+      ...this.answeredFractions(),
+      shiftingMs: now - (this.shiftStartedAt ?? now),
       stableSlots: slotsOf(upstreams, service, stableVersion),
       state,
       targetSlots: slotsOf(upstreams, service, targetVersion),
@@ -93,45 +96,55 @@
   }
 
   /**
-   * Whether edges may be granted exposure: not before there is a warm upstream, as cold
-   * ones are slow whatever their version, unless that takes too long.
+   * Whether edges may be granted exposure. Waits for a warm upstream, because cold ones
+   * are slow in any version, but only for a limited time.
    */
-  mayExpose(elapsedMs: number, hasWarmUpstream: boolean): boolean {
+  canExpose(elapsedMs: number, hasWarmUpstream: boolean): boolean {
     const {durationMs} = this.versions.rollout;
-    return hasWarmUpstream || elapsedMs >= COLD_WAIT_PART * durationMs;
+    return hasWarmUpstream || elapsedMs >= MAX_WARMUP_FRACTION * durationMs;
   }
 
-  /** What a verdict rests on. */
-  figures(): VersionAnswers[] {
-    return this.comparison.figures();
+  /** Answer counts for the record of a verdict. */
+  summarize(): VersionAnswers[] {
+    return this.comparison.summarize();
   }
 
-  /** Whether all requests until the deadline, at the rate so far, may be exposed. */
-  private restFits(elapsedMs: number): boolean {
-    const leftMs = this.versions.rollout.durationMs - elapsedMs;
-    const rate = this.ledger.requests / Math.max(1, elapsedMs);
-    return this.ledger.mayExposeAll(rate * Math.max(0, leftMs));
+  /**
+   * Whether the exposure bound covers all requests until the deadline at the current
+   * rate.
+   */
+  private canExposeRemaining(elapsedMs: number): boolean {
+    const remainingMs = this.versions.rollout.durationMs - elapsedMs;
+    const requestsPerMs = this.ledger.requests / Math.max(1, elapsedMs);
+    return this.ledger.canExposeAll(requestsPerMs * Math.max(0, remainingMs));
   }
 
-  /** Answers to requests from before the order may make a part too large. */
-  private answeredParts() {
+  /**
+   * The fractions may be too high, as answers to requests from before the order are
+   * included.
+   */
+  private answeredFractions() {
     const {exposed, requests} = this.ledger;
     const {stableAnswers, targetAnswers} = this.comparison;
     return {
-      stableAnswered: partOf(stableAnswers, requests - exposed),
-      targetAnswered: partOf(targetAnswers, exposed),
+      stableAnsweredFraction: answeredFraction(
+        stableAnswers,
+        requests - exposed,
+      ),
+      targetAnsweredFraction: answeredFraction(targetAnswers, exposed),
     };
   }
 
-  private hasHeardEdges(now: number): boolean {
-    const {heardSince = Infinity, ledSince = Infinity} = this;
+  private hasWaitedForReports(now: number): boolean {
+    const {firstReportAt = Infinity, leadingSince = Infinity} = this;
     return (
-      now - heardSince >= LEARN_MS || now - ledSince >= LEARN_WITHOUT_REPORTS_MS
+      now - firstReportAt >= REPORT_GATHER_MS ||
+      now - leadingSince >= MAX_REPORT_WAIT_MS
     );
   }
 
-  private isShifted(now: number): boolean {
-    const reports = this.ledger.reportsSince(now - REPORTED_LATELY_MS);
+  private isShiftFinished(now: number): boolean {
+    const reports = this.ledger.reportsSince(now - REPORT_EXPIRY_MS);
     return (
       reports.length > 0 &&
       reports.every(({openAtFormer, shifted}) => shifted && openAtFormer === 0)
@@ -139,6 +152,6 @@
   }
 }
 
-function partOf(answers: number, requests: number): number {
+function answeredFraction(answers: number, requests: number): number {
   return Math.min(1, answers / Math.max(1, requests));
 }
--- a/packages/puffinturn-fleet/src/RolloutLeader.ts
+++ b/packages/puffinturn-fleet/src/RolloutLeader.ts
@@ -5,26 +5,21 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Roll-outs at the box that leads: names stable versions, grants exposure out of blocks
- * of the log, judges and ends what is under way. What it has in memory belongs to one
- * term; the next leader starts from the log and from what edges report again.
- */
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {Replica} from 'puffinturn-log';
 import type {Clock} from 'shared';
 
-import {ExposureBlocks} from './ExposureBlocks';
+import {ExposureAllocator} from './ExposureBlocks';
 import type {FleetMachine} from './FleetMachine';
 import type {LeaderCalls} from './LeaderCalls';
 import type {RolloutClock} from './RolloutClock';
 import {
-  ELAPSED_NOTE_MS,
-  EXPOSURE_LINE_MS,
-  STABLE_GATHER_MS,
+  ELAPSED_RECORD_INTERVAL_MS,
+  EXPOSURE_LOG_INTERVAL_MS,
+  STABLE_VERSION_DELAY_MS,
 } from './RolloutConstants';
-import {RolloutCourse} from './RolloutCourse';
-import {isUnderWay} from './RolloutRegister';
+import {RolloutEvaluator} from './RolloutCourse';
+import {isInProgress} from './RolloutRegister';
 import type {
   ExposureBound,
   ExposureGrant,
@@ -38,11 +33,11 @@
 import {prevalentVersion, readyOf, versionOf} from './ServiceUpstreams';
 import type {UpstreamTable} from './Upstreams';
 
-/** What a RolloutLeader is made of. */
+/** Dependencies of a RolloutLeader. */
 export interface RolloutLeaderParts {
   readonly bound: ExposureBound;
   readonly clock: Clock;
-  readonly elapsed: RolloutClock;
+  readonly rolloutClock: RolloutClock;
   readonly leader: LeaderCalls;
   readonly log: DecisionLog;
   readonly machine: FleetMachine;
@@ -50,50 +45,54 @@
   readonly upstreams: UpstreamTable;
 }
 
-/** A course with what this leader has taken out of the log for it. */
-interface LedCourse {
-  readonly course: RolloutCourse;
-  readonly blocks: ExposureBlocks;
-  /** Whether exposure may be granted, as of the last look. */
-  mayExpose: boolean;
-  lineAt: number;
+/** A rollout in progress, as tracked by this leader. */
+interface ActiveRollout {
+  readonly evaluator: RolloutEvaluator;
+  readonly allocator: ExposureAllocator;
+  /** Whether exposure may be granted, as of the last step. */
+  canExpose: boolean;
+  lastLoggedAt: number;
 }
 
-type OrderedVersions = ServiceVersions & {readonly rollout: Rollout};
+type VersionsWithRollout = ServiceVersions & {readonly rollout: Rollout};
 
-/** See the module comment. */
+/**
+ * Runs rollouts on the leader: determines stable versions, grants exposure and decides
+ * outcomes. Its state in memory is valid for one term. The next leader rebuilds it from
+ * the log and new reports.
+ */
 export class RolloutLeader {
-  /** The term that all below belongs to. */
+  /** Term in which the state below was built. */
   private term = -1;
-  private readonly courses = new Map<string, LedCourse>();
+  private readonly activeRollouts = new Map<string, ActiveRollout>();
   /** When the first upstream of a service without a stable version was seen. */
-  private readonly gatheredSince = new Map<string, number>();
+  private readonly firstSeenAt = new Map<string, number>();
 
   constructor(private readonly parts: RolloutLeaderParts) {}
 
-  /** Takes one look at everything that a leader decides. */
+  /** Advances all rollouts once. */
   async step(): Promise<void> {
-    if (!(await this.beginTerm())) {
+    if (!(await this.ensureCurrentTerm())) {
       return;
     }
-    await this.nameStableVersions();
+    await this.recordStableVersions();
     for (const versions of this.parts.machine.rollouts.services) {
       await this.stepService(versions);
     }
   }
 
-  /** Takes reports in and grants exposure; undefined where it can't be decided here. */
+  /** Records reports and grants exposure. Returns undefined if this box can't decide. */
   async exchange({
-    life,
+    life: incarnationId,
     reports,
   }: ExposureRequest): Promise<ExposureGrant[] | undefined> {
-    if (!(await this.beginTerm())) {
+    if (!(await this.ensureCurrentTerm())) {
       return undefined;
     }
     const grants: ExposureGrant[] = [];
     for (const report of reports) {
       const {number, service} = report;
-      const granted = await this.grant(life, report);
+      const granted = await this.grantExposure(incarnationId, report);
       if (granted === undefined) {
         return undefined;
       }
@@ -103,40 +102,46 @@
   }
 
   /**
-   * The version that serves without an order, from the registrations of upstreams;
-   * undefined until this leader has gathered them for long enough. The target of an
-   * order, whose upstreams may be there already, counts only where it is the only one.
+   * Determines the stable version of a service from the registered upstreams. Returns
+   * undefined until they have had time to register. Upstreams of `target` may already
+   * be running, so it is chosen only if no other version is registered.
    */
-  stableVersionOf(service: string, target?: string): string | undefined {
+  detectStableVersion(service: string, target?: string): string | undefined {
     const {clock, upstreams} = this.parts;
-    const found = prevalentVersion(upstreams.records(), service, target);
-    if (found === undefined) {
+    const version = prevalentVersion(upstreams.records(), service, target);
+    if (version === undefined) {
       return undefined;
     }
-    const since = this.gatheredSince.get(service) ?? clock.now();
-    this.gatheredSince.set(service, since);
-    return clock.now() - since >= STABLE_GATHER_MS ? found : undefined;
+    const since = this.firstSeenAt.get(service) ?? clock.now();
+    this.firstSeenAt.set(service, since);
+    return clock.now() - since >= STABLE_VERSION_DELAY_MS ? version : undefined;
   }
 
-  /** What a report of an order that is not under way is granted: what it had. */
-  private async grant(
-    life: string,
+  /**
+   * Returns the total grant of an edge, unchanged if the rollout is not in the canary
+   * phase. Returns undefined if the grant could not be written to the log.
+   */
+  private async grantExposure(
+    incarnationId: string,
     report: ExposureReport,
   ): Promise<number | undefined> {
     const versions = this.parts.machine.versionsOf(report.service);
-    const led = versions && this.courseFor(versions);
-    if (led === undefined || led.course.number !== report.number) {
+    const active = versions && this.getActiveRollout(versions);
+    if (active === undefined || active.evaluator.number !== report.number) {
       return report.granted;
     }
-    const {ledger} = led.course;
-    ledger.take(life, report, this.parts.clock.now());
-    if (versions?.rollout?.state !== ROLLOUT_STATE.exposing || !led.mayExpose) {
+    const {ledger} = active.evaluator;
+    ledger.recordReport(incarnationId, report, this.parts.clock.now());
+    if (
+      versions?.rollout?.state !== ROLLOUT_STATE.exposing ||
+      !active.canExpose
+    ) {
       return report.granted;
     }
-    const granted = ledger.grant(life);
+    const granted = ledger.grant(incarnationId);
     const {term} = this;
-    const holds = await led.blocks.hold(ledger.granted);
-    return holds && this.isLeaderOf(term) ? granted : undefined;
+    const isPersisted = await active.allocator.ensurePersisted(ledger.granted);
+    return isPersisted && this.isLeaderOf(term) ? granted : undefined;
   }
 
   private isLeaderOf(term: number): boolean {
@@ -144,8 +149,8 @@
     return replica.isLeader && replica.status().term === term;
   }
 
-  /** Whether this box leads and has applied all that former leaders wrote. */
-  async beginTerm(): Promise<boolean> {
+  /** Whether this box is the leader and has applied all records of earlier terms. */
+  async ensureCurrentTerm(): Promise<boolean> {
     const {leader, replica} = this.parts;
     const {term} = replica.status();
     if (!replica.isLeader || this.term === term) {
@@ -156,17 +161,17 @@
     }
     if (this.term !== term) {
       this.term = term;
-      this.gatheredSince.clear();
-      this.courses.clear();
+      this.firstSeenAt.clear();
+      this.activeRollouts.clear();
     }
     return true;
   }
 
-  private async nameStableVersions(): Promise<void> {
+  private async recordStableVersions(): Promise<void> {
     const {leader, machine} = this.parts;
     for (const {name} of machine.stored?.configuration.services ?? []) {
       const isKnown = machine.versionsOf(name) !== undefined;
-      const version = isKnown ? undefined : this.stableVersionOf(name);
+      const version = isKnown ? undefined : this.detectStableVersion(name);
       if (version !== undefined) {
         await leader.propose({kind: 'stable-version', service: name, version});
       }
@@ -174,28 +179,32 @@
   }
 
   private async stepService(versions: ServiceVersions): Promise<void> {
-    const led = this.courseFor(versions);
-    if (led === undefined || !hasOrder(versions)) {
+    const active = this.getActiveRollout(versions);
+    if (active === undefined || !hasRollout(versions)) {
       return;
     }
-    const elapsedMs = this.parts.elapsed.elapsedOf(versions.service) ?? 0;
-    const verdict = led.course.judge({
+    const elapsedMs =
+      this.parts.rolloutClock.getElapsedMs(versions.service) ?? 0;
+    const verdict = active.evaluator.evaluate({
       elapsedMs,
       now: this.parts.clock.now(),
       rollout: versions.rollout,
       upstreams: this.parts.upstreams.records(),
     });
-    led.mayExpose = led.course.mayExpose(elapsedMs, this.isWarm(versions));
-    this.noteExposure(versions, led);
+    active.canExpose = active.evaluator.canExpose(
+      elapsedMs,
+      this.hasWarmUpstream(versions),
+    );
+    this.logExposure(versions, active);
     if (verdict !== undefined) {
-      await this.decide(versions, led, verdict, elapsedMs);
+      await this.proposeVerdict(versions, active, verdict, elapsedMs);
     } else {
-      await this.noteElapsed(versions, led, elapsedMs);
+      await this.recordElapsed(versions, active, elapsedMs);
     }
   }
 
   /** Whether any upstream of the new version has warmed up. */
-  private isWarm({rollout, service}: OrderedVersions): boolean {
+  private hasWarmUpstream({rollout, service}: VersionsWithRollout): boolean {
     const {clock, upstreams} = this.parts;
     return readyOf(upstreams.records(), service).some(
       (record) =>
@@ -204,16 +213,16 @@
     );
   }
 
-  private async decide(
-    {rollout, service}: OrderedVersions,
-    {course}: LedCourse,
+  private async proposeVerdict(
+    {rollout, service}: VersionsWithRollout,
+    {evaluator}: ActiveRollout,
     {cause, state}: RolloutVerdict,
     elapsedMs: number,
   ): Promise<void> {
     const {leader, log} = this.parts;
     const {number, targetVersion} = rollout;
-    const figures = course.figures();
-    const held = await leader.propose({
+    const figures = evaluator.summarize();
+    const result = await leader.propose({
       cause,
       elapsedMs,
       figures,
@@ -228,35 +237,35 @@
       event: 'rollout-judged',
       figures,
       number,
-      outcome: held.isOk() ? 'accepted' : held.error.kind,
+      outcome: result.isOk() ? 'accepted' : result.error.kind,
       service,
       state,
       targetVersion,
     });
   }
 
-  /** Keeps the time since the order in the log, for a start of all boxes. */
-  private async noteElapsed(
+  /** Writes the elapsed time to the log, so that it survives a restart of all boxes. */
+  private async recordElapsed(
     {service}: ServiceVersions,
-    led: LedCourse,
+    active: ActiveRollout,
     elapsedMs: number,
   ): Promise<void> {
     const progress = this.parts.machine.rolloutProgressOf(service);
-    if (elapsedMs - (progress?.elapsedMs ?? 0) >= ELAPSED_NOTE_MS) {
-      await led.blocks.note();
+    if (elapsedMs - (progress?.elapsedMs ?? 0) >= ELAPSED_RECORD_INTERVAL_MS) {
+      await active.allocator.recordProgress();
     }
   }
 
-  private noteExposure(
-    {rollout, service}: OrderedVersions,
-    led: LedCourse,
+  private logExposure(
+    {rollout, service}: VersionsWithRollout,
+    active: ActiveRollout,
   ): void {
     const {clock, log} = this.parts;
-    if (clock.now() - led.lineAt < EXPOSURE_LINE_MS) {
+    if (clock.now() - active.lastLoggedAt < EXPOSURE_LOG_INTERVAL_MS) {
       return;
     }
-    led.lineAt = clock.now();
-    const {budget, exposed, granted, requests} = led.course.ledger;
+    active.lastLoggedAt = clock.now();
+    const {budget, exposed, granted, requests} = active.evaluator.ledger;
     log.note({
       budget,
       event: 'exposure-counted',
@@ -268,34 +277,46 @@
     });
   }
 
-  private courseFor(versions: ServiceVersions): LedCourse | undefined {
+  private getActiveRollout(
+    versions: ServiceVersions,
+  ): ActiveRollout | undefined {
     const {service} = versions;
-    if (!hasOrder(versions) || !isUnderWay(versions.rollout)) {
-      this.courses.delete(service);
+    if (!hasRollout(versions) || !isInProgress(versions.rollout)) {
+      this.activeRollouts.delete(service);
       return undefined;
     }
-    const known = this.courses.get(service);
-    if (known?.course.number === versions.rollout.number) {
-      return known;
+    const existing = this.activeRollouts.get(service);
+    if (existing?.evaluator.number === versions.rollout.number) {
+      return existing;
     }
-    const {counted = 0, granted = 0} =
+    const {counted = 0, granted: initialGranted = 0} =
       this.parts.machine.rolloutProgressOf(service) ?? {};
-    const {bound, elapsed, leader} = this.parts;
-    const course = new RolloutCourse(versions, bound, {counted, granted});
-    const blocks = new ExposureBlocks({
-      elapsed,
-      granted,
+    const {bound, leader, rolloutClock} = this.parts;
+    const evaluator = new RolloutEvaluator(versions, bound, {
+      counted,
+      granted: initialGranted,
+    });
+    const allocator = new ExposureAllocator({
+      initialGranted,
       leader,
-      ledger: course.ledger,
-      number: course.number,
+      ledger: evaluator.ledger,
+      number: evaluator.number,
+      rolloutClock,
       service,
     });
-    const led = {blocks, course, lineAt: -Infinity, mayExpose: false};
-    this.courses.set(service, led);
-    return led;
+    const active = {
+      allocator,
+      canExpose: false,
+      evaluator,
+      lastLoggedAt: -Infinity,
+    };
+    this.activeRollouts.set(service, active);
+    return active;
   }
 }
 
-function hasOrder(versions: ServiceVersions): versions is OrderedVersions {
+function hasRollout(
+  versions: ServiceVersions,
+): versions is VersionsWithRollout {
   return versions.rollout !== undefined;
 }
--- a/packages/puffinturn-fleet/src/RolloutRegister.ts
+++ b/packages/puffinturn-fleet/src/RolloutRegister.ts
@@ -5,12 +5,6 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * The versions of all services as the records of the log leave them: which version is
- * stable, the newest order, how much of its exposure was handed out, and its verdict.
- * Records carry all that they need: applying one reads no clock, and one that is
- * applied again changes nothing.
- */
 import type {VersionAnswers} from 'puffinturn-decisions';
 
 import type {
@@ -22,83 +16,83 @@
 } from './Rollouts';
 import {ROLLOUT_ORDER, ROLLOUT_STATE} from './Rollouts';
 
-/** Names the stable version of a service unless one is known. */
+/** Sets the stable version of a service if none is known. */
 export interface StableVersionRecord {
   readonly kind: 'stable-version';
   readonly service: string;
   readonly version: string;
 }
 
-/** Begins a roll-out. */
+/** Starts a rollout. */
 export interface RolloutOrderRecord {
   readonly kind: 'rollout-order';
   readonly service: string;
   readonly targetVersion: string;
   readonly durationMs: number;
-  /** The stable version as the leader sees it, where none is known before. */
+  /** Stable version according to the leader; used if none is known yet. */
   readonly stableVersion: string;
   /**
-   * The number of the newest order that the leader knew of; where there is a newer
-   * one for the same version, this order is a copy of it.
+   * Number of the newest order known to the leader. An order for the same version with
+   * a higher number makes this one a duplicate.
    */
   readonly knownNumber: number;
-  /** When the leader took it by its time of day, Unix ms. */
+  /** Wall-clock time at which the leader received the order, Unix ms. */
   readonly orderedAt: number;
 }
 
-/** Takes exposure out of the log before the leader grants it to edges. */
+/** Allocates exposure in the log before the leader grants it to edges. */
 export interface ExposureBlockRecord {
   readonly kind: 'exposure-block';
   readonly service: string;
   readonly number: number;
-  /** The most that the leader grants before it takes the next block. */
+  /** Total exposure that the leader may grant until the next record. */
   readonly granted: number;
-  /** Requests of the service counted so far. */
+  /** Requests to the service since the order. */
   readonly counted: number;
   /** Time since the order, ms. */
   readonly elapsedMs: number;
 }
 
-/** Moves a roll-out on, or ends it. */
+/** Changes the state of a rollout. */
 export interface RolloutVerdictRecord {
   readonly kind: 'rollout-verdict';
   readonly service: string;
   readonly number: number;
   readonly state: RolloutState;
-  /** Why, in one word. */
+  /** Reason for the change; a VerdictCause. */
   readonly cause: string;
   /** Time since the order, ms. */
   readonly elapsedMs: number;
-  /** What decided. */
+  /** Answer counts on which the verdict is based. */
   readonly figures: readonly VersionAnswers[];
 }
 
-/** Every record that is about versions. */
+/** Any record about versions. */
 export type RolloutRecord =
   | ExposureBlockRecord
   | RolloutOrderRecord
   | RolloutVerdictRecord
   | StableVersionRecord;
 
-/** What applying one of them did. */
+/** Result of applying a RolloutRecord. */
 export interface RolloutRecordOutcome {
   readonly kind: 'rollout';
   readonly order: RolloutOrderOutcome;
   readonly versions: ServiceVersions | undefined;
 }
 
-/** What the log knows of a roll-out besides what boxes are told. */
+/** Progress of a rollout that is kept in the log but not sent to boxes. */
 export interface RolloutProgress {
   readonly number: number;
-  /** When the order was taken, Unix ms. */
+  /** Wall-clock time of the order, Unix ms. */
   readonly orderedAt: number;
-  /** Exposure taken out of the log so far; an upper bound of what was granted. */
+  /** Total exposure allocated so far; an upper bound of what was granted. */
   readonly granted: number;
-  /** Requests of the service counted so far; a lower bound. */
+  /** Requests to the service since the order; a lower bound. */
   readonly counted: number;
   /** Time since the order as of the newest record, ms. */
   readonly elapsedMs: number;
-  /** The verdict, if there is one. */
+  /** The newest verdict; undefined before the first one. */
   readonly verdict: RolloutVerdictRecord | undefined;
 }
 
@@ -107,136 +101,146 @@
   readonly progress: RolloutProgress | undefined;
 }
 
-/** Its part of a snapshot. */
+/** State of the register in a snapshot. */
 export interface RolloutImage {
   readonly revision: number;
   readonly services: readonly ServiceEntry[];
 }
 
-/** The image before the first record; also that of snapshots without any. */
+/** The empty state; also used for snapshots that predate rollouts. */
 export const NO_ROLLOUT_IMAGE: RolloutImage = {revision: 0, services: []};
 
-/** States that may follow each; an outcome is final. */
-const STATES_AFTER: Readonly<Record<RolloutState, readonly RolloutState[]>> = {
+/** Allowed state transitions; completed and rolled back are final. */
+const NEXT_STATES: Readonly<Record<RolloutState, readonly RolloutState[]>> = {
   [ROLLOUT_STATE.completed]: [],
   [ROLLOUT_STATE.exposing]: [ROLLOUT_STATE.rolledBack, ROLLOUT_STATE.shifting],
   [ROLLOUT_STATE.rolledBack]: [],
   [ROLLOUT_STATE.shifting]: [ROLLOUT_STATE.completed, ROLLOUT_STATE.rolledBack],
 };
 
-/** Whether a roll-out has no outcome yet. */
-export function isUnderWay(
+/** Whether a rollout has no outcome yet. */
+export function isInProgress(
   rollout: Pick<Rollout, 'state'> | undefined,
 ): boolean {
-  return rollout !== undefined && STATES_AFTER[rollout.state].length > 0;
+  return rollout !== undefined && NEXT_STATES[rollout.state].length > 0;
 }
 
-/** See the module comment. */
+/**
+ * The replicated state of all rollouts: the stable version and the newest order of each
+ * service, its allocated exposure and its verdict. Applying a record is deterministic
+ * and idempotent.
+ */
 export class RolloutRegister {
-  private readonly held = new Map<string, ServiceEntry>();
+  private readonly entries = new Map<string, ServiceEntry>();
   private revision = 0;
-  private told: Rollouts | undefined;
+  private cachedRollouts: Rollouts | undefined;
 
-  /** Told after every change that boxes have to hear of; asks which services are. */
+  /**
+   * `onChange` is called after every change that boxes must learn of; `isService` tells
+   * whether the configuration contains a service.
+   */
   constructor(
     private readonly onChange: () => void,
     private readonly isService: (service: string) => boolean,
   ) {}
 
-  /** All that boxes are told. */
+  /** The state that is sent to boxes. */
   get rollouts(): Rollouts {
-    this.told ??= {
+    this.cachedRollouts ??= {
       revision: this.revision,
-      services: [...this.held.values()].map(({versions}) => versions),
+      services: [...this.entries.values()].map(({versions}) => versions),
     };
-    return this.told;
+    return this.cachedRollouts;
   }
 
-  /** The versions of one service. */
+  /** Returns the versions of one service. */
   versionsOf(service: string): ServiceVersions | undefined {
-    return this.held.get(service)?.versions;
+    return this.entries.get(service)?.versions;
   }
 
-  /** What is known besides of the newest order. */
+  /** Returns the progress of the newest order for a service. */
   progressOf(service: string): RolloutProgress | undefined {
-    return this.held.get(service)?.progress;
+    return this.entries.get(service)?.progress;
   }
 
-  /** Applies a record. */
+  /** Applies a record of the log. */
   apply(record: RolloutRecord): RolloutRecordOutcome {
-    const order = this.change(record);
+    const order = this.applyRecord(record);
     const versions = this.versionsOf(record.service);
     return {kind: 'rollout', order, versions};
   }
 
-  /** Its part of a snapshot. */
+  /** Returns the state for a snapshot. */
   image(): RolloutImage {
-    return {revision: this.revision, services: [...this.held.values()]};
+    return {revision: this.revision, services: [...this.entries.values()]};
   }
 
-  /** Takes over what a snapshot holds. */
+  /** Replaces the state by that of a snapshot. */
   restore({revision, services}: RolloutImage): void {
-    this.held.clear();
-    for (const one of services) {
-      this.held.set(one.versions.service, one);
+    this.entries.clear();
+    for (const entry of services) {
+      this.entries.set(entry.versions.service, entry);
     }
     this.revision = revision;
-    this.told = undefined;
+    this.cachedRollouts = undefined;
   }
 
-  private change(record: RolloutRecord): RolloutOrderOutcome {
+  private applyRecord(record: RolloutRecord): RolloutOrderOutcome {
     switch (record.kind) {
       case 'exposure-block':
-        this.takeBlock(record);
+        this.applyBlock(record);
         return ROLLOUT_ORDER.accepted;
       case 'rollout-order':
-        return this.takeOrder(record);
+        return this.applyOrder(record);
       case 'rollout-verdict':
-        this.takeVerdict(record);
+        this.applyVerdict(record);
         return ROLLOUT_ORDER.accepted;
       case 'stable-version':
-        this.takeStable(record);
+        this.applyStableVersion(record);
         return ROLLOUT_ORDER.accepted;
     }
   }
 
-  private takeStable({service, version}: StableVersionRecord): void {
-    if (this.held.has(service)) {
+  private applyStableVersion({service, version}: StableVersionRecord): void {
+    if (this.entries.has(service)) {
       return;
     }
     const versions = {rollout: undefined, service, stableVersion: version};
-    this.put({progress: undefined, versions});
+    this.setEntry({progress: undefined, versions});
   }
 
-  private takeOrder(record: RolloutOrderRecord): RolloutOrderOutcome {
+  private applyOrder(record: RolloutOrderRecord): RolloutOrderOutcome {
     const {knownNumber, service, targetVersion} = record;
     if (!this.isService(service)) {
       return ROLLOUT_ORDER.unknownService;
     }
     const newest = this.versionsOf(service)?.rollout;
-    const isSame = newest?.targetVersion === targetVersion;
-    const isCopy = newest !== undefined && newest.number > knownNumber;
-    if (isSame && (isCopy || newest.state !== ROLLOUT_STATE.rolledBack)) {
+    const isSameVersion = newest?.targetVersion === targetVersion;
+    const isDuplicate = newest !== undefined && newest.number > knownNumber;
+    if (
+      isSameVersion &&
+      (isDuplicate || newest.state !== ROLLOUT_STATE.rolledBack)
+    ) {
       return ROLLOUT_ORDER.accepted;
     }
-    if (isUnderWay(newest)) {
+    if (isInProgress(newest)) {
       return ROLLOUT_ORDER.conflict;
     }
-    this.begin(record, (newest?.number ?? 0) + 1);
+    this.startRollout(record, (newest?.number ?? 0) + 1);
     return ROLLOUT_ORDER.accepted;
   }
 
-  private begin(record: RolloutOrderRecord, number: number): void {
+  private startRollout(record: RolloutOrderRecord, number: number): void {
     const {durationMs, orderedAt, service, targetVersion} = record;
     const {stableVersion = record.stableVersion} =
       this.versionsOf(service) ?? {};
-    // Where it serves already, there is nothing to do.
+    // A rollout to the version that already serves is complete.
     const state =
       targetVersion === stableVersion
         ? ROLLOUT_STATE.completed
         : ROLLOUT_STATE.exposing;
     const rollout = {durationMs, number, state, targetVersion};
-    this.put({
+    this.setEntry({
       progress: {
         counted: 0,
         elapsedMs: 0,
@@ -249,14 +253,14 @@
     });
   }
 
-  private takeBlock(record: ExposureBlockRecord): void {
+  private applyBlock(record: ExposureBlockRecord): void {
     const {counted, elapsedMs, granted, number, service} = record;
-    const held = this.held.get(service);
-    if (held?.progress?.number !== number) {
+    const entry = this.entries.get(service);
+    if (entry?.progress?.number !== number) {
       return;
     }
-    const {progress, versions} = held;
-    this.held.set(service, {
+    const {progress, versions} = entry;
+    this.entries.set(service, {
       progress: {
         ...progress,
         counted: Math.max(progress.counted, counted),
@@ -267,35 +271,35 @@
     });
   }
 
-  private takeVerdict(record: RolloutVerdictRecord): void {
+  private applyVerdict(record: RolloutVerdictRecord): void {
     const {elapsedMs, number, service, state} = record;
-    const held = this.held.get(service);
-    const rollout = held?.versions.rollout;
+    const entry = this.entries.get(service);
+    const rollout = entry?.versions.rollout;
     if (
-      held?.progress === undefined ||
+      entry?.progress === undefined ||
       rollout?.number !== number ||
-      !STATES_AFTER[rollout.state].includes(state)
+      !NEXT_STATES[rollout.state].includes(state)
     ) {
       return;
     }
     const stableVersion =
       state === ROLLOUT_STATE.completed
         ? rollout.targetVersion
-        : held.versions.stableVersion;
-    this.put({
+        : entry.versions.stableVersion;
+    this.setEntry({
       progress: {
-        ...held.progress,
-        elapsedMs: Math.max(held.progress.elapsedMs, elapsedMs),
+        ...entry.progress,
+        elapsedMs: Math.max(entry.progress.elapsedMs, elapsedMs),
         verdict: record,
       },
       versions: {rollout: {...rollout, state}, service, stableVersion},
     });
   }
 
-  private put(held: ServiceEntry): void {
-    this.held.set(held.versions.service, held);
+  private setEntry(entry: ServiceEntry): void {
+    this.entries.set(entry.versions.service, entry);
     this.revision += 1;
-    this.told = undefined;
+    this.cachedRollouts = undefined;
     this.onChange();
   }
 }
--- a/packages/puffinturn-fleet/src/RolloutVerdict.ts
+++ b/packages/puffinturn-fleet/src/RolloutVerdict.ts
@@ -5,160 +5,167 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** What becomes of a roll-out, from what its leader knows. */
 import {
-  LAST_SHIFT_BEFORE_DEADLINE_MS,
-  LATE_TRIAL_PART,
-  LEAST_ANSWERED_PART,
-  LEAST_ANSWERS,
-  LEAST_LATE_ANSWERS,
-  LEAST_LATE_SLOTS_PART,
-  LEAST_ROUTE_ANSWERS,
-  LEAST_SHIFT_PART,
-  LEAST_SLOTS_PART,
-  SHIFT_BEFORE_DEADLINE_MS,
-  TRIAL_PART,
+  FORCED_SHIFT_BEFORE_DEADLINE_MS,
+  LATE_CANARY_FRACTION,
+  LATEST_SHIFT_BEFORE_DEADLINE_MS,
+  MIN_ANSWERED_RATIO,
+  MIN_ANSWERS,
+  MIN_ANSWERS_LATE,
+  MIN_ANSWERS_PER_ROUTE,
+  MIN_CANARY_FRACTION,
+  MIN_SHIFT_FRACTION,
+  MIN_SLOTS_RATIO,
+  MIN_SLOTS_RATIO_LATE,
   VERDICT_BEFORE_DEADLINE_MS,
 } from './RolloutConstants';
 import type {RolloutState} from './Rollouts';
 import {ROLLOUT_STATE} from './Rollouts';
-import type {BadCause} from './VersionComparison';
+import type {BadVersionCause} from './VersionComparison';
 
-/** Why a roll-out moves on or ends, besides BAD_CAUSE. */
+/** Reasons for a verdict, besides BAD_VERSION_CAUSE. */
 export const VERDICT_CAUSE = {
-  /** Its time is over and the version was not shown to be good. */
+  /** The deadline was reached before the version was found good. */
   noEvidence: 'no-evidence',
-  /** Its time is over and too few upstreams of the version are ready. */
+  /** The deadline was reached with too few ready upstreams of the new version. */
   noUpstreams: 'no-upstreams',
-  /** Enough answers, none of them suspect. */
+  /** Enough answers, and the version is not suspect. */
   good: 'good',
-  /** Its time is over and it may be bad. */
+  /** The deadline was reached and the version is suspect. */
   suspect: 'suspect',
-  /** Nothing is left at the former version. */
-  shifted: 'shifted',
-  /** Its time is nearly over; what is open at the former version ends. */
-  timeOver: 'time-over',
+  /** No requests are in flight at the previous version. */
+  shiftFinished: 'shifted',
+  /** The deadline was reached; in-flight requests at the previous version are cut off. */
+  deadlineReached: 'time-over',
 } as const;
 
-/** One of VERDICT_CAUSE or BAD_CAUSE. */
+/** One of VERDICT_CAUSE or BAD_VERSION_CAUSE. */
 export type VerdictCause =
-  BadCause | (typeof VERDICT_CAUSE)[keyof typeof VERDICT_CAUSE];
+  BadVersionCause | (typeof VERDICT_CAUSE)[keyof typeof VERDICT_CAUSE];
 
-/** What a verdict rests on. */
-export interface RolloutFacts {
+/** Input of a verdict. */
+export interface VerdictInput {
   readonly state: RolloutState;
   readonly durationMs: number;
   /** Time since the order, ms. */
   readonly elapsedMs: number;
-  /** Whether this leader has had the time to hear edges. */
-  readonly hasHeardEdges: boolean;
-  /** Time since all requests were shifted, ms; 0 before. */
+  /** Whether this leader has waited long enough for reports of edges. */
+  readonly hasWaitedForReports: boolean;
+  /** Time since the start of the shift, ms; 0 before it. */
   readonly shiftingMs: number;
-  /** Why the new version is bad, if it is. */
-  readonly bad: BadCause | undefined;
-  /** Whether the next answers may show that it is bad. */
+  /** Why the new version is bad; undefined if it is not. */
+  readonly badCause: BadVersionCause | undefined;
+  /** Whether the new version may be bad, but the evidence is not sufficient yet. */
   readonly isSuspect: boolean;
   /** Answers of the new version. */
-  readonly answers: number;
-  /** The part of each version's requests that were answered. */
-  readonly targetAnswered: number;
-  readonly stableAnswered: number;
-  /** The same as `answers` on the main route that has fewest. */
-  readonly routeAnswers: number;
-  /** Whether all requests until the deadline may be exposed within the bound. */
-  readonly restFits: boolean;
-  /** Slots of ready upstreams of both versions. */
+  readonly targetAnswers: number;
+  /** Fraction of each version's requests that have been answered. */
+  readonly targetAnsweredFraction: number;
+  readonly stableAnsweredFraction: number;
+  /** Answers of the new version on the main route with the fewest of them. */
+  readonly minMainRouteAnswers: number;
+  /** Whether the exposure bound covers all requests until the deadline. */
+  readonly canExposeRemaining: boolean;
+  /** Slots of the ready upstreams of each version. */
   readonly targetSlots: number;
   readonly stableSlots: number;
-  /** Whether all edges have shifted and nothing is open at the former version. */
-  readonly isShifted: boolean;
+  /** Whether all edges have shifted and the previous version serves no requests. */
+  readonly isShiftFinished: boolean;
 }
 
-/** The next state, and why. */
+/** The next state of a rollout, with the reason. */
 export interface RolloutVerdict {
   readonly state: RolloutState;
   readonly cause: VerdictCause;
 }
 
-/** The verdict; undefined while the roll-out goes on as it is. */
-export function verdictOn(facts: RolloutFacts): RolloutVerdict | undefined {
-  const {bad, state} = facts;
-  if (bad !== undefined) {
-    return {cause: bad, state: ROLLOUT_STATE.rolledBack};
+/**
+ * Returns the next state of a rollout, or undefined if it stays in its current state.
+ */
+export function decideVerdict(input: VerdictInput): RolloutVerdict | undefined {
+  const {badCause, state} = input;
+  if (badCause !== undefined) {
+    return {cause: badCause, state: ROLLOUT_STATE.rolledBack};
   }
   return state === ROLLOUT_STATE.shifting
-    ? verdictOnShift(facts)
-    : verdictOnTrial(facts);
+    ? decideShift(input)
+    : decideCanary(input);
 }
 
-function verdictOnTrial(facts: RolloutFacts): RolloutVerdict | undefined {
-  if (isGood(facts)) {
+function decideCanary(input: VerdictInput): RolloutVerdict | undefined {
+  if (isReadyToShift(input)) {
     return {cause: VERDICT_CAUSE.good, state: ROLLOUT_STATE.shifting};
   }
-  if (!isTimeOver(facts)) {
+  if (!isDeadlineNear(input)) {
     return undefined;
   }
-  const cause = bearsLoad(facts)
+  const cause = hasCapacity(input)
     ? VERDICT_CAUSE.noEvidence
     : VERDICT_CAUSE.noUpstreams;
   return {cause, state: ROLLOUT_STATE.rolledBack};
 }
 
-function verdictOnShift(facts: RolloutFacts): RolloutVerdict | undefined {
-  const {durationMs, isShifted, isSuspect, shiftingMs} = facts;
-  const isTried = shiftingMs >= LEAST_SHIFT_PART * durationMs;
-  if (isShifted && isTried && !isSuspect) {
-    return {cause: VERDICT_CAUSE.shifted, state: ROLLOUT_STATE.completed};
+function decideShift(input: VerdictInput): RolloutVerdict | undefined {
+  const {durationMs, isShiftFinished, isSuspect, shiftingMs} = input;
+  const isLongEnough = shiftingMs >= MIN_SHIFT_FRACTION * durationMs;
+  if (isShiftFinished && isLongEnough && !isSuspect) {
+    return {cause: VERDICT_CAUSE.shiftFinished, state: ROLLOUT_STATE.completed};
   }
-  if (!isTimeOver(facts) || !facts.hasHeardEdges) {
+  if (!isDeadlineNear(input) || !input.hasWaitedForReports) {
     return undefined;
   }
-  // A bad version that serves on harms more than a good one that is ordered again.
+  // Rolling back a good version costs less than keeping a bad one.
   return isSuspect
     ? {cause: VERDICT_CAUSE.suspect, state: ROLLOUT_STATE.rolledBack}
-    : {cause: VERDICT_CAUSE.timeOver, state: ROLLOUT_STATE.completed};
+    : {cause: VERDICT_CAUSE.deadlineReached, state: ROLLOUT_STATE.completed};
 }
 
-function isGood(facts: RolloutFacts): boolean {
+function isReadyToShift(input: VerdictInput): boolean {
   return (
-    isTimeToShift(facts) &&
-    !facts.isSuspect &&
-    hasEvidence(facts) &&
-    bearsLoad(facts)
+    canShiftNow(input) &&
+    !input.isSuspect &&
+    hasEnoughAnswers(input) &&
+    hasCapacity(input)
   );
 }
 
-/** A version that turns bad as all use it has to stay within the bound as well. */
-function isTimeToShift(facts: RolloutFacts): boolean {
-  const {durationMs, elapsedMs, restFits} = facts;
-  const leftMs = durationMs - elapsedMs;
-  const isTried = elapsedMs >= TRIAL_PART * durationMs;
-  const isLast = leftMs <= SHIFT_BEFORE_DEADLINE_MS;
-  const isTooLate = leftMs < LAST_SHIFT_BEFORE_DEADLINE_MS;
-  return isTried && (restFits || isLast) && !isTooLate;
+/**
+ * Whether the shift may start. It must leave time for edges to learn of it, and the bound
+ * must cover all remaining requests unless the deadline forces the shift.
+ */
+function canShiftNow(input: VerdictInput): boolean {
+  const {canExposeRemaining, durationMs, elapsedMs} = input;
+  const remainingMs = durationMs - elapsedMs;
+  const isLongEnough = elapsedMs >= MIN_CANARY_FRACTION * durationMs;
+  const isForced = remainingMs <= FORCED_SHIFT_BEFORE_DEADLINE_MS;
+  const isTooLate = remainingMs < LATEST_SHIFT_BEFORE_DEADLINE_MS;
+  return isLongEnough && (canExposeRemaining || isForced) && !isTooLate;
 }
 
-function hasEvidence(facts: RolloutFacts): boolean {
-  const {answers, routeAnswers} = facts;
-  const {stableAnswered, targetAnswered} = facts;
-  if (targetAnswered < LEAST_ANSWERED_PART * stableAnswered) {
+function hasEnoughAnswers(input: VerdictInput): boolean {
+  const {minMainRouteAnswers, targetAnswers} = input;
+  const {stableAnsweredFraction, targetAnsweredFraction} = input;
+  if (targetAnsweredFraction < MIN_ANSWERED_RATIO * stableAnsweredFraction) {
     return false;
   }
-  return isLate(facts)
-    ? answers >= LEAST_LATE_ANSWERS
-    : answers >= LEAST_ANSWERS && routeAnswers >= LEAST_ROUTE_ANSWERS;
+  return isLateInCanary(input)
+    ? targetAnswers >= MIN_ANSWERS_LATE
+    : targetAnswers >= MIN_ANSWERS &&
+        minMainRouteAnswers >= MIN_ANSWERS_PER_ROUTE;
 }
 
-function bearsLoad(facts: RolloutFacts): boolean {
-  const {stableSlots, targetSlots} = facts;
-  const part = isLate(facts) ? LEAST_LATE_SLOTS_PART : LEAST_SLOTS_PART;
-  return targetSlots > 0 && targetSlots >= part * stableSlots;
+function hasCapacity(input: VerdictInput): boolean {
+  const {stableSlots, targetSlots} = input;
+  const minRatio = isLateInCanary(input)
+    ? MIN_SLOTS_RATIO_LATE
+    : MIN_SLOTS_RATIO;
+  return targetSlots > 0 && targetSlots >= minRatio * stableSlots;
 }
 
-function isLate({durationMs, elapsedMs}: RolloutFacts): boolean {
-  return elapsedMs >= LATE_TRIAL_PART * durationMs;
+function isLateInCanary({durationMs, elapsedMs}: VerdictInput): boolean {
+  return elapsedMs >= LATE_CANARY_FRACTION * durationMs;
 }
 
-function isTimeOver({durationMs, elapsedMs}: RolloutFacts): boolean {
+function isDeadlineNear({durationMs, elapsedMs}: VerdictInput): boolean {
   return elapsedMs >= durationMs - VERDICT_BEFORE_DEADLINE_MS;
 }
--- a/packages/puffinturn-fleet/src/Rollouts.ts
+++ b/packages/puffinturn-fleet/src/Rollouts.ts
@@ -6,141 +6,140 @@
  */
 
 /**
- * Roll-outs: which versions of a service's software may get requests. The log
- * holds the order of all changes, so the state with the higher revision is the
- * newer wherever it comes from.
+ * Rollouts: the versions of each service that may receive requests. The log orders all
+ * changes, so the state with the higher revision is newer.
  */
 
-/** How far a roll-out is. */
+/** State of a rollout. */
 export const ROLLOUT_STATE = {
-  /** All requests go to the new version, and the former one has none left. */
+  /** All requests go to the new version, and none are in flight at the previous one. */
   completed: 'completed',
-  /** A bounded part of the requests tries the new version. */
+  /** Canary phase: a limited number of requests go to the new version. */
   exposing: 'exposing',
-  /** The new version gets no more requests. */
+  /** The new version receives no more requests. */
   rolledBack: 'rolled-back',
-  /** Judged good: new requests go to the new version, open ones end at the former. */
+  /** New requests go to the new version; in-flight ones finish at the previous one. */
   shifting: 'shifting',
 } as const;
 
 /** One of ROLLOUT_STATE. */
 export type RolloutState = (typeof ROLLOUT_STATE)[keyof typeof ROLLOUT_STATE];
 
-/** One order to move a service to another version. */
+/** An order to move a service to another version. */
 export interface Rollout {
-  /** Tells the orders for one service apart; grows with each. */
+  /** Sequence number of the order within its service. */
   readonly number: number;
   readonly targetVersion: string;
-  /** Time from the order within which it should be completed or rolled back, ms. */
+  /** Time from the order until the rollout must be completed or rolled back, ms. */
   readonly durationMs: number;
   readonly state: RolloutState;
 }
 
-/** The versions of one service that may get requests. */
+/** The versions of one service that may receive requests. */
 export interface ServiceVersions {
   readonly service: string;
-  /** The version that serves without any order. */
+  /** Version that receives requests while no rollout is in progress. */
   readonly stableVersion: string;
   /** The newest order; undefined before the first one. */
   readonly rollout: Rollout | undefined;
 }
 
-/** The versions of all services, as of one revision. */
+/** The versions of all services at one revision. */
 export interface Rollouts {
-  /** Grows by 1 with each change; 0 before the first one. */
+  /** Increases by 1 with each change; 0 before the first one. */
   readonly revision: number;
   readonly services: readonly ServiceVersions[];
 }
 
-/** No version of any service is known. */
+/** The state before any version is known. */
 export const NO_ROLLOUTS: Rollouts = {revision: 0, services: []};
 
-/** What all boxes together may risk on a new version. */
+/** Limits on the requests that the whole fleet may send to a new version. */
 export interface ExposureBound {
-  /** The part of all requests for the service since the order. */
+  /** Fraction of all requests to the service since the order. */
   readonly share: number;
-  /** Requests beyond that. */
+  /** Additional requests beyond the share. */
   readonly extra: number;
   /**
-   * Time from its 50th bad answer on until it must get no more requests, ms. Verdicts
-   * come within a fraction of it, so nothing waits for it.
+   * Time limit from the 50th bad answer of a version until it receives no more
+   * requests, ms. Verdicts come well within it, so no timer uses it.
    */
   readonly rollbackMs: number;
 }
 
-/** Answers of one version to the requests of one route, at one edge. */
+/** Answers of one version on one route, as counted by one edge. */
 export interface VersionTally {
   readonly route: string;
   readonly version: string;
   readonly answers: number;
-  /** Errors of the upstream's own, broken and lost answers among them. */
+  /** Failures caused by the upstream, including broken and lost answers. */
   readonly failures: number;
   /**
-   * Answers by the time that they took over the time expected for what they need,
-   * in the buckets of TIME_RATIO_BOUNDS.
+   * Histogram of the ratio of actual to expected time, with the buckets of
+   * TIME_RATIO_BOUNDS.
    */
   readonly times: readonly number[];
 }
 
-/** Upper bounds of the buckets of VersionTally.times; the last one has none. */
+/** Upper bounds of the buckets of VersionTally.times; the last bucket is unbounded. */
 export const TIME_RATIO_BOUNDS = [0.5, 0.7, 1, 1.4, 2, 2.8, 4, 8] as const;
 
-/** What one life of an edge has done in a roll-out; counts since the order. */
+/** Counts of one edge incarnation in a rollout, cumulative since the order. */
 export interface ExposureReport {
   readonly service: string;
   /** The number of the order. */
   readonly number: number;
-  /** Requests sent to the service, whichever the version. */
+  /** Requests sent to any version of the service. */
   readonly requests: number;
-  /** Of these, requests sent to the new version. */
+  /** Requests sent to the new version. */
   readonly exposed: number;
-  /** Requests that this life was allowed to send to the new version so far. */
+  /** Total requests that this incarnation may send to the new version. */
   readonly granted: number;
-  /** Requests still open at upstreams of the former version. */
+  /** In-flight requests at upstreams of the previous version. */
   readonly openAtFormer: number;
-  /** Whether this edge sends no new requests to the former version. */
+  /** Whether this edge sends no new requests to the previous version. */
   readonly shifted: boolean;
   readonly tallies: readonly VersionTally[];
 }
 
-/** Tells the leader of exposure, through any control box. */
+/** Reports exposure to the leader, through any control box. */
 export interface ExposureRequest {
   readonly box: string;
-  /** One life of the edge; its counts start anew with each. */
+  /** Incarnation of the edge; its counts start at 0 after each restart. */
   readonly life: string;
   readonly reports: readonly ExposureReport[];
 }
 
-/** How many requests a life may send to the new version, in all since the order. */
+/** Total requests that an incarnation may send to the new version since the order. */
 export interface ExposureGrant {
   readonly service: string;
   readonly number: number;
   readonly granted: number;
 }
 
-/** Outcome of an exchange; undefined grants mean that it may be sent again. */
+/** Reply to an ExposureRequest; if grants are undefined, the request may be retried. */
 export interface ExposureReply {
   readonly grants: readonly ExposureGrant[] | undefined;
 }
 
-/** Asks the leader to begin a roll-out. */
+/** Asks the leader to start a rollout. */
 export interface RolloutOrder {
   readonly service: string;
   readonly targetVersion: string;
   readonly durationMs: number;
 }
 
-/** What became of an order. */
+/** Outcomes of an order. */
 export const ROLLOUT_ORDER = {
-  /** A quorum holds it, as it did before where the same order came again. */
+  /** A quorum has stored the order, or had already stored an identical one. */
   accepted: 'accepted',
-  /** Another roll-out of the service is under way. */
+  /** Another rollout of the service is in progress. */
   conflict: 'conflict',
-  /** Roll-outs are not switched on at the box that decides. */
+  /** Rollouts are disabled on the leader. */
   disabled: 'disabled',
-  /** Without a quorum: nothing was changed, or the change may still come. */
+  /** Not decided, for example without a quorum. The order may still take effect. */
   unavailable: 'unavailable',
-  /** The configuration in force names no such service. */
+  /** The current configuration has no such service. */
   unknownService: 'unknown-service',
 } as const;
 
@@ -148,14 +147,14 @@
 export type RolloutOrderOutcome =
   (typeof ROLLOUT_ORDER)[keyof typeof ROLLOUT_ORDER];
 
-/** Outcome of an order. */
+/** Reply to a RolloutOrder. */
 export interface RolloutOrderReply {
   readonly outcome: RolloutOrderOutcome;
-  /** The target of the roll-out that is under way, where that is the conflict. */
+  /** Target version of the rollout in progress, in case of a conflict. */
   readonly underWay?: string | undefined;
 }
 
-/** The versions of a service, as one barrier of the log found them. */
+/** The versions of a service after a linearizable read; not valid unless `current`. */
 export interface RolloutReadReply {
   readonly current: boolean;
   readonly versions: ServiceVersions | undefined;
--- a/packages/puffinturn-fleet/src/SequentialTest.ts
+++ b/packages/puffinturn-fleet/src/SequentialTest.ts
@@ -5,35 +5,46 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+import {
+  BAD_THRESHOLD,
+  MAX_INCREASE_PER_STEP,
+  SUSPECT_THRESHOLD,
+} from './RolloutConstants';
+
 /**
- * Whether a rate has risen: a cumulative sum of log likelihood ratios of a risen rate
- * against the normal one. It never falls below 0, so that a version that turns bad
- * late is found as soon as one that is bad at once.
+ * Detects a raised rate with a cumulative sum (CUSUM) of log-likelihood ratios. The sum
+ * never falls below 0, so a rate that rises late is detected as quickly as one that is
+ * raised from the start.
  */
-import {BAD_FROM, MOST_PER_STEP, SUSPECT_FROM} from './RolloutConstants';
-
-/** See the module comment. */
 export class SequentialTest {
-  private sum = 0;
-  private risen = false;
+  private cumulativeSum = 0;
+  private isRaised = false;
 
-  /** Takes the answers of one step: how many, and how many of them are hits. */
-  take(hits: number, answers: number, normal: number, risen: number): void {
-    const misses = Math.max(0, answers - hits);
-    const ratio =
-      hits * Math.log(risen / normal) +
-      misses * Math.log((1 - risen) / (1 - normal));
-    this.sum = Math.max(0, this.sum + Math.min(MOST_PER_STEP, ratio));
-    this.risen ||= this.sum >= BAD_FROM;
+  /** Adds the answers of one step, of which `positives` count towards the rate. */
+  addSample(
+    positives: number,
+    answers: number,
+    baselineRate: number,
+    raisedRate: number,
+  ): void {
+    const negatives = Math.max(0, answers - positives);
+    const logLikelihoodRatio =
+      positives * Math.log(raisedRate / baselineRate) +
+      negatives * Math.log((1 - raisedRate) / (1 - baselineRate));
+    this.cumulativeSum = Math.max(
+      0,
+      this.cumulativeSum + Math.min(MAX_INCREASE_PER_STEP, logLikelihoodRatio),
+    );
+    this.isRaised ||= this.cumulativeSum >= BAD_THRESHOLD;
   }
 
-  /** Whether the rate has risen beyond doubt, now or before. */
-  get hasRisen(): boolean {
-    return this.risen;
+  /** Whether a raised rate has been detected; stays true from then on. */
+  get isRateRaised(): boolean {
+    return this.isRaised;
   }
 
-  /** Whether it may have risen. */
-  get mayHaveRisen(): boolean {
-    return this.risen || this.sum >= SUSPECT_FROM;
+  /** Whether the rate may be raised. */
+  get isRateSuspect(): boolean {
+    return this.isRaised || this.cumulativeSum >= SUSPECT_THRESHOLD;
   }
 }
--- a/packages/puffinturn-fleet/src/VersionComparison.ts
+++ b/packages/puffinturn-fleet/src/VersionComparison.ts
@@ -5,68 +5,64 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Compares the new version of a service with the stable one in the same seconds, route
- * by route and over all routes: failures, and answers that take much longer than
- * expected where the stable version has few of these. Knows counts only, no time.
- */
 import type {VersionAnswers} from 'puffinturn-decisions';
 
 import type {AnswerCounts} from './AnswerTotals';
-import {differenceOf, NO_ANSWERS, sumOf} from './AnswerTotals';
+import {addCounts, NO_ANSWERS, subtractCounts} from './AnswerTotals';
 import {
-  BAD_FAILURES_LIFT,
-  BAD_SLOW_LIFT,
-  FIGURED_ROUTES,
-  HOPELESS_RATE,
-  LEAST_SLOW_RATIO,
-  NORMAL_FAILURES,
-  NORMAL_MARGIN,
-  NORMAL_SLOW,
+  BASELINE_MARGIN,
+  BASELINE_STEPS,
+  FAILURE_RATE_INCREASE,
+  MAX_REPORTED_ROUTES,
+  MAX_TESTABLE_RATE,
+  MIN_BASELINE_FAILURE_RATE,
+  MIN_BASELINE_SLOW_RATE,
+  MIN_SLOW_RATIO,
   PRIOR_ANSWERS,
-  STABLE_STEPS,
+  SLOW_RATE_INCREASE,
 } from './RolloutConstants';
 import type {VersionTally} from './Rollouts';
 import {TIME_RATIO_BOUNDS} from './Rollouts';
 import {SequentialTest} from './SequentialTest';
 
-/** The name under which the answers of all routes are compared. */
+/** Route name under which the answers of all routes are compared. */
 export const ALL_ROUTES = '*';
 
 /** Why a version is bad. */
-export const BAD_CAUSE = {failures: 'failures', slow: 'slow'} as const;
+export const BAD_VERSION_CAUSE = {failures: 'failures', slow: 'slow'} as const;
 
-/** One of BAD_CAUSE. */
-export type BadCause = (typeof BAD_CAUSE)[keyof typeof BAD_CAUSE];
+/** One of BAD_VERSION_CAUSE. */
+export type BadVersionCause =
+  (typeof BAD_VERSION_CAUSE)[keyof typeof BAD_VERSION_CAUSE];
 
-/** The comparison on one route. */
+/** Compares two versions on one route. */
 class RouteComparison {
-  private readonly failures = new SequentialTest();
-  private readonly slow = new SequentialTest();
-  /** Of the stable version, the newest steps that have any. */
-  private readonly stableSteps: AnswerCounts[] = [];
+  private readonly failureTest = new SequentialTest();
+  private readonly slowTest = new SequentialTest();
+  /** Newest steps in which the stable version had answers. */
+  private readonly recentStableSteps: AnswerCounts[] = [];
   private stable: AnswerCounts = NO_ANSWERS;
   private target: AnswerCounts = NO_ANSWERS;
 
-  /** Takes all counts so far. */
-  take(stable: AnswerCounts, target: AnswerCounts): void {
-    this.takeStable(differenceOf(stable, this.stable));
-    this.takeTarget(differenceOf(target, this.target));
+  /** Updates the cumulative counts of both versions. */
+  updateCounts(stable: AnswerCounts, target: AnswerCounts): void {
+    this.recordStable(subtractCounts(stable, this.stable));
+    this.testTarget(subtractCounts(target, this.target));
     this.stable = stable;
     this.target = target;
   }
 
-  /** Why the version is bad here. */
-  get cause(): BadCause | undefined {
-    if (this.failures.hasRisen) {
-      return BAD_CAUSE.failures;
+  /** Why the new version is bad on this route; undefined if it is not. */
+  get badCause(): BadVersionCause | undefined {
+    if (this.failureTest.isRateRaised) {
+      return BAD_VERSION_CAUSE.failures;
     }
-    return this.slow.hasRisen ? BAD_CAUSE.slow : undefined;
+    return this.slowTest.isRateRaised ? BAD_VERSION_CAUSE.slow : undefined;
   }
 
-  /** Whether the version may be bad here. */
+  /** Whether the new version may be bad on this route. */
   get isSuspect(): boolean {
-    return this.failures.mayHaveRisen || this.slow.mayHaveRisen;
+    return this.failureTest.isRateSuspect || this.slowTest.isRateSuspect;
   }
 
   /** Answers of the new version. */
@@ -84,80 +80,110 @@
     return this.stable.answers + this.target.answers;
   }
 
-  /** All counts so far of one version, as a verdict tells them. */
-  figures(
+  /** Returns the cumulative counts of one version. */
+  summarize(
     route: string,
     version: string,
-    which: 'stable' | 'target',
+    role: 'stable' | 'target',
   ): VersionAnswers {
-    const {answers, failures, times} = this[which];
-    const bucket = this.slowBucket() ?? times.length;
+    const {answers, failures, times} = this[role];
+    const bucket = this.firstSlowBucket() ?? times.length;
     return {answers, failures, route, slow: sumFrom(times, bucket), version};
   }
 
-  private takeStable(step: AnswerCounts): void {
+  private recordStable(step: AnswerCounts): void {
     if (step.answers > 0) {
-      this.stableSteps.push(step);
+      this.recentStableSteps.push(step);
     }
-    if (this.stableSteps.length > STABLE_STEPS) {
-      this.stableSteps.shift();
+    if (this.recentStableSteps.length > BASELINE_STEPS) {
+      this.recentStableSteps.shift();
     }
   }
 
-  private takeTarget(step: AnswerCounts): void {
+  private testTarget(step: AnswerCounts): void {
     if (step.answers === 0) {
       return;
     }
     const {answers, failures, times} = step;
-    const normalFailures = this.normalRate(
-      NORMAL_FAILURES,
+    const baselineFailureRate = this.baselineRate(
+      MIN_BASELINE_FAILURE_RATE,
       (counts) => counts.failures,
     );
-    test(this.failures, failures, answers, normalFailures, BAD_FAILURES_LIFT);
-    const bucket = this.slowBucket();
+    addSample(
+      this.failureTest,
+      failures,
+      answers,
+      baselineFailureRate,
+      FAILURE_RATE_INCREASE,
+    );
+    const bucket = this.firstSlowBucket();
     if (bucket !== undefined) {
-      const normalSlow = this.normalRate(NORMAL_SLOW, (counts) =>
-        sumFrom(counts.times, bucket),
+      const baselineSlowRate = this.baselineRate(
+        MIN_BASELINE_SLOW_RATE,
+        (counts) => sumFrom(counts.times, bucket),
       );
       const slow = sumFrom(times, bucket);
-      const timed = sumFrom(times, 0);
-      test(this.slow, slow, timed, normalSlow, BAD_SLOW_LIFT);
+      const timedAnswers = sumFrom(times, 0);
+      addSample(
+        this.slowTest,
+        slow,
+        timedAnswers,
+        baselineSlowRate,
+        SLOW_RATE_INCREASE,
+      );
     }
   }
 
-  /** The rate of the stable version lately, and never below the usual one. */
-  private normalRate(
-    usual: number,
-    hitsOf: (counts: AnswerCounts) => number,
+  /** Estimates a rate of the stable version from recent steps; at least `minRate`. */
+  private baselineRate(
+    minRate: number,
+    countPositives: (counts: AnswerCounts) => number,
   ): number {
-    const hits = this.sumOfStable(hitsOf);
-    const answers = this.sumOfStable((counts) => counts.answers);
-    const seen = (hits + usual * PRIOR_ANSWERS) / (answers + PRIOR_ANSWERS);
-    return Math.max(usual, seen > usual ? seen * NORMAL_MARGIN : usual);
+    const positives = this.sumRecentStable(countPositives);
+    const answers = this.sumRecentStable((counts) => counts.answers);
+    const observedRate =
+      (positives + minRate * PRIOR_ANSWERS) / (answers + PRIOR_ANSWERS);
+    return Math.max(
+      minRate,
+      observedRate > minRate ? observedRate * BASELINE_MARGIN : minRate,
+    );
   }
 
-  /** The first bucket from which on the stable version has few answers. */
-  private slowBucket(): number | undefined {
-    const least = TIME_RATIO_BOUNDS.findIndex(
-      (bound) => bound >= LEAST_SLOW_RATIO,
+  /**
+   * Returns the first histogram bucket above which the stable version has few answers.
+   */
+  private firstSlowBucket(): number | undefined {
+    const firstCandidate = TIME_RATIO_BOUNDS.findIndex(
+      (bound) => bound >= MIN_SLOW_RATIO,
     );
-    const timed = this.sumOfStable(({times}) => sumFrom(times, 0));
-    const allowed = NORMAL_SLOW * (timed + PRIOR_ANSWERS);
-    for (let at = least + 1; at <= TIME_RATIO_BOUNDS.length; at += 1) {
-      const slow = this.sumOfStable(({times}) => sumFrom(times, at));
-      if (slow <= allowed) {
-        return at;
+    const answers = this.sumRecentStable(({times}) => sumFrom(times, 0));
+    const maxSlow = MIN_BASELINE_SLOW_RATE * (answers + PRIOR_ANSWERS);
+    for (
+      let bucket = firstCandidate + 1;
+      bucket <= TIME_RATIO_BOUNDS.length;
+      bucket += 1
+    ) {
+      const slow = this.sumRecentStable(({times}) => sumFrom(times, bucket));
+      if (slow <= maxSlow) {
+        return bucket;
       }
     }
     return undefined;
   }
 
-  private sumOfStable(countOf: (counts: AnswerCounts) => number): number {
-    return this.stableSteps.reduce((sum, step) => sum + countOf(step), 0);
+  private sumRecentStable(getCount: (counts: AnswerCounts) => number): number {
+    return this.recentStableSteps.reduce(
+      (sum, step) => sum + getCount(step),
+      0,
+    );
   }
 }
 
-/** See the module comment. */
+/**
+ * Compares the new version of a service with the stable one over the same period, for
+ * each route and for all routes together. It compares failure rates and rates of slow
+ * answers.
+ */
 export class VersionComparison {
   private readonly routes = new Map<string, RouteComparison>();
 
@@ -166,25 +192,25 @@
     private readonly targetVersion: string,
   ) {}
 
-  /** Takes all answers so far, of all edges together. */
-  take(tallies: readonly VersionTally[]): void {
+  /** Updates the cumulative counts, summed over all edges. */
+  update(tallies: readonly VersionTally[]): void {
     const names = new Set(tallies.map(({route}) => route));
     for (const name of names) {
-      this.takeRoute(
+      this.updateRoute(
         name,
         tallies.filter(({route}) => route === name),
       );
     }
-    this.takeRoute(ALL_ROUTES, tallies);
+    this.updateRoute(ALL_ROUTES, tallies);
   }
 
-  /** Why the new version is bad on some route, or over all of them. */
-  get cause(): BadCause | undefined {
-    const causes = [...this.routes.values()].map(({cause}) => cause);
+  /** Why the new version is bad on any route or overall; undefined if it is not. */
+  get badCause(): BadVersionCause | undefined {
+    const causes = [...this.routes.values()].map(({badCause}) => badCause);
     return causes.find((cause) => cause !== undefined);
   }
 
-  /** Whether the next answers may show that it is bad. */
+  /** Whether the new version may be bad on any route or overall. */
   get isSuspect(): boolean {
     return [...this.routes.values()].some(({isSuspect}) => isSuspect);
   }
@@ -199,51 +225,59 @@
     return this.routes.get(ALL_ROUTES)?.stableAnswers ?? 0;
   }
 
-  /** Answers of the new version on the main route that has fewest of them. */
-  fewestOnMainRoute(mainPart: number): number {
+  /**
+   * Returns the answers of the new version on the main route with the fewest of them.
+   */
+  minMainRouteAnswers(mainRouteFraction: number): number {
     const all = this.routes.get(ALL_ROUTES)?.answers ?? 0;
-    const main = [...this.routes.values()].filter(
-      ({answers}) => answers >= mainPart * all,
+    const mainRoutes = [...this.routes.values()].filter(
+      ({answers}) => answers >= mainRouteFraction * all,
     );
-    return Math.min(...main.map(({targetAnswers}) => targetAnswers));
+    return Math.min(...mainRoutes.map(({targetAnswers}) => targetAnswers));
   }
 
-  /** What a verdict rests on: the routes that are bad first, then the busiest ones. */
-  figures(): VersionAnswers[] {
+  /**
+   * Returns the counts per route and version: routes with a bad version first, then by
+   * number of answers.
+   */
+  summarize(): VersionAnswers[] {
     const routes = [...this.routes].sort(
       ([, a], [, b]) =>
-        Number(b.cause !== undefined) - Number(a.cause !== undefined) ||
+        Number(b.badCause !== undefined) - Number(a.badCause !== undefined) ||
         b.answers - a.answers,
     );
     return routes
-      .slice(0, FIGURED_ROUTES)
+      .slice(0, MAX_REPORTED_ROUTES)
       .flatMap(([route, comparison]) => [
-        comparison.figures(route, this.stableVersion, 'stable'),
-        comparison.figures(route, this.targetVersion, 'target'),
+        comparison.summarize(route, this.stableVersion, 'stable'),
+        comparison.summarize(route, this.targetVersion, 'target'),
       ]);
   }
 
-  private takeRoute(name: string, tallies: readonly VersionTally[]): void {
-    const known = this.routes.get(name) ?? new RouteComparison();
-    this.routes.set(name, known);
-    const countsOf = (wanted: string): AnswerCounts =>
+  private updateRoute(route: string, tallies: readonly VersionTally[]): void {
+    const comparison = this.routes.get(route) ?? new RouteComparison();
+    this.routes.set(route, comparison);
+    const countsFor = (selectedVersion: string): AnswerCounts =>
       tallies
-        .filter(({version}) => version === wanted)
-        .reduce(sumOf, NO_ANSWERS);
-    known.take(countsOf(this.stableVersion), countsOf(this.targetVersion));
+        .filter(({version}) => version === selectedVersion)
+        .reduce(addCounts, NO_ANSWERS);
+    comparison.updateCounts(
+      countsFor(this.stableVersion),
+      countsFor(this.targetVersion),
+    );
   }
 }
 
-function test(
-  sequential: SequentialTest,
-  hits: number,
+function addSample(
+  sequentialTest: SequentialTest,
+  positives: number,
   answers: number,
-  normal: number,
-  lift: number,
+  baselineRate: number,
+  increase: number,
 ): void {
-  const risen = normal + lift;
-  if (risen <= HOPELESS_RATE) {
-    sequential.take(hits, answers, normal, risen);
+  const raisedRate = baselineRate + increase;
+  if (raisedRate <= MAX_TESTABLE_RATE) {
+    sequentialTest.addSample(positives, answers, baselineRate, raisedRate);
   }
 }
 
--- a/packages/puffinturn-fleet/src/__tests__/unit/ExposureLedger.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/ExposureLedger.test.ts
@@ -10,10 +10,13 @@
 import {ExposureLedger} from '../../ExposureLedger';
 import type {ExposureReport} from '../../index';
 
-const BOUND = {extra: 50, rollbackMs: 5_000, share: 0.1};
-const NOTHING = {counted: 0, granted: 0};
+// Guards against granting more requests to a new version than the bound allows, and
+// against counting a report twice.
 
-function reportOf(fields: Partial<ExposureReport>): ExposureReport {
+const EXPOSURE_BOUND = {extra: 50, rollbackMs: 5_000, share: 0.1};
+const EMPTY_BASELINE = {counted: 0, granted: 0};
+
+function createReport(fields: Partial<ExposureReport>): ExposureReport {
   return {
     exposed: 0,
     granted: 0,
@@ -27,50 +30,66 @@
   };
 }
 
-function tallyOf(answers: number) {
+function createTally(answers: number) {
   return {answers, failures: 0, route: 'r', times: [answers], version: 'v2'};
 }
 
-describe('The ledger of exposure', () => {
-  test('counts reports that come twice, or late, once', () => {
-    const ledger = new ExposureLedger(BOUND, NOTHING);
-    const early = reportOf({requests: 10, tallies: [tallyOf(4)]});
-    const late = reportOf({requests: 30, tallies: [tallyOf(9)]});
-    for (const report of [early, late, late, early]) {
-      ledger.take('e1', report, 0);
+describe('The exposure ledger', () => {
+  test('counts duplicate and delayed reports once', () => {
+    const ledger = new ExposureLedger(EXPOSURE_BOUND, EMPTY_BASELINE);
+    const older = createReport({requests: 10, tallies: [createTally(4)]});
+    const newer = createReport({requests: 30, tallies: [createTally(9)]});
+    for (const report of [older, newer, newer, older]) {
+      ledger.recordReport('e1', report, 0);
     }
     expect(ledger.requests).toBe(30);
-    expect(ledger.tallies).toEqual([tallyOf(9)]);
+    expect(ledger.tallies).toEqual([createTally(9)]);
   });
 
-  test('believes an edge that takes its shift back', () => {
-    const ledger = new ExposureLedger(BOUND, NOTHING);
-    ledger.take('e1', reportOf({requests: 10, shifted: true}), 0);
-    ledger.take('e1', reportOf({openAtFormer: 5, requests: 40}), 1);
+  test('accepts a report that an edge is no longer shifted', () => {
+    const ledger = new ExposureLedger(EXPOSURE_BOUND, EMPTY_BASELINE);
+    ledger.recordReport('e1', createReport({requests: 10, shifted: true}), 0);
+    ledger.recordReport('e1', createReport({openAtFormer: 5, requests: 40}), 1);
     expect(ledger.reportsSince(0)).toEqual([
-      reportOf({openAtFormer: 5, requests: 40}),
+      createReport({openAtFormer: 5, requests: 40}),
     ]);
   });
 
-  test('adds up the lives of an edge', () => {
-    const ledger = new ExposureLedger(BOUND, NOTHING);
-    ledger.take('e1', reportOf({requests: 30, tallies: [tallyOf(9)]}), 0);
-    ledger.take('e1 next', reportOf({requests: 5, tallies: [tallyOf(2)]}), 0);
-    ledger.take('e1', reportOf({requests: 30, tallies: [tallyOf(9)]}), 0);
+  test('adds up the incarnations of an edge', () => {
+    const ledger = new ExposureLedger(EXPOSURE_BOUND, EMPTY_BASELINE);
+    ledger.recordReport(
+      'e1',
+      createReport({requests: 30, tallies: [createTally(9)]}),
+      0,
+    );
+    ledger.recordReport(
+      'e1 restarted',
+      createReport({requests: 5, tallies: [createTally(2)]}),
+      0,
+    );
+    ledger.recordReport(
+      'e1',
+      createReport({requests: 30, tallies: [createTally(9)]}),
+      0,
+    );
     expect(ledger.requests).toBe(35);
     expect(ledger.tallies[0]?.answers).toBe(11);
   });
 
-  test('grants each edge about its part of the traffic', () => {
-    const ledger = new ExposureLedger(BOUND, NOTHING);
+  test('grants each edge its approximate share of the traffic', () => {
+    const ledger = new ExposureLedger(EXPOSURE_BOUND, EMPTY_BASELINE);
     for (let turn = 1; turn <= 40; turn += 1) {
-      for (const [life, perTurn] of [
+      for (const [edge, requestsPerTurn] of [
         ['busy', 60],
         ['quiet', 20],
       ] as const) {
-        const granted = ledger.grant(life);
-        const report = {exposed: granted, granted, requests: turn * perTurn};
-        ledger.take(life, reportOf(report), turn);
+        const granted = ledger.grant(edge);
+        const report = {
+          exposed: granted,
+          granted,
+          requests: turn * requestsPerTurn,
+        };
+        ledger.recordReport(edge, createReport(report), turn);
       }
     }
     const [busy, quiet] = [ledger.grant('busy'), ledger.grant('quiet')];
@@ -78,81 +97,99 @@
     expect(busy / quiet).toBeLessThan(4);
   });
 
-  test('leaves no edge that has traffic without exposure for long', () => {
-    const ledger = new ExposureLedger(BOUND, NOTHING);
-    const lives = Array.from({length: 75}, (_, at) => `e${at}`);
+  test('grants exposure to every edge that has traffic', () => {
+    const ledger = new ExposureLedger(EXPOSURE_BOUND, EMPTY_BASELINE);
+    const edges = Array.from({length: 75}, (_, index) => `e${index}`);
     for (let turn = 1; turn <= 40; turn += 1) {
-      for (const life of lives) {
-        const granted = ledger.grant(life);
+      for (const edge of edges) {
+        const granted = ledger.grant(edge);
         const report = {exposed: granted, granted, requests: turn};
-        ledger.take(life, reportOf(report), turn);
+        ledger.recordReport(edge, createReport(report), turn);
       }
     }
-    const granted = lives.map((life) => ledger.grant(life));
+    const granted = edges.map((edge) => ledger.grant(edge));
     expect(Math.min(...granted)).toBeGreaterThan(0);
   });
 
-  test('grants no more to who does not use what it has', () => {
-    const ledger = new ExposureLedger(BOUND, NOTHING);
-    ledger.take('e1', reportOf({requests: 100}), 0);
+  test('does not increase a grant that is not used', () => {
+    const ledger = new ExposureLedger(EXPOSURE_BOUND, EMPTY_BASELINE);
+    ledger.recordReport('e1', createReport({requests: 100}), 0);
     const first = ledger.grant('e1');
     expect(first).toBeGreaterThan(0);
     for (let turn = 0; turn < 10; turn += 1) {
-      ledger.take('e1', reportOf({granted: first, requests: 100}), turn);
+      ledger.recordReport(
+        'e1',
+        createReport({granted: first, requests: 100}),
+        turn,
+      );
       expect(ledger.grant('e1')).toBe(first);
     }
   });
 
-  test('takes what former leaders took out of the log as used', () => {
-    const ledger = new ExposureLedger(BOUND, {counted: 100, granted: 36});
-    ledger.take('e1', reportOf({requests: 100}), 0);
+  test('counts exposure allocated by earlier leaders as used', () => {
+    const ledger = new ExposureLedger(EXPOSURE_BOUND, {
+      counted: 100,
+      granted: 36,
+    });
+    ledger.recordReport('e1', createReport({requests: 100}), 0);
     expect(ledger.grant('e1')).toBe(0);
-    ledger.take('e1', reportOf({granted: 7, requests: 100}), 0);
+    ledger.recordReport('e1', createReport({granted: 7, requests: 100}), 0);
     expect(ledger.grant('e1')).toBe(7);
   });
 
   const events = fc.array(
     fc.record({
-      grants: fc.boolean(),
-      life: fc.constantFrom('a', 'b', 'c', 'd'),
+      isGrantRequested: fc.boolean(),
+      incarnationId: fc.constantFrom('a', 'b', 'c', 'd'),
       requests: fc.nat(200),
-      uses: fc.nat(10),
+      usedGrants: fc.nat(10),
     }),
     {maxLength: 60},
   );
 
-  test('never grants more in all than its part of the bound', () => {
+  test('never grants more in total than its fraction of the bound', () => {
     fc.assert(
-      fc.property(events, fc.nat(40), (all, restartAt) => {
-        let base = NOTHING;
-        let ledger = new ExposureLedger(BOUND, base);
+      fc.property(events, fc.nat(40), (all, restartIndex) => {
+        let baseline = EMPTY_BASELINE;
+        let ledger = new ExposureLedger(EXPOSURE_BOUND, baseline);
         const edges = new Map<string, ExposureReport>();
-        for (const [at, {grants, life, requests, uses}] of all.entries()) {
-          const held = edges.get(life) ?? reportOf({});
-          const exposed = Math.min(held.granted, held.exposed + uses);
+        for (const [
+          index,
+          {incarnationId, requests, isGrantRequested, usedGrants},
+        ] of all.entries()) {
+          const previous = edges.get(incarnationId) ?? createReport({});
+          const exposed = Math.min(
+            previous.granted,
+            previous.exposed + usedGrants,
+          );
           const report = {
-            ...held,
+            ...previous,
             exposed,
-            requests: held.requests + requests + exposed - held.exposed,
+            requests: previous.requests + requests + exposed - previous.exposed,
           };
-          edges.set(life, report);
-          ledger.take(life, report, at);
-          if (grants) {
-            edges.set(life, {...report, granted: ledger.grant(life)});
+          edges.set(incarnationId, report);
+          ledger.recordReport(incarnationId, report, index);
+          if (isGrantRequested) {
+            edges.set(incarnationId, {
+              ...report,
+              granted: ledger.grant(incarnationId),
+            });
           }
-          const sum = [...edges.values()].reduce(
+          const totalGranted = [...edges.values()].reduce(
             (total, {granted}) => total + granted,
             0,
           );
-          const sent = [...edges.values()].reduce(
-            (total, one) => total + one.requests,
+          const totalRequests = [...edges.values()].reduce(
+            (total, edge) => total + edge.requests,
             0,
           );
-          expect(sum).toBeLessThanOrEqual(ledger.granted);
-          expect(sum).toBeLessThanOrEqual(BOUND.share * sent + BOUND.extra);
-          if (at === restartAt) {
-            base = {counted: ledger.requests, granted: ledger.granted};
-            ledger = new ExposureLedger(BOUND, base);
+          expect(totalGranted).toBeLessThanOrEqual(ledger.granted);
+          expect(totalGranted).toBeLessThanOrEqual(
+            EXPOSURE_BOUND.share * totalRequests + EXPOSURE_BOUND.extra,
+          );
+          if (index === restartIndex) {
+            baseline = {counted: ledger.requests, granted: ledger.granted};
+            ledger = new ExposureLedger(EXPOSURE_BOUND, baseline);
           }
         }
       }),
--- a/packages/puffinturn-fleet/src/__tests__/unit/RolloutClock.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/RolloutClock.test.ts
@@ -11,27 +11,30 @@
 import {RolloutClock} from '../../RolloutClock';
 import {configurationOf} from '../utils/FleetFixture';
 
-function orderedAt(clock: ManualClock): FleetMachine {
+// Guards against deadlines that move when the leader changes, a box restarts or a wall
+// clock jumps.
+
+function createMachineWithOrder(clock: ManualClock): FleetMachine {
   const machine = new FleetMachine();
   const stored = {configuration: configurationOf(1), document: 'one'};
   machine.apply({kind: 'configuration', stored});
-  order(machine, clock.wallTime());
+  applyOrder(machine, clock.wallTime());
   return machine;
 }
 
-function order(machine: FleetMachine, at: number): void {
+function applyOrder(machine: FleetMachine, orderedAt: number): void {
   machine.apply({
     durationMs: 12_000,
     kind: 'rollout-order',
     knownNumber: 0,
-    orderedAt: at,
+    orderedAt,
     service: 's',
     stableVersion: 'v1',
     targetVersion: 'v2',
   });
 }
 
-function noteElapsed(machine: FleetMachine, elapsedMs: number): void {
+function recordElapsed(machine: FleetMachine, elapsedMs: number): void {
   machine.apply({
     counted: 0,
     elapsedMs,
@@ -42,54 +45,54 @@
   });
 }
 
-describe('The clock of roll-outs', () => {
-  test('goes on from the order, and knows none without one', async () => {
+describe('The rollout clock', () => {
+  test('measures the time since the order, and returns undefined without one', async () => {
     const clock = new ManualClock();
-    const elapsed = new RolloutClock(clock, orderedAt(clock));
-    expect(elapsed.elapsedOf('s')).toBe(0);
+    const rolloutClock = new RolloutClock(clock, createMachineWithOrder(clock));
+    expect(rolloutClock.getElapsedMs('s')).toBe(0);
     await clock.advance(3_000);
-    expect(elapsed.elapsedOf('s')).toBe(3_000);
-    expect(elapsed.elapsedOf('other')).toBeUndefined();
+    expect(rolloutClock.getElapsedMs('s')).toBe(3_000);
+    expect(rolloutClock.getElapsedMs('other')).toBeUndefined();
   });
 
-  test('takes over the time of a leader that heard of the order earlier', async () => {
+  test('adopts a longer elapsed time recorded by another leader', async () => {
     const clock = new ManualClock();
-    const machine = orderedAt(clock);
-    const elapsed = new RolloutClock(clock, machine);
-    elapsed.look();
+    const machine = createMachineWithOrder(clock);
+    const rolloutClock = new RolloutClock(clock, machine);
+    rolloutClock.refresh();
     await clock.advance(1_000);
-    noteElapsed(machine, 1_400);
-    expect(elapsed.elapsedOf('s')).toBe(1_400);
+    recordElapsed(machine, 1_400);
+    expect(rolloutClock.getElapsedMs('s')).toBe(1_400);
     await clock.advance(1_000);
-    noteElapsed(machine, 1_500);
-    expect(elapsed.elapsedOf('s')).toBe(2_400);
+    recordElapsed(machine, 1_500);
+    expect(rolloutClock.getElapsedMs('s')).toBe(2_400);
   });
 
-  test('goes on after a start from the record, or the time of day if that is more', async () => {
+  test('resumes after a restart from the record or the wall clock, whichever is longer', async () => {
     const clock = new ManualClock();
-    const machine = orderedAt(clock);
-    noteElapsed(machine, 4_000);
-    expect(new RolloutClock(clock, machine).elapsedOf('s')).toBe(4_000);
+    const machine = createMachineWithOrder(clock);
+    recordElapsed(machine, 4_000);
+    expect(new RolloutClock(clock, machine).getElapsedMs('s')).toBe(4_000);
     await clock.advance(9_000);
-    expect(new RolloutClock(clock, machine).elapsedOf('s')).toBe(9_000);
+    expect(new RolloutClock(clock, machine).getElapsedMs('s')).toBe(9_000);
   });
 
-  test('takes an order that came since the last look for no older than that', async () => {
+  test('treats a new order as no older than the last refresh', async () => {
     const machine = new FleetMachine();
     const clock = new ManualClock();
-    const elapsed = new RolloutClock(clock, machine);
-    elapsed.look();
+    const rolloutClock = new RolloutClock(clock, machine);
+    rolloutClock.refresh();
     await clock.advance(500);
     const stored = {configuration: configurationOf(1), document: 'one'};
     machine.apply({kind: 'configuration', stored});
-    order(machine, clock.wallTime() - 5_000);
-    expect(elapsed.elapsedOf('s')).toBe(500);
+    applyOrder(machine, clock.wallTime() - 5_000);
+    expect(rolloutClock.getElapsedMs('s')).toBe(500);
   });
 
-  test('does not go back with a time of day that does', () => {
-    const machine = orderedAt(new ManualClock());
-    noteElapsed(machine, 2_000);
-    const behind = new ManualClock(1_600_000_000_000);
-    expect(new RolloutClock(behind, machine).elapsedOf('s')).toBe(2_000);
+  test('does not decrease if the wall clock goes back', () => {
+    const machine = createMachineWithOrder(new ManualClock());
+    recordElapsed(machine, 2_000);
+    const slowClock = new ManualClock(1_600_000_000_000);
+    expect(new RolloutClock(slowClock, machine).getElapsedMs('s')).toBe(2_000);
   });
 });
--- a/packages/puffinturn-fleet/src/__tests__/unit/RolloutControl.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/RolloutControl.test.ts
@@ -8,56 +8,61 @@
 import type {WatchReply, WatchRequest} from '../../index';
 import {BOX_ROLE, FLEET_SERVICE, ROLLOUT_STATE} from '../../index';
 import {
-  BOUND,
   CONTROLS,
+  EXPOSURE_BOUND,
   FAILING,
   GOOD,
   RolloutFleet,
   SLOW,
 } from '../utils/RolloutFleet';
 
+// Guards against bad versions that stay in use, good ones that are rolled back, and
+// rollouts that exceed the exposure bound or their deadline, also as leaders fail.
+
 const DURATION_MS = 12_000;
 
-/** A fleet with edges, whose order to go to `v2` was taken. */
-async function ordered(edges = 10): Promise<RolloutFleet> {
+/** Starts a fleet with edges and orders a rollout to `v2`. */
+async function startRollout(edges = 10): Promise<RolloutFleet> {
   const fleet = await RolloutFleet.start();
   fleet.addEdges(edges);
   await fleet.run(1_000);
   fleet.addUpstreams('v2');
-  expect(await fleet.order()).toEqual({outcome: 'accepted'});
+  expect(await fleet.orderRollout()).toEqual({outcome: 'accepted'});
   return fleet;
 }
 
-function isOver(fleet: RolloutFleet): boolean {
-  const state = fleet.state();
+function hasOutcome(fleet: RolloutFleet): boolean {
+  const state = fleet.rolloutState();
   return (
     state === ROLLOUT_STATE.completed || state === ROLLOUT_STATE.rolledBack
   );
 }
 
 function isShifting(fleet: RolloutFleet): boolean {
-  return fleet.state() === ROLLOUT_STATE.shifting;
+  return fleet.rolloutState() === ROLLOUT_STATE.shifting;
 }
 
-/** Runs until there is an outcome; the time since the order, ms. */
+/** Runs until the rollout has an outcome. Returns the time that this took, ms. */
 async function runToOutcome(fleet: RolloutFleet): Promise<number> {
-  const before = fleet.clock.now();
-  await fleet.run(DURATION_MS, () => isOver(fleet));
-  return fleet.clock.now() - before;
+  const startedAt = fleet.clock.now();
+  await fleet.run(DURATION_MS, () => hasOutcome(fleet));
+  return fleet.clock.now() - startedAt;
 }
 
-function expectExposureInBounds(fleet: RolloutFleet): void {
-  const {exposed, requests} = fleet.sent;
-  expect(exposed).toBeLessThanOrEqual(BOUND.share * requests + BOUND.extra);
+function expectExposureWithinBound(fleet: RolloutFleet): void {
+  const {exposed, requests} = fleet.requestCounts;
+  expect(exposed).toBeLessThanOrEqual(
+    EXPOSURE_BOUND.share * requests + EXPOSURE_BOUND.extra,
+  );
 }
 
-describe('A roll-out', () => {
-  test('of a good version is completed in time', async () => {
-    const fleet = await ordered();
+describe('A rollout', () => {
+  test('of a good version is completed before its deadline', async () => {
+    const fleet = await startRollout();
     const tookMs = await runToOutcome(fleet);
-    expect(fleet.state()).toBe(ROLLOUT_STATE.completed);
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.completed);
     expect(tookMs).toBeLessThan(DURATION_MS);
-    const read = await fleet.read();
+    const read = await fleet.readVersions();
     expect(read.current).toBe(true);
     expect(read.versions).toMatchObject({
       rollout: {state: ROLLOUT_STATE.completed, targetVersion: 'v2'},
@@ -65,11 +70,11 @@
     });
   });
 
-  test('of a good version is completed though the service has errors', async () => {
-    const fleet = await ordered();
-    fleet.behaviourOf = () => ({failureRate: 0.15, slowRate: 0.1});
+  test('of a good version is completed if both versions have errors', async () => {
+    const fleet = await startRollout();
+    fleet.getBehaviour = () => ({failureRate: 0.15, slowRate: 0.1});
     await runToOutcome(fleet);
-    expect(fleet.state()).toBe(ROLLOUT_STATE.completed);
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.completed);
   });
 
   test.each([
@@ -78,212 +83,217 @@
   ])(
     'of a version that %s is rolled back before the 50th bad answer',
     async (_, behaviour) => {
-      const fleet = await ordered();
-      fleet.behaviourOf = (version) => (version === 'v2' ? behaviour : GOOD);
+      const fleet = await startRollout();
+      fleet.getBehaviour = (version) => (version === 'v2' ? behaviour : GOOD);
       await runToOutcome(fleet);
-      expect(fleet.state()).toBe(ROLLOUT_STATE.rolledBack);
-      expect(fleet.bad).toBeLessThan(50);
+      expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.rolledBack);
+      expect(fleet.badAnswers).toBeLessThan(50);
       await fleet.runToDeadline();
-      expectExposureInBounds(fleet);
+      expectExposureWithinBound(fleet);
     },
   );
 
   test('of a version that fails on one route only is rolled back', async () => {
-    const fleet = await ordered();
+    const fleet = await startRollout();
     fleet.traffic = {
-      perSecond: 200,
+      requestsPerSecond: 200,
       routes: [
         ['r', 0.8],
-        ['seldom', 0.2],
+        ['rare', 0.2],
       ],
     };
-    fleet.behaviourOf = (version, route) =>
-      version === 'v2' && route === 'seldom' ? FAILING : GOOD;
+    fleet.getBehaviour = (version, route) =>
+      version === 'v2' && route === 'rare' ? FAILING : GOOD;
     await runToOutcome(fleet);
-    expect(fleet.state()).toBe(ROLLOUT_STATE.rolledBack);
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.rolledBack);
     await fleet.runToDeadline();
-    expectExposureInBounds(fleet);
+    expectExposureWithinBound(fleet);
   });
 
   test.each([2_000, 5_000, 7_000])(
-    'of a version that turns bad after %d ms is rolled back',
+    'of a version that becomes bad after %d ms is rolled back',
     async (afterMs) => {
-      const fleet = await ordered();
-      const badFrom = fleet.clock.now() + afterMs;
-      fleet.behaviourOf = (version, _, now) =>
-        version === 'v2' && now >= badFrom ? FAILING : GOOD;
+      const fleet = await startRollout();
+      const badSince = fleet.clock.now() + afterMs;
+      fleet.getBehaviour = (version, _, now) =>
+        version === 'v2' && now >= badSince ? FAILING : GOOD;
       await runToOutcome(fleet);
-      expect(fleet.state()).toBe(ROLLOUT_STATE.rolledBack);
+      expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.rolledBack);
       await fleet.runToDeadline();
-      expectExposureInBounds(fleet);
+      expectExposureWithinBound(fleet);
     },
   );
 
-  test('of a version that fails once all use it is rolled back', async () => {
-    const fleet = await ordered();
-    fleet.behaviourOf = (version) =>
-      version === 'v2' && fleet.state() === ROLLOUT_STATE.shifting
+  test('of a version that fails during the shift is rolled back', async () => {
+    const fleet = await startRollout();
+    fleet.getBehaviour = (version) =>
+      version === 'v2' && fleet.rolloutState() === ROLLOUT_STATE.shifting
         ? FAILING
         : GOOD;
     await runToOutcome(fleet);
-    expect(fleet.state()).toBe(ROLLOUT_STATE.rolledBack);
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.rolledBack);
     await fleet.runToDeadline();
-    expectExposureInBounds(fleet);
+    expectExposureWithinBound(fleet);
   });
 
-  test('whose upstreams never come is rolled back at its deadline', async () => {
+  test('without upstreams of the new version is rolled back at its deadline', async () => {
     const fleet = await RolloutFleet.start();
     fleet.addEdges(5);
-    await fleet.order();
+    await fleet.orderRollout();
     const tookMs = await runToOutcome(fleet);
-    expect(fleet.state()).toBe(ROLLOUT_STATE.rolledBack);
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.rolledBack);
     expect(tookMs).toBeGreaterThan(DURATION_MS / 2);
     expect(tookMs).toBeLessThan(DURATION_MS);
-    const judged = fleet.lines('rollout-judged');
-    expect(judged.at(-1)).toMatchObject({cause: 'no-upstreams'});
+    const verdicts = fleet.logLines('rollout-judged');
+    expect(verdicts.at(-1)).toMatchObject({cause: 'no-upstreams'});
   });
 
-  test('whose upstreams leave is rolled back at its deadline', async () => {
-    const fleet = await ordered();
+  test('is rolled back if most upstreams of the new version are removed', async () => {
+    const fleet = await startRollout();
     await fleet.run(2_000);
     fleet.removeUpstreams('v2', 3);
     await runToOutcome(fleet);
-    expect(fleet.state()).toBe(ROLLOUT_STATE.rolledBack);
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.rolledBack);
   });
 
-  test('is not tried before an upstream is warm, unless that takes long', async () => {
+  test('waits for a warm upstream before the canary phase, but not for long', async () => {
     const fleet = await RolloutFleet.start();
     fleet.addEdges(10);
     fleet.addUpstreams('v2', 4, {coldMs: 60_000});
-    await fleet.order();
+    await fleet.orderRollout();
     await fleet.run(2_500);
-    expect(fleet.sent.exposed).toBe(0);
+    expect(fleet.requestCounts.exposed).toBe(0);
     await fleet.run(1_500);
-    expect(fleet.sent.exposed).toBeGreaterThan(0);
+    expect(fleet.requestCounts.exposed).toBeGreaterThan(0);
     await runToOutcome(fleet);
-    expect(fleet.state()).toBe(ROLLOUT_STATE.completed);
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.completed);
   });
 
-  test('that nobody sends requests to is rolled back at its deadline', async () => {
-    const fleet = await ordered(0);
+  test('of a service without requests is rolled back at its deadline', async () => {
+    const fleet = await startRollout(0);
     await runToOutcome(fleet);
-    expect(fleet.state()).toBe(ROLLOUT_STATE.rolledBack);
-    const judged = fleet.lines('rollout-judged');
-    expect(judged.at(-1)).toMatchObject({cause: 'no-evidence'});
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.rolledBack);
+    const verdicts = fleet.logLines('rollout-judged');
+    expect(verdicts.at(-1)).toMatchObject({cause: 'no-evidence'});
   });
 
-  test('goes on during an evacuation and while its upstreams are replaced', async () => {
-    const fleet = await ordered();
+  test('continues during an evacuation and the replacement of upstreams', async () => {
+    const fleet = await startRollout();
     const evacuation = {evacuated: true, hall: 'y'};
-    await fleet.settle(fleet.control().evacuate(evacuation));
+    await fleet.waitFor(fleet.control().evacuate(evacuation));
     await fleet.run(1_000);
     fleet.removeUpstreams('v1', 2);
-    fleet.addUpstreams('v1', 1, {address: 'again:80', id: 'replacement'});
+    fleet.addUpstreams('v1', 1, {
+      address: 'replacement.example:80',
+      id: 'replacement',
+    });
     await runToOutcome(fleet);
-    expect(fleet.state()).toBe(ROLLOUT_STATE.completed);
-    expect(fleet.machine().evacuations.halls).toEqual(['y']);
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.completed);
+    expect(fleet.newestMachine().evacuations.halls).toEqual(['y']);
   });
 
-  test('loses no exposure with the lives of edges', async () => {
-    const fleet = await ordered();
-    for (let at = 0; at < 6; at += 1) {
+  test('stays within the exposure bound when edges restart', async () => {
+    const fleet = await startRollout();
+    for (let index = 0; index < 6; index += 1) {
       await fleet.run(1_000);
-      fleet.restartEdge(at);
+      fleet.restartEdge(index);
     }
-    expect(fleet.state()).toBe(ROLLOUT_STATE.exposing);
-    expectExposureInBounds(fleet);
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.exposing);
+    expectExposureWithinBound(fleet);
     await runToOutcome(fleet);
-    expect(fleet.overshoot).toBeLessThanOrEqual(0);
-    expect(fleet.state()).toBe(ROLLOUT_STATE.completed);
+    expect(fleet.maxOvershoot).toBeLessThanOrEqual(0);
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.completed);
   });
 });
 
 describe('An order', () => {
-  test('is taken at any control box, and again while it is under way', async () => {
-    const fleet = await ordered();
+  test('is accepted by any control box, also if repeated during the rollout', async () => {
+    const fleet = await startRollout();
     for (const box of CONTROLS) {
-      const reply = await fleet.order('v2', {}, box);
+      const reply = await fleet.orderRollout('v2', {}, box);
       expect(reply).toEqual({outcome: 'accepted'});
     }
-    expect(fleet.machine().versionsOf('s')?.rollout?.number).toBe(1);
+    expect(fleet.newestMachine().versionsOf('s')?.rollout?.number).toBe(1);
   });
 
-  test('of another version is refused by the name of the one under way', async () => {
-    const fleet = await ordered();
-    const reply = await fleet.order('v3');
+  test('for another version is refused with the version in progress', async () => {
+    const fleet = await startRollout();
+    const reply = await fleet.orderRollout('v3');
     expect(reply).toEqual({outcome: 'conflict', underWay: 'v2'});
   });
 
   test('for an unknown service is refused', async () => {
-    const fleet = await ordered();
-    const reply = await fleet.order('v2', {service: 'other'});
+    const fleet = await startRollout();
+    const reply = await fleet.orderRollout('v2', {service: 'other'});
     expect(reply).toEqual({outcome: 'unknown-service'});
-    expect(await fleet.settle(fleet.control().readRollout('other'))).toEqual({
+    expect(await fleet.waitFor(fleet.control().readRollout('other'))).toEqual({
       current: true,
       versions: undefined,
     });
   });
 
-  test('is refused where roll-outs are not switched on', async () => {
+  test('is refused if rollouts are disabled', async () => {
     const fleet = new RolloutFleet(false);
-    await fleet.startControls();
-    expect(await fleet.order()).toEqual({outcome: 'disabled'});
+    await fleet.startControlBoxes();
+    expect(await fleet.orderRollout()).toEqual({outcome: 'disabled'});
   });
 
-  test('for the version that serves is completed at once', async () => {
+  test('for the stable version is completed immediately', async () => {
     const fleet = await RolloutFleet.start();
-    expect(await fleet.order('v1')).toEqual({outcome: 'accepted'});
-    expect(fleet.state()).toBe(ROLLOUT_STATE.completed);
+    expect(await fleet.orderRollout('v1')).toEqual({outcome: 'accepted'});
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.completed);
   });
 
-  test('that comes again soon after its outcome does nothing', async () => {
-    const fleet = await ordered();
-    fleet.behaviourOf = (version) => (version === 'v2' ? FAILING : GOOD);
+  test('has no effect if repeated soon after its outcome', async () => {
+    const fleet = await startRollout();
+    fleet.getBehaviour = (version) => (version === 'v2' ? FAILING : GOOD);
     await runToOutcome(fleet);
     for (const box of CONTROLS) {
-      expect(await fleet.order('v2', {}, box)).toEqual({outcome: 'accepted'});
+      expect(await fleet.orderRollout('v2', {}, box)).toEqual({
+        outcome: 'accepted',
+      });
     }
-    expect(fleet.state()).toBe(ROLLOUT_STATE.rolledBack);
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.rolledBack);
     await fleet.run(DURATION_MS);
-    await fleet.order();
-    expect(fleet.machine().versionsOf('s')?.rollout?.number).toBe(2);
+    await fleet.orderRollout();
+    expect(fleet.newestMachine().versionsOf('s')?.rollout?.number).toBe(2);
   });
 
-  test('that comes again after its outcome and a start does nothing', async () => {
-    const fleet = await ordered();
-    fleet.behaviourOf = (version) => (version === 'v2' ? FAILING : GOOD);
+  test('has no effect if repeated after its outcome and a restart', async () => {
+    const fleet = await startRollout();
+    fleet.getBehaviour = (version) => (version === 'v2' ? FAILING : GOOD);
     await runToOutcome(fleet);
-    fleet.kill();
-    await fleet.startControls();
-    expect(await fleet.order()).toEqual({outcome: 'accepted'});
-    expect(fleet.state()).toBe(ROLLOUT_STATE.rolledBack);
+    fleet.crash();
+    await fleet.startControlBoxes();
+    expect(await fleet.orderRollout()).toEqual({outcome: 'accepted'});
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.rolledBack);
   });
 
-  test('is neither taken nor read without a quorum', async () => {
+  test('is neither accepted nor readable without a quorum', async () => {
     const fleet = await RolloutFleet.start();
-    fleet.kill(['c2:1', 'c3:1']);
+    fleet.crash(['c2:1', 'c3:1']);
     await fleet.clock.advance(5_000);
-    expect(await fleet.order()).toEqual({outcome: 'unavailable'});
-    expect((await fleet.read()).current).toBe(false);
+    expect(await fleet.orderRollout()).toEqual({outcome: 'unavailable'});
+    expect((await fleet.readVersions()).current).toBe(false);
   });
 });
 
-describe('A stable version', () => {
-  test('is that of most upstreams once they had time to register', async () => {
+describe('The stable version', () => {
+  test('is that of most upstreams after they had time to register', async () => {
     const fleet = new RolloutFleet();
-    await fleet.startControls();
+    await fleet.startControlBoxes();
     fleet.addUpstreams('v2', 1);
-    await fleet.configure();
+    await fleet.applyConfiguration();
     fleet.addUpstreams('v1');
     await fleet.clock.advance(5_000);
-    expect(fleet.machine().versionsOf('s')?.stableVersion).toBe('v1');
+    expect(fleet.newestMachine().versionsOf('s')?.stableVersion).toBe('v1');
   });
 
-  test('holds while upstreams of another version come', async () => {
+  test('does not change as upstreams of another version register', async () => {
     const fleet = await RolloutFleet.start();
     fleet.addUpstreams('v2', 9);
     await fleet.clock.advance(5_000);
-    expect(fleet.machine().versionsOf('s')).toEqual({
+    expect(fleet.newestMachine().versionsOf('s')).toEqual({
       rollout: undefined,
       service: 's',
       stableVersion: 'v1',
@@ -291,128 +301,128 @@
   });
 });
 
-describe('A roll-out without its leader', () => {
-  test('is completed soon, where its leader is lost right after the shift', async () => {
-    const fleet = await ordered();
+describe('A rollout whose leader fails', () => {
+  test('is completed soon if the leader fails at the start of the shift', async () => {
+    const fleet = await startRollout();
     await fleet.run(DURATION_MS, () => isShifting(fleet));
-    fleet.kill([fleet.leader()]);
-    await fleet.run(4_000, () => isOver(fleet));
-    expect(fleet.state()).toBe(ROLLOUT_STATE.completed);
+    fleet.crash([fleet.leaderBox()]);
+    await fleet.run(4_000, () => hasOutcome(fleet));
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.completed);
   });
 
   test.each([100, 1_000, 5_000, 7_400])(
-    'goes on as its leader is lost after %d ms',
+    'continues if the leader fails after %d ms',
     async (afterMs) => {
-      const fleet = await ordered();
+      const fleet = await startRollout();
       await fleet.run(afterMs);
-      fleet.kill([fleet.leader()]);
-      await fleet.run(DURATION_MS - afterMs, () => isOver(fleet));
-      expect(fleet.state()).toBe(ROLLOUT_STATE.completed);
+      fleet.crash([fleet.leaderBox()]);
+      await fleet.run(DURATION_MS - afterMs, () => hasOutcome(fleet));
+      expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.completed);
     },
   );
 
   test.each([100, 1_000, 5_000, 8_500])(
-    'rolls a bad version back as its leader is lost after %d ms',
+    'rolls back a bad version if the leader fails after %d ms',
     async (afterMs) => {
-      const fleet = await ordered();
-      const badFrom = fleet.clock.now() + afterMs;
-      fleet.behaviourOf = (version, _, now) =>
-        version === 'v2' && now >= badFrom ? FAILING : GOOD;
+      const fleet = await startRollout();
+      const badSince = fleet.clock.now() + afterMs;
+      fleet.getBehaviour = (version, _, now) =>
+        version === 'v2' && now >= badSince ? FAILING : GOOD;
       await fleet.run(afterMs);
-      const state = fleet.state();
-      fleet.kill([fleet.leader()]);
-      await fleet.run(DURATION_MS - afterMs, () => isOver(fleet));
-      expect(fleet.state()).toBe(ROLLOUT_STATE.rolledBack);
+      const state = fleet.rolloutState();
+      fleet.crash([fleet.leaderBox()]);
+      await fleet.run(DURATION_MS - afterMs, () => hasOutcome(fleet));
+      expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.rolledBack);
       await fleet.runToDeadline();
-      // Edges that have shifted go on meanwhile: nobody can tell them otherwise.
+      // Edges that have shifted can't be stopped without a leader.
       if (state === ROLLOUT_STATE.exposing) {
-        expectExposureInBounds(fleet);
+        expectExposureWithinBound(fleet);
       }
     },
   );
 
-  test('ends by its deadline as leaders are lost again and again', async () => {
-    const fleet = await ordered();
+  test('is completed by its deadline if leaders fail repeatedly', async () => {
+    const fleet = await startRollout();
     const before = fleet.clock.now();
-    for (let at = 0; at < 4; at += 1) {
+    for (let failure = 0; failure < 4; failure += 1) {
       await fleet.run(1_500);
-      const leader = fleet.leader();
-      fleet.kill([leader]);
+      const leader = fleet.leaderBox();
+      fleet.crash([leader]);
       await fleet.run(500);
-      await fleet.startControls([leader], 0);
+      await fleet.startControlBoxes([leader], 0);
       await fleet.run(500);
-      expect(fleet.grantedBesidesLog).toBeLessThanOrEqual(0);
+      expect(fleet.unloggedGrants).toBeLessThanOrEqual(0);
     }
     await runToOutcome(fleet);
     expect(fleet.clock.now() - before).toBeLessThan(DURATION_MS);
-    expect(fleet.state()).toBe(ROLLOUT_STATE.completed);
-    expect(fleet.overshoot).toBeLessThanOrEqual(0);
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.completed);
+    expect(fleet.maxOvershoot).toBeLessThanOrEqual(0);
   });
 
-  test('grants no more than the log knows as a former leader leads again', async () => {
+  test('grants no more than the log allows when a previous leader is re-elected', async () => {
     const fleet = await RolloutFleet.start();
     fleet.addEdges(10);
     fleet.addUpstreams('v2');
-    await fleet.order('v2', {durationMs: 120_000});
-    const first = fleet.leader();
+    await fleet.orderRollout('v2', {durationMs: 120_000});
+    const first = fleet.leaderBox();
     const others = CONTROLS.filter((box) => box !== first);
     await fleet.run(5_000);
     fleet.network.partition([first], others);
     await fleet.run(15_000);
     fleet.network.heal();
-    for (let turn = 0; turn < 8; turn += 1) {
+    for (let round = 0; round < 8; round += 1) {
       await fleet.run(2_500);
-      expect(fleet.grantedBesidesLog).toBeLessThanOrEqual(0);
-      const leader = fleet.leader();
+      expect(fleet.unloggedGrants).toBeLessThanOrEqual(0);
+      const leader = fleet.leaderBox();
       if (leader !== first) {
-        fleet.kill([leader]);
+        fleet.crash([leader]);
         await fleet.run(2_500);
-        await fleet.startControls([leader]);
+        await fleet.startControlBoxes([leader]);
       }
     }
-    expect(fleet.overshoot).toBeLessThanOrEqual(0);
+    expect(fleet.maxOvershoot).toBeLessThanOrEqual(0);
   });
 
-  test('is rolled back once there is a quorum again after its deadline', async () => {
-    const fleet = await ordered();
+  test('is rolled back once the quorum returns after its deadline', async () => {
+    const fleet = await startRollout();
     await fleet.run(2_000);
-    const [first, second] = CONTROLS.filter((box) => box !== fleet.leader());
-    fleet.kill([first ?? '', second ?? '']);
+    const [first, second] = CONTROLS.filter((box) => box !== fleet.leaderBox());
+    fleet.crash([first ?? '', second ?? '']);
     await fleet.run(DURATION_MS);
-    expect(fleet.state()).toBe(ROLLOUT_STATE.exposing);
-    expectExposureInBounds(fleet);
-    await fleet.startControls();
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.exposing);
+    expectExposureWithinBound(fleet);
+    await fleet.startControlBoxes();
     await fleet.run(3_000);
-    expect(fleet.state()).toBe(ROLLOUT_STATE.rolledBack);
+    expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.rolledBack);
   });
 });
 
-describe('A roll-out that all use, without a quorum at its deadline', () => {
+describe('A shifting rollout without a quorum at its deadline', () => {
   test.each([
     ['good', GOOD, ROLLOUT_STATE.completed],
     ['bad', FAILING, ROLLOUT_STATE.rolledBack],
   ] as const)(
-    'has an outcome later, where it is %s',
-    async (_, then, outcome) => {
-      const fleet = await ordered();
+    'has an outcome once the quorum returns, if the version is %s',
+    async (_, behaviour, outcome) => {
+      const fleet = await startRollout();
       await fleet.run(DURATION_MS, () => isShifting(fleet));
-      expect(fleet.state()).toBe(ROLLOUT_STATE.shifting);
-      fleet.behaviourOf = (version) => (version === 'v2' ? then : GOOD);
-      const leader = fleet.leader();
-      fleet.kill(CONTROLS.filter((box) => box !== leader));
+      expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.shifting);
+      fleet.getBehaviour = (version) => (version === 'v2' ? behaviour : GOOD);
+      const leader = fleet.leaderBox();
+      fleet.crash(CONTROLS.filter((box) => box !== leader));
       await fleet.run(6_000);
-      expect(fleet.state()).toBe(ROLLOUT_STATE.shifting);
-      fleet.kill();
+      expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.shifting);
+      fleet.crash();
       await fleet.run(100);
-      await fleet.startControls();
+      await fleet.startControlBoxes();
       await fleet.run(3_000);
-      expect(fleet.state()).toBe(outcome);
+      expect(fleet.rolloutState()).toBe(outcome);
     },
   );
 });
 
-describe('News of roll-outs', () => {
-  async function asked(fleet: RolloutFleet, fields: Partial<WatchRequest>) {
+describe('Updates about rollouts', () => {
+  async function callWatch(fleet: RolloutFleet, fields: Partial<WatchRequest>) {
     const request: WatchRequest = {
       boxesRevision: -1,
       brief: false,
@@ -430,13 +440,13 @@
     return answer._unsafeUnwrap() as WatchReply;
   }
 
-  test('reach a box that waits for them at once, and each once', async () => {
+  test('reach a waiting box immediately, and only once', async () => {
     const fleet = await RolloutFleet.start();
-    const {incarnation, rollouts, upstreamsRevision} = await fleet.settle(
-      asked(fleet, {rolloutRevision: 0}),
+    const {incarnation, rollouts, upstreamsRevision} = await fleet.waitFor(
+      callWatch(fleet, {rolloutRevision: 0}),
     );
     expect(rollouts?.services[0]?.stableVersion).toBe('v1');
-    const waiting = asked(fleet, {
+    const waiting = callWatch(fleet, {
       incarnation,
       rolloutRevision: rollouts?.revision,
       upstreamsRevision,
@@ -444,56 +454,59 @@
     });
     await fleet.clock.advance(500);
     const before = fleet.clock.now();
-    await fleet.order();
-    const news = await fleet.settle(waiting);
+    await fleet.orderRollout();
+    const update = await fleet.waitFor(waiting);
     expect(fleet.clock.now() - before).toBeLessThan(500);
-    expect(news.rollouts?.services[0]?.rollout?.targetVersion).toBe('v2');
+    expect(update.rollouts?.services[0]?.rollout?.targetVersion).toBe('v2');
   });
 
-  test('are not sent to a box of a former version', async () => {
+  test('are not sent to a box with older software', async () => {
     const fleet = await RolloutFleet.start();
-    const reply = await fleet.settle(asked(fleet, {}));
+    const reply = await fleet.waitFor(callWatch(fleet, {}));
     expect(reply.rollouts ?? undefined).toBeUndefined();
   });
 });
 
-describe('A roll-out after all power was lost', () => {
+describe('A rollout after a power failure of all control boxes', () => {
   test.each([
     ['exposing', 1_000, 1_000, ROLLOUT_STATE.completed],
     ['exposing, past its deadline', 1_000, 12_000, ROLLOUT_STATE.rolledBack],
     ['shifting', DURATION_MS, 500, ROLLOUT_STATE.completed],
-  ] as const)('while %s goes on', async (_, afterMs, offMs, outcome) => {
-    const fleet = await ordered();
-    await fleet.run(afterMs, () => isShifting(fleet));
-    const before = fleet.machine().rolloutProgressOf('s');
-    fleet.kill();
-    await fleet.run(offMs);
-    await fleet.startControls();
-    fleet.addUpstreams('v1');
-    fleet.addUpstreams('v2');
-    const after = fleet.machine().rolloutProgressOf('s');
-    expect(after?.granted).toBeGreaterThanOrEqual(before?.granted ?? 0);
-    await fleet.run(DURATION_MS, () => isOver(fleet));
-    expect(fleet.state()).toBe(outcome);
-  });
+  ] as const)(
+    'has the expected outcome if it was %s',
+    async (_, afterMs, downtimeMs, outcome) => {
+      const fleet = await startRollout();
+      await fleet.run(afterMs, () => isShifting(fleet));
+      const before = fleet.newestMachine().rolloutProgressOf('s');
+      fleet.crash();
+      await fleet.run(downtimeMs);
+      await fleet.startControlBoxes();
+      fleet.addUpstreams('v1');
+      fleet.addUpstreams('v2');
+      const after = fleet.newestMachine().rolloutProgressOf('s');
+      expect(after?.granted).toBeGreaterThanOrEqual(before?.granted ?? 0);
+      await fleet.run(DURATION_MS, () => hasOutcome(fleet));
+      expect(fleet.rolloutState()).toBe(outcome);
+    },
+  );
 
   test('keeps its outcome', async () => {
-    const fleet = await ordered();
+    const fleet = await startRollout();
     await runToOutcome(fleet);
-    fleet.kill();
-    await fleet.startControls();
-    const {versions} = await fleet.read();
+    fleet.crash();
+    await fleet.startControlBoxes();
+    const {versions} = await fleet.readVersions();
     expect(versions).toMatchObject({
       rollout: {state: ROLLOUT_STATE.completed},
       stableVersion: 'v2',
     });
   });
 
-  test('was acknowledged is there, whenever the power goes', async () => {
-    const fleet = await ordered(0);
-    fleet.kill();
-    await fleet.startControls();
-    const {versions} = await fleet.read();
+  test('is kept if its order was acknowledged', async () => {
+    const fleet = await startRollout(0);
+    fleet.crash();
+    await fleet.startControlBoxes();
+    const {versions} = await fleet.readVersions();
     expect(versions?.rollout?.targetVersion).toBe('v2');
   });
 });
--- a/packages/puffinturn-fleet/src/__tests__/unit/RolloutRegister.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/RolloutRegister.test.ts
@@ -16,22 +16,24 @@
 } from '../../RolloutRegister';
 import {configurationOf} from '../utils/FleetFixture';
 
-function machineFor(onChange?: () => void): FleetMachine {
+// Guards against replicas that diverge, rollouts that start twice and outcomes that change.
+
+function createMachine(onChange?: () => void): FleetMachine {
   const machine = new FleetMachine(onChange);
   const stored = {configuration: configurationOf(1), document: 'one'};
   machine.apply({kind: 'configuration', stored});
   return machine;
 }
 
-function applyTo(machine: FleetMachine, record: RolloutRecord) {
+function applyRecord(machine: FleetMachine, record: RolloutRecord) {
   return (machine.apply(record) as RolloutRecordOutcome).order;
 }
 
-function stable(version: string) {
+function stableVersionRecord(version: string) {
   return {kind: 'stable-version', service: 's', version} as const;
 }
 
-function order(targetVersion: string, knownNumber = 0, service = 's') {
+function orderRecord(targetVersion: string, knownNumber = 0, service = 's') {
   return {
     durationMs: 12_000,
     kind: 'rollout-order',
@@ -43,7 +45,7 @@
   } as const;
 }
 
-function block(granted: number, elapsedMs = 0, number = 1) {
+function blockRecord(granted: number, elapsedMs = 0, number = 1) {
   return {
     counted: granted * 10,
     elapsedMs,
@@ -54,7 +56,7 @@
   } as const;
 }
 
-function verdict(
+function verdictRecord(
   state: RolloutVerdictRecord['state'],
   number = 1,
 ): RolloutVerdictRecord {
@@ -69,23 +71,23 @@
   };
 }
 
-function stateOf(machine: FleetMachine): string | undefined {
+function getState(machine: FleetMachine): string | undefined {
   return machine.versionsOf('s')?.rollout?.state;
 }
 
-describe('The register of roll-outs', () => {
-  test('keeps the first stable version that it is told', () => {
-    const machine = machineFor();
-    applyTo(machine, stable('v1'));
-    applyTo(machine, stable('v2'));
+describe('The rollout register', () => {
+  test('keeps the first stable version', () => {
+    const machine = createMachine();
+    applyRecord(machine, stableVersionRecord('v1'));
+    applyRecord(machine, stableVersionRecord('v2'));
     expect(machine.versionsOf('s')?.stableVersion).toBe('v1');
     expect(machine.rollouts.revision).toBe(1);
   });
 
-  test('begins a roll-out once, however often its order comes', () => {
-    const machine = machineFor();
-    expect(applyTo(machine, order('v2'))).toBe('accepted');
-    expect(applyTo(machine, order('v2'))).toBe('accepted');
+  test('starts a rollout once if its order is repeated', () => {
+    const machine = createMachine();
+    expect(applyRecord(machine, orderRecord('v2'))).toBe('accepted');
+    expect(applyRecord(machine, orderRecord('v2'))).toBe('accepted');
     expect(machine.rollouts).toEqual({
       revision: 1,
       services: [
@@ -103,94 +105,96 @@
     });
   });
 
-  test('takes no other order while one is under way, and none for unknown services', () => {
-    const machine = machineFor();
-    applyTo(machine, order('v2'));
-    expect(applyTo(machine, order('v3'))).toBe('conflict');
-    expect(applyTo(machine, order('v2', 0, 'other'))).toBe('unknown-service');
+  test('rejects orders during a rollout and for unknown services', () => {
+    const machine = createMachine();
+    applyRecord(machine, orderRecord('v2'));
+    expect(applyRecord(machine, orderRecord('v3'))).toBe('conflict');
+    expect(applyRecord(machine, orderRecord('v2', 0, 'other'))).toBe(
+      'unknown-service',
+    );
     expect(machine.rollouts.revision).toBe(1);
   });
 
-  test('makes the target the stable version once it is completed', () => {
-    const machine = machineFor();
-    applyTo(machine, order('v2'));
-    applyTo(machine, verdict(ROLLOUT_STATE.shifting));
+  test('makes the target the stable version when the rollout is completed', () => {
+    const machine = createMachine();
+    applyRecord(machine, orderRecord('v2'));
+    applyRecord(machine, verdictRecord(ROLLOUT_STATE.shifting));
     expect(machine.versionsOf('s')?.stableVersion).toBe('v1');
-    applyTo(machine, verdict(ROLLOUT_STATE.completed));
+    applyRecord(machine, verdictRecord(ROLLOUT_STATE.completed));
     expect(machine.versionsOf('s')?.stableVersion).toBe('v2');
-    expect(applyTo(machine, order('v2', 1))).toBe('accepted');
+    expect(applyRecord(machine, orderRecord('v2', 1))).toBe('accepted');
     expect(machine.versionsOf('s')?.rollout?.number).toBe(1);
-    applyTo(machine, order('v3', 1));
+    applyRecord(machine, orderRecord('v3', 1));
     expect(machine.versionsOf('s')?.rollout?.number).toBe(2);
   });
 
-  test('knows a version that serves already as completed', () => {
-    const machine = machineFor();
-    applyTo(machine, stable('v1'));
-    expect(applyTo(machine, order('v1'))).toBe('accepted');
-    expect(stateOf(machine)).toBe(ROLLOUT_STATE.completed);
+  test('completes a rollout to the version that already serves', () => {
+    const machine = createMachine();
+    applyRecord(machine, stableVersionRecord('v1'));
+    expect(applyRecord(machine, orderRecord('v1'))).toBe('accepted');
+    expect(getState(machine)).toBe(ROLLOUT_STATE.completed);
   });
 
-  test('ends a roll-out once: no verdict follows an outcome', () => {
-    const machine = machineFor();
-    applyTo(machine, order('v2'));
-    applyTo(machine, verdict(ROLLOUT_STATE.rolledBack));
-    applyTo(machine, verdict(ROLLOUT_STATE.shifting));
-    applyTo(machine, verdict(ROLLOUT_STATE.completed));
-    expect(stateOf(machine)).toBe(ROLLOUT_STATE.rolledBack);
+  test('ignores verdicts after an outcome', () => {
+    const machine = createMachine();
+    applyRecord(machine, orderRecord('v2'));
+    applyRecord(machine, verdictRecord(ROLLOUT_STATE.rolledBack));
+    applyRecord(machine, verdictRecord(ROLLOUT_STATE.shifting));
+    applyRecord(machine, verdictRecord(ROLLOUT_STATE.completed));
+    expect(getState(machine)).toBe(ROLLOUT_STATE.rolledBack);
     expect(machine.versionsOf('s')?.stableVersion).toBe('v1');
   });
 
-  test('does not complete what was never shifted', () => {
-    const machine = machineFor();
-    applyTo(machine, order('v2'));
-    applyTo(machine, verdict(ROLLOUT_STATE.completed));
-    expect(stateOf(machine)).toBe(ROLLOUT_STATE.exposing);
+  test('does not complete a rollout before its shift', () => {
+    const machine = createMachine();
+    applyRecord(machine, orderRecord('v2'));
+    applyRecord(machine, verdictRecord(ROLLOUT_STATE.completed));
+    expect(getState(machine)).toBe(ROLLOUT_STATE.exposing);
   });
 
-  test('does not begin anew for a copy that is written behind the outcome', () => {
-    const machine = machineFor();
-    applyTo(machine, order('v2', 0));
-    applyTo(machine, verdict(ROLLOUT_STATE.rolledBack));
-    expect(applyTo(machine, order('v2', 0))).toBe('accepted');
-    expect(stateOf(machine)).toBe(ROLLOUT_STATE.rolledBack);
-    // Once the outcome is known to who orders, it is another order.
-    applyTo(machine, order('v2', 1));
+  test('does not restart for a duplicate order written after the outcome', () => {
+    const machine = createMachine();
+    applyRecord(machine, orderRecord('v2', 0));
+    applyRecord(machine, verdictRecord(ROLLOUT_STATE.rolledBack));
+    expect(applyRecord(machine, orderRecord('v2', 0))).toBe('accepted');
+    expect(getState(machine)).toBe(ROLLOUT_STATE.rolledBack);
+    // With the number of the outcome it is a new order.
+    applyRecord(machine, orderRecord('v2', 1));
     expect(machine.versionsOf('s')?.rollout?.number).toBe(2);
   });
 
-  test('takes blocks of the newest order only, and never a smaller one', () => {
-    const machine = machineFor();
-    applyTo(machine, order('v2'));
-    applyTo(machine, block(20, 900));
-    applyTo(machine, block(10, 400));
-    applyTo(machine, block(90, 900, 2));
+  test('ignores blocks of other orders and smaller blocks', () => {
+    const machine = createMachine();
+    applyRecord(machine, orderRecord('v2'));
+    applyRecord(machine, blockRecord(20, 900));
+    applyRecord(machine, blockRecord(10, 400));
+    applyRecord(machine, blockRecord(90, 900, 2));
     expect(machine.rolloutProgressOf('s')).toMatchObject({
       counted: 200,
       elapsedMs: 900,
       granted: 20,
     });
-    // Nobody waits for a block.
+    // Boxes do not wait for blocks.
     expect(machine.rollouts.revision).toBe(1);
   });
 
-  test('is there again after a snapshot, and empty in an older one', () => {
-    const machine = machineFor();
+  test('is restored from a snapshot, and empty after one without rollouts', () => {
+    const machine = createMachine();
     const encoder = new Encoder({useRecords: false});
-    const former = encoder.encode({
+    const olderSnapshot = encoder.encode({
       granted: [],
       holders: [],
       stored: undefined,
     });
-    applyTo(machine, order('v2'));
-    applyTo(machine, block(20, 900));
+    applyRecord(machine, orderRecord('v2'));
+    applyRecord(machine, blockRecord(20, 900));
     const restored = new FleetMachine();
     restored.restore(machine.snapshot());
     expect(restored.rollouts).toEqual(machine.rollouts);
     expect(restored.rolloutProgressOf('s')).toEqual(
       machine.rolloutProgressOf('s'),
     );
-    restored.restore(former);
+    restored.restore(olderSnapshot);
     expect(restored.rollouts).toEqual(NO_ROLLOUTS);
   });
 
@@ -198,57 +202,63 @@
   const versions = fc.constantFrom('v1', 'v2', 'v3');
   const numbers = fc.integer({max: 4, min: 0});
   const records: fc.Arbitrary<RolloutRecord> = fc.oneof(
-    versions.map(stable),
-    fc.tuple(versions, numbers).map(([to, known]) => order(to, known)),
+    versions.map(stableVersionRecord),
+    fc
+      .tuple(versions, numbers)
+      .map(([version, knownNumber]) => orderRecord(version, knownNumber)),
     fc
       .tuple(fc.nat(100), fc.nat(9_000), numbers)
-      .map(([granted, elapsed, number]) => block(granted, elapsed, number)),
-    fc.tuple(states, numbers).map(([state, at]) => verdict(state, at)),
+      .map(([granted, elapsedMs, number]) =>
+        blockRecord(granted, elapsedMs, number),
+      ),
+    fc
+      .tuple(states, numbers)
+      .map(([state, number]) => verdictRecord(state, number)),
   );
 
-  test('is the same wherever the same records are applied, also each one twice', () => {
+  test('reaches the same state on all replicas, even if each record is applied twice', () => {
     fc.assert(
-      fc.property(fc.array(records), fc.nat(40), (all, cut) => {
-        const whole = machineFor();
-        let resumed = machineFor();
-        for (const [at, record] of all.entries()) {
-          const before = whole.versionsOf('s')?.rollout;
-          whole.apply(record);
-          resumed.apply(record);
-          resumed.apply(record);
-          if (at === cut) {
-            const image = resumed.snapshot();
-            resumed = new FleetMachine();
-            resumed.restore(image);
+      fc.property(fc.array(records), fc.nat(40), (all, snapshotIndex) => {
+        const reference = createMachine();
+        let restored = createMachine();
+        for (const [index, record] of all.entries()) {
+          const before = reference.versionsOf('s')?.rollout;
+          reference.apply(record);
+          restored.apply(record);
+          restored.apply(record);
+          if (index === snapshotIndex) {
+            const snapshot = restored.snapshot();
+            restored = new FleetMachine();
+            restored.restore(snapshot);
           }
-          const after = whole.versionsOf('s')?.rollout;
-          const isOver =
+          const after = reference.versionsOf('s')?.rollout;
+          const hadOutcome =
             before?.state === ROLLOUT_STATE.completed ||
             before?.state === ROLLOUT_STATE.rolledBack;
-          // An outcome is final, and numbers grow by one.
-          if (isOver && after?.number === before.number) {
+          // An outcome is final, and numbers increase by one.
+          if (hadOutcome && after?.number === before.number) {
             expect(after).toEqual(before);
           }
-          const numbersGrow = (after?.number ?? 0) - (before?.number ?? 0);
-          expect([0, 1]).toContain(numbersGrow);
+          const numberIncrease = (after?.number ?? 0) - (before?.number ?? 0);
+          expect([0, 1]).toContain(numberIncrease);
         }
-        expect(resumed.rollouts).toEqual(whole.rollouts);
-        expect(resumed.rolloutProgressOf('s')).toEqual(
-          whole.rolloutProgressOf('s'),
+        expect(restored.rollouts).toEqual(reference.rollouts);
+        expect(restored.rolloutProgressOf('s')).toEqual(
+          reference.rolloutProgressOf('s'),
         );
       }),
       {numRuns: 300, seed: 11},
     );
   });
 
-  test('tells those who wait of changes and of nothing else', () => {
-    let told = 0;
-    const machine = machineFor(() => (told += 1));
-    const before = told;
-    applyTo(machine, order('v2'));
-    expect(told).toBe(before + 1);
-    applyTo(machine, order('v2'));
-    applyTo(machine, block(20));
-    expect(told).toBe(before + 1);
+  test('notifies waiting boxes of changes only', () => {
+    let notifications = 0;
+    const machine = createMachine(() => (notifications += 1));
+    const before = notifications;
+    applyRecord(machine, orderRecord('v2'));
+    expect(notifications).toBe(before + 1);
+    applyRecord(machine, orderRecord('v2'));
+    applyRecord(machine, blockRecord(20));
+    expect(notifications).toBe(before + 1);
   });
 });
--- a/packages/puffinturn-fleet/src/__tests__/unit/RolloutVerdict.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/RolloutVerdict.test.ts
@@ -6,126 +6,174 @@
  */
 
 import {ROLLOUT_STATE} from '../../index';
-import type {RolloutFacts} from '../../RolloutVerdict';
-import {verdictOn} from '../../RolloutVerdict';
+import type {VerdictInput} from '../../RolloutVerdict';
+import {decideVerdict} from '../../RolloutVerdict';
+
+// Guards against shifting to a version that is not proven, and against rollouts that
+// miss their deadline.
 
 const {completed, exposing, rolledBack, shifting} = ROLLOUT_STATE;
 
-/** A good version that has been tried for long enough. */
-const TRIED: RolloutFacts = {
-  answers: 100,
-  bad: undefined,
+/** Input for which the canary phase ends and the shift starts. */
+const READY_TO_SHIFT: VerdictInput = {
+  badCause: undefined,
+  canExposeRemaining: true,
   durationMs: 12_000,
   elapsedMs: 7_500,
-  hasHeardEdges: true,
-  isShifted: false,
+  hasWaitedForReports: true,
+  isShiftFinished: false,
   isSuspect: false,
-  restFits: true,
-  routeAnswers: 20,
+  minMainRouteAnswers: 20,
   shiftingMs: 0,
-  stableAnswered: 1,
+  stableAnsweredFraction: 1,
   stableSlots: 16,
   state: exposing,
-  targetAnswered: 1,
+  targetAnsweredFraction: 1,
+  targetAnswers: 100,
   targetSlots: 16,
 };
 
-const SHIFTED: RolloutFacts = {
-  ...TRIED,
+const SHIFT_FINISHED: VerdictInput = {
+  ...READY_TO_SHIFT,
   elapsedMs: 10_500,
-  isShifted: true,
+  isShiftFinished: true,
   shiftingMs: 3_000,
   state: shifting,
 };
 
-const OVER = {elapsedMs: 11_600};
+const NEAR_DEADLINE = {elapsedMs: 11_600};
 
-describe('The verdict on a version that is tried', () => {
-  test('is to shift once it has shown to be good', () => {
-    expect(verdictOn(TRIED)).toEqual({cause: 'good', state: shifting});
+describe('Verdicts in the canary phase', () => {
+  test('start the shift once the version is good', () => {
+    expect(decideVerdict(READY_TO_SHIFT)).toEqual({
+      cause: 'good',
+      state: shifting,
+    });
   });
 
-  test.each<[string, Partial<RolloutFacts>]>([
-    ['before its time', {elapsedMs: 7_000}],
-    ['with few answers', {answers: 20}],
-    ['with few answers on a route', {routeAnswers: 3}],
-    ['with most answers to come', {targetAnswered: 0.4}],
-    ['with too little time to shift', {elapsedMs: 11_300}],
-    ['while the rest of the requests is too much', {restFits: false}],
-    ['that is suspect', {isSuspect: true}],
-    ['without upstreams', {targetSlots: 0}],
+  test.each<[string, Partial<VerdictInput>]>([
+    ['before the minimum duration', {elapsedMs: 7_000}],
+    ['with too few answers', {targetAnswers: 20}],
+    ['with too few answers on a route', {minMainRouteAnswers: 3}],
+    ['with most requests unanswered', {targetAnsweredFraction: 0.4}],
+    ['with too little time for the shift', {elapsedMs: 11_300}],
+    [
+      'if the bound does not cover the remaining requests',
+      {canExposeRemaining: false},
+    ],
+    ['if the version is suspect', {isSuspect: true}],
+    ['without upstreams of the new version', {targetSlots: 0}],
     ['without upstreams of either version', {stableSlots: 0, targetSlots: 0}],
-    ['whose upstreams do not bear the load', {targetSlots: 7}],
-  ])('is open %s, and to roll back at the deadline', (_, fields) => {
-    expect(verdictOn({...TRIED, ...fields})).toBeUndefined();
-    const over = verdictOn({...TRIED, ...fields, ...OVER});
-    expect(over?.state).toBe(rolledBack);
-  });
+    ['with too few slots', {targetSlots: 7}],
+  ])(
+    'do not start the shift %s, and roll back at the deadline',
+    (_, fields) => {
+      expect(decideVerdict({...READY_TO_SHIFT, ...fields})).toBeUndefined();
+      const late = decideVerdict({
+        ...READY_TO_SHIFT,
+        ...fields,
+        ...NEAR_DEADLINE,
+      });
+      expect(late?.state).toBe(rolledBack);
+    },
+  );
 
-  test('asks for fewer upstreams as time runs out', () => {
-    const some = {targetSlots: 9};
-    expect(verdictOn({...TRIED, ...some})).toBeUndefined();
-    const late = {...TRIED, ...some, elapsedMs: 9_700};
-    expect(verdictOn(late)?.state).toBe(shifting);
+  test('require fewer slots late in the phase', () => {
+    const fewSlots = {targetSlots: 9};
+    expect(decideVerdict({...READY_TO_SHIFT, ...fewSlots})).toBeUndefined();
+    const late = {...READY_TO_SHIFT, ...fewSlots, elapsedMs: 9_700};
+    expect(decideVerdict(late)?.state).toBe(shifting);
   });
 
-  test('is to shift in the end, however much the rest is', () => {
-    const late = {...TRIED, elapsedMs: 10_850, restFits: false};
-    expect(verdictOn(late)?.state).toBe(shifting);
+  test('start the shift close to the deadline even if the bound is exceeded', () => {
+    const late = {
+      ...READY_TO_SHIFT,
+      elapsedMs: 10_850,
+      canExposeRemaining: false,
+    };
+    expect(decideVerdict(late)?.state).toBe(shifting);
   });
 
-  test('rests on less as time runs out', () => {
-    const few = {answers: 10, elapsedMs: 9_700, routeAnswers: 0};
-    expect(verdictOn({...TRIED, ...few})?.state).toBe(shifting);
+  test('require fewer answers late in the phase', () => {
+    const fewAnswers = {
+      targetAnswers: 10,
+      elapsedMs: 9_700,
+      minMainRouteAnswers: 0,
+    };
+    expect(decideVerdict({...READY_TO_SHIFT, ...fewAnswers})?.state).toBe(
+      shifting,
+    );
   });
 
-  test('does not hold answers to come against it where the stable one has them too', () => {
-    const slowService = {stableAnswered: 0.4, targetAnswered: 0.4};
-    expect(verdictOn({...TRIED, ...slowService})?.state).toBe(shifting);
+  test('allow unanswered requests if the stable version has as many', () => {
+    const slowService = {
+      stableAnsweredFraction: 0.4,
+      targetAnsweredFraction: 0.4,
+    };
+    expect(decideVerdict({...READY_TO_SHIFT, ...slowService})?.state).toBe(
+      shifting,
+    );
   });
 
   test.each(['failures', 'slow'] as const)(
-    'is to roll back at once for %s',
-    (bad) => {
-      const facts = {...TRIED, bad, elapsedMs: 100};
-      expect(verdictOn(facts)).toEqual({cause: bad, state: rolledBack});
+    'roll back at once for %s',
+    (badCause) => {
+      const input = {...READY_TO_SHIFT, badCause, elapsedMs: 100};
+      expect(decideVerdict(input)).toEqual({
+        cause: badCause,
+        state: rolledBack,
+      });
     },
   );
 });
 
-describe('The verdict on a version that all use', () => {
-  test('is to complete once nothing is left at the former one', () => {
-    expect(verdictOn(SHIFTED)).toEqual({cause: 'shifted', state: completed});
+describe('Verdicts during the shift', () => {
+  test('complete the rollout once the previous version is drained', () => {
+    expect(decideVerdict(SHIFT_FINISHED)).toEqual({
+      cause: 'shifted',
+      state: completed,
+    });
   });
 
-  test.each<[string, Partial<RolloutFacts>]>([
-    ['while something is left', {isShifted: false}],
-    ['soon after the shift', {shiftingMs: 1_000}],
-  ])('is open %s, and to complete before the deadline', (_, fields) => {
-    expect(verdictOn({...SHIFTED, ...fields})).toBeUndefined();
-    const over = verdictOn({...SHIFTED, ...fields, ...OVER});
-    expect(over).toEqual({cause: 'time-over', state: completed});
-  });
+  test.each<[string, Partial<VerdictInput>]>([
+    ['while the previous version is in use', {isShiftFinished: false}],
+    ['before the minimum duration', {shiftingMs: 1_000}],
+  ])(
+    'do not complete the rollout %s, but do so at the deadline',
+    (_, fields) => {
+      expect(decideVerdict({...SHIFT_FINISHED, ...fields})).toBeUndefined();
+      const late = decideVerdict({
+        ...SHIFT_FINISHED,
+        ...fields,
+        ...NEAR_DEADLINE,
+      });
+      expect(late).toEqual({cause: 'time-over', state: completed});
+    },
+  );
 
-  test('is open after the deadline until a new leader has heard edges', () => {
-    const unheard = {
-      ...SHIFTED,
-      ...OVER,
-      hasHeardEdges: false,
-      isShifted: false,
+  test('are delayed past the deadline until a new leader has waited for reports', () => {
+    const withoutReports = {
+      ...SHIFT_FINISHED,
+      ...NEAR_DEADLINE,
+      hasWaitedForReports: false,
+      isShiftFinished: false,
     };
-    expect(verdictOn(unheard)).toBeUndefined();
-    expect(verdictOn({...unheard, hasHeardEdges: true})?.state).toBe(completed);
+    expect(decideVerdict(withoutReports)).toBeUndefined();
+    expect(
+      decideVerdict({...withoutReports, hasWaitedForReports: true})?.state,
+    ).toBe(completed);
   });
 
-  test('is open while it is suspect, and to roll back at the deadline', () => {
-    const suspect = {...SHIFTED, isSuspect: true};
-    expect(verdictOn(suspect)).toBeUndefined();
-    expect(verdictOn({...suspect, ...OVER})?.state).toBe(rolledBack);
+  test('keep a suspect version until the deadline, then roll back', () => {
+    const suspect = {...SHIFT_FINISHED, isSuspect: true};
+    expect(decideVerdict(suspect)).toBeUndefined();
+    expect(decideVerdict({...suspect, ...NEAR_DEADLINE})?.state).toBe(
+      rolledBack,
+    );
   });
 
-  test('is to roll back where it turns bad', () => {
-    const bad = {...SHIFTED, bad: 'failures'} as const;
-    expect(verdictOn(bad)?.state).toBe(rolledBack);
+  test('roll back a version that becomes bad', () => {
+    const bad = {...SHIFT_FINISHED, badCause: 'failures'} as const;
+    expect(decideVerdict(bad)?.state).toBe(rolledBack);
   });
 });
--- a/packages/puffinturn-fleet/src/__tests__/unit/VersionComparison.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/VersionComparison.test.ts
@@ -11,33 +11,35 @@
 import {TIME_RATIO_BOUNDS} from '../../index';
 import {VersionComparison} from '../../VersionComparison';
 
-/** Rates at which a version answers. */
+// Guards against completing the rollout of a bad version and rolling back a good one.
+
+/** Rates of bad answers of a version. */
 interface Rates {
   readonly failures: number;
-  /** Answers that take about three times as long as expected. */
+  /** Rate of answers that take about three times as long as expected. */
   readonly slow: number;
 }
 
-/** One service in a simulation; steps are those of the leader. */
+/** Simulated traffic of one service, in steps of the leader. */
 interface Scenario {
   readonly stable: Rates;
   readonly target: Rates;
-  readonly stablePerStep: number;
-  readonly targetPerStep: number;
+  readonly stableAnswersPerStep: number;
+  readonly targetAnswersPerStep: number;
   readonly steps: number;
-  /** Steps before which the new version answers as the stable one. */
-  readonly badFrom?: number;
-  /** Steps after these in which the new version gets all requests. */
+  /** Step from which the new version differs from the stable one; 0 by default. */
+  readonly firstBadStep?: number;
+  /** Further steps in which the new version receives all requests. */
   readonly shiftSteps?: number;
-  /** The part of requests on a route of its own, where alone the target differs. */
-  readonly routePart?: number;
+  /** Fraction of requests on the only route where the new version differs. */
+  readonly routeFraction?: number;
 }
 
-const USUAL: Rates = {failures: 0.005, slow: 0.01};
-const TRIAL = {stablePerStep: 18, steps: 70, targetPerStep: 2};
-const SEEDS = 200;
+const NORMAL_RATES: Rates = {failures: 0.005, slow: 0.01};
+const CANARY = {stableAnswersPerStep: 18, steps: 70, targetAnswersPerStep: 2};
+const SEED_COUNT = 200;
 
-class Counter {
+class AnswerCounter {
   private answers = 0;
   private failures = 0;
   private readonly times = Array<number>(TIME_RATIO_BOUNDS.length + 1).fill(0);
@@ -48,15 +50,15 @@
     private readonly random: Random,
   ) {}
 
-  /** True for a bad answer. */
-  answer({failures, slow}: Rates): boolean {
-    const fails = this.random.fraction() < failures;
+  /** Draws and counts an answer. Returns whether it is bad. */
+  recordAnswer({failures, slow}: Rates): boolean {
+    const isFailed = this.random.fraction() < failures;
     const isSlow = this.random.fraction() < slow;
     const bucket = isSlow ? 6 : 2;
     this.answers += 1;
-    this.failures += Number(fails);
+    this.failures += Number(isFailed);
     this.times[bucket] = (this.times[bucket] ?? 0) + 1;
-    return fails || isSlow;
+    return isFailed || isSlow;
   }
 
   get tally(): VersionTally {
@@ -67,127 +69,143 @@
 
 interface Outcome {
   readonly isBad: boolean;
-  /** Bad answers of the new version until then. */
+  /** Bad answers of the new version until it was detected as bad. */
   readonly badAnswers: number;
 }
 
 function simulate(scenario: Scenario, seed: number): Outcome {
-  const {badFrom = 0, routePart = 1, stable, target} = scenario;
-  const {shiftSteps = 0, stablePerStep, steps, targetPerStep} = scenario;
+  const {firstBadStep = 0, routeFraction = 1, stable, target} = scenario;
+  const {
+    shiftSteps = 0,
+    stableAnswersPerStep,
+    steps,
+    targetAnswersPerStep,
+  } = scenario;
   const random = new Random(seed);
   const comparison = new VersionComparison('v1', 'v2');
-  const routes = ['own', 'other'];
-  const [stables, targets] = ['v1', 'v2'].map((version) =>
-    routes.map((route) => new Counter(route, version, random)),
+  const routes = ['affected', 'other'];
+  const [stableCounters, targetCounters] = ['v1', 'v2'].map((version) =>
+    routes.map((route) => new AnswerCounter(route, version, random)),
   );
   let badAnswers = 0;
   for (let step = 0; step < steps + shiftSteps; step += 1) {
     const isShifted = step >= steps;
-    const stableAnswers = isShifted ? 0 : stablePerStep;
-    const targetAnswers = isShifted ? stablePerStep : targetPerStep;
-    for (let at = 0; at < stableAnswers; at += 1) {
-      const route = random.fraction() < routePart ? 0 : 1;
-      stables?.[route]?.answer(stable);
+    const stableAnswers = isShifted ? 0 : stableAnswersPerStep;
+    const targetAnswers = isShifted
+      ? stableAnswersPerStep
+      : targetAnswersPerStep;
+    for (let index = 0; index < stableAnswers; index += 1) {
+      const route = random.fraction() < routeFraction ? 0 : 1;
+      stableCounters?.[route]?.recordAnswer(stable);
     }
-    for (let at = 0; at < targetAnswers; at += 1) {
-      const route = random.fraction() < routePart ? 0 : 1;
-      const rates = step < badFrom || route === 1 ? stable : target;
-      badAnswers += Number(targets?.[route]?.answer(rates) ?? false);
+    for (let index = 0; index < targetAnswers; index += 1) {
+      const route = random.fraction() < routeFraction ? 0 : 1;
+      const rates = step < firstBadStep || route === 1 ? stable : target;
+      badAnswers += Number(
+        targetCounters?.[route]?.recordAnswer(rates) ?? false,
+      );
     }
-    const counters = [...(stables ?? []), ...(targets ?? [])];
-    comparison.take(counters.map(({tally}) => tally));
-    if (comparison.cause !== undefined) {
+    const counters = [...(stableCounters ?? []), ...(targetCounters ?? [])];
+    comparison.update(counters.map(({tally}) => tally));
+    if (comparison.badCause !== undefined) {
       return {badAnswers, isBad: true};
     }
   }
   return {badAnswers, isBad: false};
 }
 
-/** In how many of the seeds the version is taken for bad. */
-function badIn(scenario: Scenario): number {
-  let found = 0;
-  for (let seed = 1; seed <= SEEDS; seed += 1) {
-    found += Number(simulate(scenario, seed).isBad);
+/** Returns the number of seeds with which the version is detected as bad. */
+function countDetections(scenario: Scenario): number {
+  let count = 0;
+  for (let seed = 1; seed <= SEED_COUNT; seed += 1) {
+    count += Number(simulate(scenario, seed).isBad);
   }
-  return found;
+  return count;
 }
 
-function badAnswersIn(scenario: Scenario): number[] {
+function badAnswersBySeed(scenario: Scenario): number[] {
   return Array.from(
-    {length: SEEDS},
-    (_, at) => simulate(scenario, at + 1).badAnswers,
+    {length: SEED_COUNT},
+    (_, index) => simulate(scenario, index + 1).badAnswers,
   );
 }
 
-describe('The comparison of two versions', () => {
+describe('The comparison of versions', () => {
   test.each<[string, Partial<Scenario>]>([
-    ['as good as the stable one', {target: USUAL}],
-    ['with 2 in 100 failures', {target: {failures: 0.02, slow: 0.02}}],
+    ['with the rates of the stable one', {target: NORMAL_RATES}],
+    ['with 2 % failures', {target: {failures: 0.02, slow: 0.02}}],
     [
-      'as bad as a stable one with 15 in 100 failures',
+      'with 15 % failures like the stable one',
       {
         stable: {failures: 0.15, slow: 0.1},
         target: {failures: 0.15, slow: 0.1},
       },
     ],
     [
-      'as bad as a stable one with 40 in 100 failures',
+      'with 40 % failures like the stable one',
       {
         stable: {failures: 0.4, slow: 0.3},
         target: {failures: 0.4, slow: 0.3},
       },
     ],
-  ])('takes a version %s for bad in 2 of 200 at most', (_, fields) => {
+  ])('detects a version %s as bad in at most 2 of 200 runs', (_, fields) => {
     const scenario = {
-      ...TRIAL,
+      ...CANARY,
       shiftSteps: 15,
-      stable: USUAL,
-      target: USUAL,
+      stable: NORMAL_RATES,
+      target: NORMAL_RATES,
       ...fields,
     };
-    expect(badIn(scenario)).toBeLessThanOrEqual(2);
+    expect(countDetections(scenario)).toBeLessThanOrEqual(2);
   });
 
   test.each<[string, Partial<Scenario>]>([
-    ['20 in 100 failures', {target: {failures: 0.2, slow: 0.01}}],
-    ['40 in 100 failures', {target: {failures: 0.4, slow: 0.01}}],
-    ['all failing', {target: {failures: 1, slow: 0}}],
-    ['half of it slow', {target: {failures: 0.005, slow: 0.5}}],
-    ['all of it slow', {target: {failures: 0.005, slow: 1}}],
+    ['20 % failures', {target: {failures: 0.2, slow: 0.01}}],
+    ['40 % failures', {target: {failures: 0.4, slow: 0.01}}],
+    ['100 % failures', {target: {failures: 1, slow: 0}}],
+    ['50 % slow answers', {target: {failures: 0.005, slow: 0.5}}],
+    ['100 % slow answers', {target: {failures: 0.005, slow: 1}}],
     [
-      '40 in 100 failures from the middle of the trial on',
-      {badFrom: 35, target: {failures: 0.4, slow: 0.01}},
+      '40 % failures from the middle of the canary phase',
+      {firstBadStep: 35, target: {failures: 0.4, slow: 0.01}},
     ],
     [
-      '60 in 100 failures on a route with a fifth of the requests',
-      {routePart: 0.2, target: {failures: 0.6, slow: 0.01}},
+      '60 % failures on a route with a fifth of the requests',
+      {routeFraction: 0.2, target: {failures: 0.6, slow: 0.01}},
     ],
-  ])('finds a version with %s in 196 of 200 at least', (_, fields) => {
-    const scenario = {...TRIAL, stable: USUAL, target: USUAL, ...fields};
-    expect(badIn(scenario)).toBeGreaterThanOrEqual(196);
+  ])('detects a version with %s in at least 196 of 200 runs', (_, fields) => {
+    const scenario = {
+      ...CANARY,
+      stable: NORMAL_RATES,
+      target: NORMAL_RATES,
+      ...fields,
+    };
+    expect(countDetections(scenario)).toBeGreaterThanOrEqual(196);
   });
 
   test.each([0.2, 0.4, 0.7, 1])(
-    'finds a failure rate of %d before the 50th bad answer',
+    'detects a failure rate of %d before the 50th bad answer',
     (failures) => {
       const target = {failures, slow: 0.01};
-      const scenario = {...TRIAL, stable: USUAL, steps: 200, target};
-      expect(Math.max(...badAnswersIn(scenario))).toBeLessThan(50);
+      const scenario = {...CANARY, stable: NORMAL_RATES, steps: 200, target};
+      expect(Math.max(...badAnswersBySeed(scenario))).toBeLessThan(50);
     },
   );
 
-  test('does not take one burst of failures for a bad version', () => {
+  test('does not detect a version as bad after one burst of failures', () => {
     const comparison = new VersionComparison('v1', 'v2');
     const random = new Random(9);
-    const stable = new Counter('r', 'v1', random);
-    const target = new Counter('r', 'v2', random);
+    const stable = new AnswerCounter('r', 'v1', random);
+    const target = new AnswerCounter('r', 'v2', random);
     for (let step = 0; step < 40; step += 1) {
-      for (let at = 0; at < 20; at += 1) {
-        stable.answer(USUAL);
-        target.answer(step === 20 ? {failures: 0.8, slow: 0} : USUAL);
+      for (let index = 0; index < 20; index += 1) {
+        stable.recordAnswer(NORMAL_RATES);
+        target.recordAnswer(
+          step === 20 ? {failures: 0.8, slow: 0} : NORMAL_RATES,
+        );
       }
-      comparison.take([stable.tally, target.tally]);
-      expect(comparison.cause).toBeUndefined();
+      comparison.update([stable.tally, target.tally]);
+      expect(comparison.badCause).toBeUndefined();
     }
   });
 });
