--- a/packages/puffinturn-fleet/src/__tests__/utils/RolloutFleet.ts
+++ b/packages/puffinturn-fleet/src/__tests__/utils/RolloutFleet.ts
@@ -5,10 +5,6 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Control boxes with disks that may lose power, and edges that send requests to two
- * versions of one service and tell of the answers, all on a clock that a test drives.
- */
 import {KeptDecisionLog} from 'puffinturn-decisions';
 import type {LogRequest} from 'puffinturn-log';
 import {DEFAULT_TIMING, MemoryDisk, Replica} from 'puffinturn-log';
@@ -43,143 +39,152 @@
 /** Control boxes of the fleet. */
 export const CONTROLS = ['c1:1', 'c2:1', 'c3:1'] as const;
 
-/** What a version may risk in these tests. */
-export const BOUND: ExposureBound = {extra: 50, rollbackMs: 5_000, share: 0.1};
+/** Exposure bound of the tests. */
+export const EXPOSURE_BOUND: ExposureBound = {
+  extra: 50,
+  rollbackMs: 5_000,
+  share: 0.1,
+};
 
-/** A box that watches control boxes, and how long it waits for an answer, ms. */
-const WATCHING_BOX = 'x:1';
-const CALL_MS = 5_000;
+/** Box that is not one of the simulated edges, and the timeout of its calls in ms. */
+const WATCHER_BOX = 'x:1';
+const CALL_TIMEOUT_MS = 5_000;
 
-/** Time between two reports of an edge, ms. */
-const REPORT_MS = 250;
+/** Interval between reports of an edge, ms. */
+const REPORT_INTERVAL_MS = 250;
 
-/** Time between two steps of the edges, ms. */
-const STEP_MS = 25;
+/** Interval between simulation steps, ms. */
+const STEP_INTERVAL_MS = 25;
 
-/** Requests that the load of a version is told from. */
-const LATEST_REQUESTS = 60;
+/** Number of recent requests from which the load of a version is measured. */
+const LOAD_WINDOW_REQUESTS = 60;
 
-/** How one version answers on one route, at a time since the start, ms. */
+/** How one version answers on one route. */
 export interface Behaviour {
   readonly failureRate: number;
-  /** The part of answers that take three times the expected time. */
+  /** Fraction of answers that take three times the expected time. */
   readonly slowRate: number;
 }
 
-/** How versions answer. */
-export type BehaviourOf = (
+/** Returns the behaviour of a version on a route at a time, ms. */
+export type GetBehaviour = (
   version: string,
   route: string,
   now: number,
 ) => Behaviour;
 
-/** All versions answer well. */
+/** Almost all answers are good. */
 export const GOOD: Behaviour = {failureRate: 0.005, slowRate: 0.01};
 
-/** A version of which part of the answers fail. */
+/** Some answers fail. */
 export const FAILING: Behaviour = {failureRate: 0.4, slowRate: 0.01};
 
-/** A version of which part of the answers take three times as long. */
+/** Some answers take three times the expected time. */
 export const SLOW: Behaviour = {failureRate: 0.005, slowRate: 0.6};
 
-interface Control {
+interface ControlBox {
   readonly control: FleetControl;
   readonly machine: FleetMachine;
   readonly replica: Replica;
 }
 
-interface Answer {
-  readonly at: number;
+interface PendingAnswer {
+  readonly dueAt: number;
   readonly route: string;
   readonly version: string;
 }
 
-/** What the edges of a test send. */
+/** Requests sent by the edges. */
 export interface Traffic {
-  readonly perSecond: number;
-  /** Routes with their part of the requests. */
+  readonly requestsPerSecond: number;
+  /** Routes with their fraction of the requests. */
   readonly routes: readonly (readonly [string, number])[];
 }
 
-/** One life of an edge: what it has sent since the order and was granted. */
+/** One incarnation of an edge, with its counts since the order and its grant. */
 class SimulatedEdge {
   requests = 0;
   exposed = 0;
   granted = 0;
-  shifted = false;
+  isShifted = false;
   openAtFormer = 0;
   isReporting = false;
-  readonly open: Answer[] = [];
+  readonly pendingAnswers: PendingAnswer[] = [];
   readonly tallies = new Map<string, VersionTally>();
 
   constructor(
     readonly box: string,
-    readonly life: string,
+    readonly incarnationId: string,
     readonly link: MemoryLink,
   ) {}
 }
 
-/** See the module comment. */
+/**
+ * A simulated fleet for rollout tests: control boxes with disks that may lose unsynced
+ * data, and edges that send requests to two versions of one service and report the
+ * answers. Runs on a manual clock.
+ */
 export class RolloutFleet {
   readonly clock = new ManualClock();
   readonly network: MemoryNetwork;
   readonly logs = new Map<string, KeptDecisionLog>();
   readonly random = new Random(5);
-  /** How long an answer takes, ms. */
-  answerMs = 300;
-  behaviourOf: BehaviourOf = () => GOOD;
-  traffic: Traffic = {perSecond: 200, routes: [['r', 1]]};
+  /** Time until an answer arrives, ms. */
+  answerDelayMs = 300;
+  getBehaviour: GetBehaviour = () => GOOD;
+  traffic: Traffic = {requestsPerSecond: 200, routes: [['r', 1]]};
   /** Bad answers of the new version so far. */
-  bad = 0;
-  /** The most by which the exposure was over its bound while a version was tried. */
-  overshoot = -Infinity;
+  badAnswers = 0;
+  /** Maximum of exposure minus bound during the canary phase. */
+  maxOvershoot = -Infinity;
   private readonly disks = new Map<string, MemoryDisk>();
-  private readonly controls = new Map<string, Control>();
+  private readonly controls = new Map<string, ControlBox>();
   private readonly edges: SimulatedEdge[] = [];
-  private lives = 0;
-  private reportAt = 0;
-  private due = 0;
+  private incarnationCount = 0;
+  private nextReportAt = 0;
+  private dueRequests = 0;
   private orderedAt: number | undefined;
-  private readonly latest: boolean[] = [];
-  private grantedToGone = 0;
-  private requestsInAll = 0;
-  private exposedInAll = 0;
-  /** Edges go on with what they knew while no control box runs. */
-  private lastNews: FleetMachine | undefined;
-
-  constructor(private readonly isSwitchedOn = true) {
+  /** Whether each of the recent requests went to the new version. */
+  private readonly exposures: boolean[] = [];
+  private grantedToStoppedEdges = 0;
+  private totalRequests = 0;
+  private totalExposed = 0;
+  /** Edges keep the last known state while no control box runs. */
+  private lastKnownMachine: FleetMachine | undefined;
+
+  constructor(private readonly isEnabled = true) {
     this.network = new MemoryNetwork(this.clock, new Random(3));
   }
 
   /** Starts all control boxes with a configuration and upstreams of `v1`. */
   static async start(): Promise<RolloutFleet> {
     const fleet = new RolloutFleet();
-    await fleet.startControls();
-    await fleet.configure();
+    await fleet.startControlBoxes();
+    await fleet.applyConfiguration();
     fleet.addUpstreams('v1');
     await fleet.clock.advance(5_000);
     return fleet;
   }
 
-  /** Puts a configuration in force that names the service. */
-  async configure(): Promise<void> {
+  /** Applies a configuration that contains the service. */
+  async applyConfiguration(): Promise<void> {
     const stored = {configuration: configurationOf(1), document: 'one'};
-    await this.settle(this.control().change(stored));
+    await this.waitFor(this.control().change(stored));
   }
 
-  /** Starts the control boxes that are not running, from their disks. */
-  async startControls(
+  /** Starts control boxes that are not running, from their disks. */
+  async startControlBoxes(
     boxes: readonly string[] = CONTROLS,
     settleMs = 3_000,
   ): Promise<void> {
     for (const box of boxes) {
-      await this.startControl(box);
+      await this.startControlBox(box);
     }
     await this.clock.advance(settleMs);
   }
 
-  /** Ends control boxes at once; what they have not synced is lost. */
-  kill(boxes: readonly string[] = CONTROLS): void {
+  /** Crashes control boxes; unsynced data is lost. */
+  crash(boxes: readonly string[] = CONTROLS): void {
     for (const box of boxes) {
       this.network.disconnect(box);
       this.disks.get(box)?.crash();
@@ -190,16 +195,16 @@
     }
   }
 
-  /** Upstreams of a version register; four of them. */
+  /** Registers upstreams of a version. */
   addUpstreams(
     version: string,
     count = 4,
     fields: Partial<UpstreamRecord> = {},
   ): void {
-    for (let at = 0; at < count; at += 1) {
+    for (let index = 0; index < count; index += 1) {
       const record = upstreamOf({
-        address: `${version}.example:${80 + at}`,
-        id: `${version}-${at}`,
+        address: `${version}.example:${80 + index}`,
+        id: `${version}-${index}`,
         version,
         ...fields,
       });
@@ -207,54 +212,56 @@
     }
   }
 
-  /** Upstreams of a version leave. */
+  /** Removes upstreams of a version. */
   removeUpstreams(version: string, count = 4): void {
-    for (let at = 0; at < count; at += 1) {
-      this.control().removeUpstream(`${version}-${at}`);
+    for (let index = 0; index < count; index += 1) {
+      this.control().removeUpstream(`${version}-${index}`);
     }
   }
 
+  /** Adds edges that have sent no requests yet. */
   addEdges(count: number): void {
-    for (let at = 0; at < count; at += 1) {
-      this.addEdge(`e${at}:1`);
+    for (let index = 0; index < count; index += 1) {
+      this.addEdge(`e${index}:1`);
     }
   }
 
-  /** An edge loses its life; the next one counts from 0. */
-  restartEdge(at: number): void {
-    const [edge] = this.edges.splice(at, 1);
-    invariant(edge !== undefined, 'known');
+  /** Replaces an edge by a new incarnation, whose counts start at 0. */
+  restartEdge(index: number): void {
+    const [edge] = this.edges.splice(index, 1);
+    invariant(edge !== undefined, 'unknown edge');
     this.network.disconnect(edge.box);
-    this.grantedToGone += edge.granted;
+    this.grantedToStoppedEdges += edge.granted;
     this.addEdge(edge.box);
   }
 
-  /** Some running control box, or the one named. */
+  /** Returns the named control box, or any running one. */
   control(box?: string): FleetControl {
-    return this.running(box).control;
+    return this.findControlBox(box).control;
   }
 
-  /** The newest state that a running box has. */
-  machine(): FleetMachine {
+  /** Returns the newest state of all running boxes. */
+  newestMachine(): FleetMachine {
     const machines = [...this.controls.values()].map(({machine}) => machine);
     machines.sort((a, b) => b.rollouts.revision - a.rollouts.revision);
     const [newest] = machines;
-    invariant(newest !== undefined, 'runs');
+    invariant(newest !== undefined, 'no control box is running');
     return newest;
   }
 
-  /** The box that leads. */
-  leader(): string {
+  /** Returns the leader of the highest term. */
+  leaderBox(): string {
     const leaders = [...this.controls]
       .filter(([, {replica}]) => replica.isLeader)
       .sort(
         ([, a], [, b]) => b.replica.status().term - a.replica.status().term,
       );
-    invariant(leaders[0] !== undefined, 'no box leads');
+    invariant(leaders[0] !== undefined, 'no control box is the leader');
     return leaders[0][0];
   }
 
-  order(
+  /** Orders a rollout at a control box. */
+  orderRollout(
     targetVersion = 'v2',
     fields: Partial<RolloutOrder> = {},
     box?: string,
@@ -266,68 +273,69 @@
       ...fields,
     };
     this.orderedAt ??= this.clock.now();
-    return this.settle(this.control(box).beginRollout(order));
+    return this.waitFor(this.control(box).beginRollout(order));
   }
 
-  read(box?: string): Promise<RolloutReadReply> {
-    return this.settle(this.control(box).readRollout('s'));
+  /** Reads the versions of the service at a control box. */
+  readVersions(box?: string): Promise<RolloutReadReply> {
+    return this.waitFor(this.control(box).readRollout('s'));
   }
 
-  /** The state of the roll-out, as the newest machine has it. */
-  state(): string | undefined {
-    return this.machine().versionsOf('s')?.rollout?.state;
+  /** Returns the newest state of the rollout. */
+  rolloutState(): string | undefined {
+    return this.newestMachine().versionsOf('s')?.rollout?.state;
   }
 
-  /** Requests of the service since the order, and those of the new version. */
-  get sent(): {readonly requests: number; readonly exposed: number} {
-    return {exposed: this.exposedInAll, requests: this.requestsInAll};
+  /** Requests to the service and to the new version since the order. */
+  get requestCounts(): {readonly requests: number; readonly exposed: number} {
+    return {exposed: this.totalExposed, requests: this.totalRequests};
   }
 
-  /** What edges were granted more in all than the log knows; above 0 is a fault. */
-  get grantedBesidesLog(): number {
-    const held = [...this.controls.values()].map(
+  /** Grants beyond those recorded in the log; a positive number is an error. */
+  get unloggedGrants(): number {
+    const loggedGrants = [...this.controls.values()].map(
       ({machine}) => machine.rolloutProgressOf('s')?.granted ?? 0,
     );
     const granted = this.edges.reduce((sum, edge) => sum + edge.granted, 0);
-    return granted + this.grantedToGone - Math.max(...held);
+    return granted + this.grantedToStoppedEdges - Math.max(...loggedGrants);
   }
 
-  /** Lines of a kind that any control box has written. */
-  lines(event: string) {
+  /** Returns the log lines of an event from all control boxes. */
+  logLines(event: string) {
     return [...this.logs.values()]
       .flatMap(({lines}) => lines)
       .filter((line) => line.event === event);
   }
 
-  /** The part of the latest requests that went to the new version. */
-  get targetLoad(): number {
-    const {latest} = this;
-    return latest.filter(Boolean).length / Math.max(1, latest.length);
+  /** Fraction of recent requests that went to the new version. */
+  get recentTargetFraction(): number {
+    const {exposures} = this;
+    return exposures.filter(Boolean).length / Math.max(1, exposures.length);
   }
 
-  /** Lets time pass until the deadline of the first order. */
+  /** Runs until the deadline of the first order. */
   async runToDeadline(durationMs = 12_000): Promise<void> {
     const deadline = (this.orderedAt ?? 0) + durationMs;
     await this.run(deadline - this.clock.now());
   }
 
-  /** Calls a service of a control box as an edge that is none of these. */
+  /** Calls a service of a control box from a box that is not a simulated edge. */
   async call<Reply>(
     control: string,
     service: string,
     body: unknown,
   ): Promise<Reply> {
-    const link = this.network.connect(WATCHING_BOX);
-    const answer = await this.settle(
-      Promise.resolve(link.call(control, service, body, CALL_MS)),
+    const link = this.network.connect(WATCHER_BOX);
+    const answer = await this.waitFor(
+      Promise.resolve(link.call(control, service, body, CALL_TIMEOUT_MS)),
     );
     return answer._unsafeUnwrap() as Reply;
   }
 
-  /** All news of upstreams, and the quarantine, that a control box tells an edge. */
+  /** Returns the upstreams and the quarantine that a control box sends to an edge. */
   watch(control: string): Promise<WatchReply> {
     const from: BoxRecord = {
-      box: WATCHING_BOX,
+      box: WATCHER_BOX,
       hall: 'z',
       incarnation: '1',
       role: BOX_ROLE.edge,
@@ -347,40 +355,41 @@
     return this.call(control, FLEET_SERVICE.watch, request);
   }
 
-  /** Lets time pass while edges send, answer and report. */
+  /** Advances the clock while edges send requests, receive answers and report. */
   async run(ms: number, stopAt?: () => boolean): Promise<void> {
     const until = this.clock.now() + ms;
     while (this.clock.now() < until && !(stopAt?.() ?? false)) {
-      await this.clock.advance(STEP_MS);
-      this.send();
-      this.answer();
-      if (this.clock.now() >= this.reportAt) {
-        this.reportAt = this.clock.now() + REPORT_MS;
-        this.report();
+      await this.clock.advance(STEP_INTERVAL_MS);
+      this.sendRequests();
+      this.deliverAnswers();
+      if (this.clock.now() >= this.nextReportAt) {
+        this.nextReportAt = this.clock.now() + REPORT_INTERVAL_MS;
+        this.sendReports();
       }
     }
   }
 
-  async settle<Value>(asked: Promise<Value>): Promise<Value> {
+  /** Advances the clock until the promise is fulfilled. Returns its value. */
+  async waitFor<Value>(promise: Promise<Value>): Promise<Value> {
     let value: {readonly value: Value} | undefined;
-    void asked.then((settled) => (value = {value: settled}));
-    for (let turn = 0; turn < 200 && value === undefined; turn += 1) {
+    void promise.then((settled) => (value = {value: settled}));
+    for (let step = 0; step < 200 && value === undefined; step += 1) {
       await this.clock.advance(25);
     }
-    invariant(value !== undefined, 'settles');
+    invariant(value !== undefined, 'promise did not settle');
     return value.value;
   }
 
-  private running(box?: string): Control {
-    const found =
+  private findControlBox(box?: string): ControlBox {
+    const controlBox =
       box === undefined
         ? [...this.controls.values()][0]
         : this.controls.get(box);
-    invariant(found !== undefined, 'runs');
-    return found;
+    invariant(controlBox !== undefined, 'control box is not running');
+    return controlBox;
   }
 
-  private async startControl(box: string): Promise<void> {
+  private async startControlBox(box: string): Promise<void> {
     if (this.controls.has(box)) {
       return;
     }
@@ -390,8 +399,8 @@
     const machine = new FleetMachine(() => changed.notify());
     const disk = this.disks.get(box) ?? new MemoryDisk();
     this.disks.set(box, disk);
-    this.lives += 1;
-    const incarnation = String(this.lives);
+    this.incarnationCount += 1;
+    const incarnation = String(this.incarnationCount);
     const {logLink, serve} = linkOfReplicas(link);
     const opened = await Replica.open({
       box,
@@ -400,11 +409,11 @@
       incarnation,
       link: logLink,
       machine,
-      random: new Random(100 + this.lives),
+      random: new Random(100 + this.incarnationCount),
       snapshotEvery: 10,
       timing: DEFAULT_TIMING,
     });
-    invariant(opened.isOk(), 'opens');
+    invariant(opened.isOk(), 'replica did not open');
     const replica = opened.value;
     serve((request: LogRequest) => replica.handle(request));
     void replica.takePart(() => [...CONTROLS], true);
@@ -413,7 +422,7 @@
     const control = new FleetControl({
       changed,
       clock,
-      exposure: this.isSwitchedOn ? BOUND : undefined,
+      exposure: this.isEnabled ? EXPOSURE_BOUND : undefined,
       link,
       log,
       machine,
@@ -425,120 +434,131 @@
   }
 
   private addEdge(box: string): void {
-    this.lives += 1;
-    const life = `${box} ${this.lives}`;
-    this.edges.push(new SimulatedEdge(box, life, this.network.connect(box)));
+    this.incarnationCount += 1;
+    const incarnationId = `${box} ${this.incarnationCount}`;
+    this.edges.push(
+      new SimulatedEdge(box, incarnationId, this.network.connect(box)),
+    );
   }
 
-  private send(): void {
-    const rollout = this.machineOfNews()?.versionsOf('s')?.rollout;
-    this.due += (this.traffic.perSecond * STEP_MS) / 1_000;
-    while (this.due >= 1 && this.edges.length > 0) {
-      this.due -= 1;
+  private sendRequests(): void {
+    const rollout = this.getKnownMachine()?.versionsOf('s')?.rollout;
+    this.dueRequests +=
+      (this.traffic.requestsPerSecond * STEP_INTERVAL_MS) / 1_000;
+    while (this.dueRequests >= 1 && this.edges.length > 0) {
+      this.dueRequests -= 1;
       const edge = this.random.pick(this.edges);
-      invariant(edge !== undefined, 'drawn');
-      this.sendFrom(edge, rollout?.state, rollout?.targetVersion);
+      invariant(edge !== undefined, 'no edge to send from');
+      this.sendFromEdge(edge, rollout?.state, rollout?.targetVersion);
     }
   }
 
-  private sendFrom(
+  private sendFromEdge(
     edge: SimulatedEdge,
     state: string | undefined,
     target = 'v1',
   ): void {
-    const goesTo =
+    const isExposed =
       state === ROLLOUT_STATE.shifting ||
       state === ROLLOUT_STATE.completed ||
       (state === ROLLOUT_STATE.exposing && edge.exposed < edge.granted);
-    edge.shifted = state === ROLLOUT_STATE.shifting;
+    edge.isShifted = state === ROLLOUT_STATE.shifting;
     if (state !== undefined) {
       edge.requests += 1;
-      this.requestsInAll += 1;
+      this.totalRequests += 1;
     }
-    if (goesTo) {
+    if (isExposed) {
       edge.exposed += 1;
-      this.exposedInAll += 1;
-      this.noteOvershoot(state);
+      this.totalExposed += 1;
+      this.recordOvershoot(state);
     } else {
       edge.openAtFormer += 1;
     }
-    this.latest.push(goesTo);
-    this.latest.splice(0, this.latest.length - LATEST_REQUESTS);
-    const at = this.clock.now() + this.answerMs;
-    const version = goesTo ? target : 'v1';
-    edge.open.push({at, route: this.drawRoute(), version});
+    this.exposures.push(isExposed);
+    this.exposures.splice(0, this.exposures.length - LOAD_WINDOW_REQUESTS);
+    const dueAt = this.clock.now() + this.answerDelayMs;
+    const version = isExposed ? target : 'v1';
+    edge.pendingAnswers.push({dueAt, route: this.selectRoute(), version});
   }
 
-  private noteOvershoot(state: string | undefined): void {
+  private recordOvershoot(state: string | undefined): void {
     if (state === ROLLOUT_STATE.exposing) {
-      const allowed = BOUND.share * this.requestsInAll + BOUND.extra;
-      const over = this.exposedInAll - allowed;
-      this.overshoot = Math.max(this.overshoot, over);
+      const allowed =
+        EXPOSURE_BOUND.share * this.totalRequests + EXPOSURE_BOUND.extra;
+      const overshoot = this.totalExposed - allowed;
+      this.maxOvershoot = Math.max(this.maxOvershoot, overshoot);
     }
   }
 
-  private drawRoute(): string {
+  private selectRoute(): string {
     const {routes} = this.traffic;
-    const drawn = drawByWeight(
+    const selected = drawByWeight(
       routes,
-      ([, part]) => part,
+      ([, weight]) => weight,
       this.random.fraction(),
     );
-    invariant(drawn !== undefined, 'drawn');
-    return drawn[0];
+    invariant(selected !== undefined, 'no route has a positive weight');
+    return selected[0];
   }
 
-  private answer(): void {
+  private deliverAnswers(): void {
     const now = this.clock.now();
     for (const edge of this.edges) {
-      while (edge.open[0] !== undefined && edge.open[0].at <= now) {
-        const answer = edge.open.shift();
-        invariant(answer !== undefined, 'open');
-        this.count(edge, answer);
+      while (
+        edge.pendingAnswers[0] !== undefined &&
+        edge.pendingAnswers[0].dueAt <= now
+      ) {
+        const answer = edge.pendingAnswers.shift();
+        invariant(answer !== undefined, 'no pending answer');
+        this.countAnswer(edge, answer);
       }
     }
   }
 
-  private count(edge: SimulatedEdge, {route, version}: Answer): void {
-    const behaviour = this.behaviourOf(version, route, this.clock.now());
-    const fails = this.random.fraction() < behaviour.failureRate;
+  private countAnswer(
+    edge: SimulatedEdge,
+    {route, version}: PendingAnswer,
+  ): void {
+    const behaviour = this.getBehaviour(version, route, this.clock.now());
+    const isFailed = this.random.fraction() < behaviour.failureRate;
     const isSlow = this.random.fraction() < behaviour.slowRate;
     if (version === 'v1') {
       edge.openAtFormer -= 1;
-    } else if (fails || (isSlow && behaviour.slowRate > 0.1)) {
-      this.bad += 1;
+    } else if (isFailed || (isSlow && behaviour.slowRate > 0.1)) {
+      this.badAnswers += 1;
     }
     const key = `${route} ${version}`;
-    const held = edge.tallies.get(key);
+    const previous = edge.tallies.get(key);
     const times = [
-      ...(held?.times ?? Array<number>(TIME_RATIO_BOUNDS.length + 1).fill(0)),
+      ...(previous?.times ??
+        Array<number>(TIME_RATIO_BOUNDS.length + 1).fill(0)),
     ];
     const bucket = isSlow ? 6 : 2;
     times[bucket] = (times[bucket] ?? 0) + 1;
     edge.tallies.set(key, {
-      answers: (held?.answers ?? 0) + 1,
-      failures: (held?.failures ?? 0) + Number(fails),
+      answers: (previous?.answers ?? 0) + 1,
+      failures: (previous?.failures ?? 0) + Number(isFailed),
       route,
       times,
       version,
     });
   }
 
-  private report(): void {
-    const number = this.machineOfNews()?.versionsOf('s')?.rollout?.number;
+  private sendReports(): void {
+    const number = this.getKnownMachine()?.versionsOf('s')?.rollout?.number;
     if (number === undefined) {
       return;
     }
     for (const edge of this.edges) {
       if (!edge.isReporting) {
-        void this.reportFrom(edge, number);
+        void this.sendReport(edge, number);
       }
     }
   }
 
-  private async reportFrom(edge: SimulatedEdge, number: number): Promise<void> {
+  private async sendReport(edge: SimulatedEdge, number: number): Promise<void> {
     edge.isReporting = true;
-    const {exposed, granted, openAtFormer, requests, shifted} = edge;
+    const {exposed, granted, isShifted, openAtFormer, requests} = edge;
     const report: ExposureReport = {
       exposed,
       granted,
@@ -546,14 +566,14 @@
       openAtFormer,
       requests,
       service: 's',
-      shifted,
+      shifted: isShifted,
       tallies: [...edge.tallies.values()],
     };
-    const [to] = [...this.controls.keys()];
+    const [controlBox] = [...this.controls.keys()];
     const answer = await edge.link.call(
-      to ?? CONTROLS[0],
+      controlBox ?? CONTROLS[0],
       FLEET_SERVICE.exposure,
-      {box: edge.box, life: edge.life, reports: [report]},
+      {box: edge.box, life: edge.incarnationId, reports: [report]},
       2_000,
     );
     edge.isReporting = false;
@@ -563,8 +583,9 @@
     }
   }
 
-  private machineOfNews(): FleetMachine | undefined {
-    this.lastNews = this.controls.size > 0 ? this.machine() : this.lastNews;
-    return this.lastNews;
+  private getKnownMachine(): FleetMachine | undefined {
+    this.lastKnownMachine =
+      this.controls.size > 0 ? this.newestMachine() : this.lastKnownMachine;
+    return this.lastKnownMachine;
   }
 }
