--- a/packages/puffinturn-fleet/src/Boxes.ts
+++ b/packages/puffinturn-fleet/src/Boxes.ts
@@ -5,77 +5,77 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The boxes that are alive, as soft state learned from their own calls. */
+/** Lists of live boxes: soft state, refreshed by the calls of the boxes. */
 import type {BoxRecord} from './FleetMessages';
 
 /**
- * A box that has not called for this long is dropped, ms. Longer than the cuts
- * of some 8 s that take all edges from the core at once: after one the list
- * still names them.
+ * A box is removed after this time without a call, ms. Longer than a short network
+ * partition, so that the list still contains the edges afterwards.
  */
-const DROP_AFTER_MS = 15_000;
+const BOX_TIMEOUT_MS = 15_000;
 
-/** Boxes that are gone and still told of; the oldest are forgotten first. */
-const MAX_GONE = 1_000;
+/** Most removed boxes that are still reported as gone; the oldest are dropped first. */
+const MAX_TOMBSTONES = 1_000;
 
-/** What differs between two revisions of a list of boxes. */
+/** Difference between two revisions of a box list. */
 export interface BoxChanges {
-  /** Boxes that are new or were started again. */
+  /** Boxes that are new or were restarted. */
   readonly changed: readonly BoxRecord[];
-  /** Addresses between boxes of those that are gone. */
+  /** Addresses of removed boxes, IP:PORT. */
   readonly gone: readonly string[];
 }
 
-/** A list of boxes with a revision for each change. */
+/** A list of boxes; each change increments its revision. */
 export class BoxList {
-  private readonly slots = new Map<
+  private readonly entries = new Map<
     string,
     {readonly record: BoxRecord; readonly revision: number}
   >();
-  private readonly gone = new Map<string, number>();
-  private current = 0;
+  /** Revision of the removal by box, oldest first. */
+  private readonly tombstones = new Map<string, number>();
+  private latestRevision = 0;
 
-  /** The revision of the newest change. */
+  /** The revision of the latest change. */
   get revision(): number {
-    return this.current;
+    return this.latestRevision;
   }
 
-  /** Every box. */
+  /** All boxes of the list. */
   records(): BoxRecord[] {
-    return [...this.slots.values()].map(({record}) => record);
+    return [...this.entries.values()].map(({record}) => record);
   }
 
-  /** Takes a box in; true when it is new or was started again. */
+  /** Adds a box; true if it is new or was restarted. */
   put(record: BoxRecord): boolean {
     const {box, incarnation} = record;
-    if (this.slots.get(box)?.record.incarnation === incarnation) {
+    if (this.entries.get(box)?.record.incarnation === incarnation) {
       return false;
     }
-    this.current += 1;
-    this.slots.set(box, {record, revision: this.current});
-    this.gone.delete(box);
+    this.latestRevision += 1;
+    this.entries.set(box, {record, revision: this.latestRevision});
+    this.tombstones.delete(box);
     return true;
   }
 
-  /** Takes a box out; true when it was named. */
+  /** Removes a box; true if it was in the list. */
   remove(box: string): boolean {
-    if (!this.slots.delete(box)) {
+    if (!this.entries.delete(box)) {
       return false;
     }
-    this.current += 1;
-    this.gone.set(box, this.current);
-    const [oldest] = this.gone.keys();
-    if (this.gone.size > MAX_GONE && oldest !== undefined) {
-      this.gone.delete(oldest);
+    this.latestRevision += 1;
+    this.tombstones.set(box, this.latestRevision);
+    const [oldest] = this.tombstones.keys();
+    if (this.tombstones.size > MAX_TOMBSTONES && oldest !== undefined) {
+      this.tombstones.delete(oldest);
     }
     return true;
   }
 
-  /** Makes the list name just these boxes. */
+  /** Replaces the whole list. */
   replace(records: readonly BoxRecord[]): void {
-    const named = new Set(records.map(({box}) => box));
-    for (const box of [...this.slots.keys()]) {
-      if (!named.has(box)) {
+    const keptBoxes = new Set(records.map(({box}) => box));
+    for (const box of [...this.entries.keys()]) {
+      if (!keptBoxes.has(box)) {
         this.remove(box);
       }
     }
@@ -84,39 +84,39 @@
     }
   }
 
-  /** What has changed after a revision. */
+  /** Changes since a revision. */
   changedSince(revision: number): BoxChanges {
-    const changed = [...this.slots.values()]
+    const changed = [...this.entries.values()]
       .filter((slot) => slot.revision > revision)
       .map(({record}) => record);
-    const gone = [...this.gone]
+    const gone = [...this.tombstones]
       .filter(([, removedAt]) => removedAt > revision)
       .map(([box]) => box);
     return {changed, gone};
   }
 }
 
-/** The boxes that call this one; they are dropped once they are silent. */
+/** The boxes that call this one; silent ones expire. */
 export class BoxTable {
   /** Live boxes. */
   readonly list = new BoxList();
-  private readonly heardAt = new Map<string, number>();
+  private readonly lastHeardAt = new Map<string, number>();
 
-  /** Notes a call of a box; true when it is new or was started again. */
-  hear(record: BoxRecord, now: number): boolean {
-    this.heardAt.set(record.box, now);
+  /** Records a call of a box; true if the box is new or was restarted. */
+  recordCall(record: BoxRecord, now: number): boolean {
+    this.lastHeardAt.set(record.box, now);
     return this.list.put(record);
   }
 
-  /** Drops boxes that have not called for long; true when there were any. */
+  /** Removes silent boxes; true if there were any. */
   expire(now: number): boolean {
-    let dropped = false;
-    for (const [box, heardAt] of this.heardAt) {
-      if (now - heardAt > DROP_AFTER_MS) {
-        this.heardAt.delete(box);
-        dropped = this.list.remove(box) || dropped;
+    let hasExpired = false;
+    for (const [box, heardAt] of this.lastHeardAt) {
+      if (now - heardAt > BOX_TIMEOUT_MS) {
+        this.lastHeardAt.delete(box);
+        hasExpired = this.list.remove(box) || hasExpired;
       }
     }
-    return dropped;
+    return hasExpired;
   }
 }
--- a/packages/puffinturn-fleet/src/FleetControl.ts
+++ b/packages/puffinturn-fleet/src/FleetControl.ts
@@ -6,9 +6,9 @@
  */
 
 /**
- * The control side of a fleet: takes changes and heartbeats, answers watching
- * boxes, and exchanges allowances through the replicated log. Any control box
- * takes any call; what only the leader can do is passed on to it.
+ * Control plane of a fleet: accepts configuration changes and heartbeats, answers watch
+ * requests, and grants token allowances through the replicated log. Any control box
+ * accepts any call and forwards it to the leader where only the leader can handle it.
  */
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {Replica} from 'puffinturn-log';
@@ -56,40 +56,40 @@
 import type {UpstreamRecord} from './Upstreams';
 import {UpstreamTable} from './Upstreams';
 import {wakeUp} from './WakeUp';
-import {WatchAnswers} from './WatchAnswers';
+import {WatchReplies} from './WatchAnswers';
 
-/** How often silent boxes and upstreams are looked for, ms. */
-const EXPIRE_EVERY_MS = 1_000;
+/** Interval between expiry checks of silent boxes and upstreams, ms. */
+const EXPIRY_INTERVAL_MS = 1_000;
 
-/** How often to look for a leader while none is heard, ms. */
-const LEADER_LOOK_MS = 100;
+/** Interval between leader checks while no leader is known, ms. */
+const NO_LEADER_POLL_MS = 100;
 
-/** Longest time between two looks whether one is still heard, ms. */
-const LEADER_HEARD_LOOK_MS = 1_000;
+/** Longest interval between leader checks while a leader is known, ms. */
+const MAX_LEADER_POLL_MS = 1_000;
 
-/** What a FleetControl is made of. */
+/** Constructor arguments of FleetControl. */
 export interface FleetControlParts {
   readonly self: BoxRecord;
-  /** Addresses between boxes of the first control boxes to ask. */
+  /** Addresses of the control boxes to contact first, IP:PORT. */
   readonly seeds: () => readonly string[];
   readonly clock: Clock;
   readonly link: Link;
   readonly replica: Replica;
   readonly machine: FleetMachine;
-  /** Notified by the machine on every configuration that came into force. */
+  /** Notified on every change that watching boxes have to receive. */
   readonly changed: Condition;
   readonly log: DecisionLog;
-  /** What new versions may risk; undefined where there are no roll-outs. */
+  /** Exposure limit of new versions; undefined disables roll-outs. */
   readonly exposure?: ExposureBound | undefined;
 }
 
-/** Takes over what the other control boxes heard from upstreams and edges. */
-class ControlNews extends FleetNews {
+/** Applies the upstream and box records that the other control boxes send. */
+class PeerUpdateHandler extends FleetNews {
   constructor(private readonly control: FleetControl) {
     super();
   }
 
-  /** The log brings the configuration; none is wanted from others. */
+  /** Infinity, as the configuration is replicated through the log. */
   override get configurationVersion(): number {
     return Infinity;
   }
@@ -98,21 +98,21 @@
 
   override configurationChange(): void {}
 
-  /** The log brings evacuations too. */
+  /** Infinity, as evacuations are replicated through the log. */
   override get evacuationRevision(): number {
     return Infinity;
   }
 
   override evacuations(): void {}
 
-  /** The log brings roll-outs too. */
+  /** Infinity, as roll-outs are replicated through the log. */
   override get rolloutRevision(): number {
     return Infinity;
   }
 
   override rollouts(): void {}
 
-  /** The log brings the quarantine too. */
+  /** Infinity, as the quarantine is replicated through the log. */
   override get quarantineRevision(): number {
     return Infinity;
   }
@@ -126,26 +126,26 @@
   }
 
   override boxes(records: readonly BoxRecord[], source: string): void {
-    this.control.hearBoxes(records, source);
+    this.control.updatePeerBoxes(records, source);
   }
 }
 
-/** See the module comment. */
+/** Control plane of a fleet on one control box. */
 export class FleetControl implements AsyncDisposable {
-  /** Upstreams known to this box. */
+  /** Known upstreams. */
   readonly upstreams = new UpstreamTable();
-  /** Boxes that watch this one. */
+  /** Live boxes that watch this control box. */
   readonly boxes = new BoxTable();
-  /** Boxes that watch the other control boxes, by control box. */
-  private readonly boxesOfOthers = new Map<string, readonly BoxRecord[]>();
-  /** All boxes that any control box knows of, as edges are told. */
-  private readonly everyBox = new BoxList();
-  private readonly answers: WatchAnswers;
-  private readonly leader: LeaderCalls;
-  private readonly rollouts: RolloutControl;
-  private readonly others: FleetWatch;
-  private readonly allowances: AllowanceControl;
-  private readonly quarantine: QuarantineControl;
+  /** Boxes that watch the other control boxes, keyed by control box. */
+  private readonly boxesByPeer = new Map<string, readonly BoxRecord[]>();
+  /** Boxes known to any control box; this is the list that edges receive. */
+  private readonly allBoxes = new BoxList();
+  private readonly watchReplies: WatchReplies;
+  private readonly leaderCalls: LeaderCalls;
+  private readonly rolloutControl: RolloutControl;
+  private readonly peerWatch: FleetWatch;
+  private readonly allowanceControl: AllowanceControl;
+  private readonly quarantineControl: QuarantineControl;
   private readonly refusals: UpstreamRefusals;
   private readonly suspension: SuspensionWatch;
   private readonly tasks = new TaskGroup();
@@ -154,105 +154,119 @@
   constructor(private readonly parts: FleetControlParts) {
     const {clock, link, log} = parts;
     this.refusals = new UpstreamRefusals(clock, log);
-    this.leader = new LeaderCalls(parts);
-    this.allowances = new AllowanceControl({...parts, leader: this.leader});
-    this.quarantine = new QuarantineControl({...parts, leader: this.leader});
-    this.answers = new WatchAnswers({
+    this.leaderCalls = new LeaderCalls(parts);
+    this.allowanceControl = new AllowanceControl({
       ...parts,
-      everyBox: this.everyBox,
-      ownBoxes: this.boxes.list,
+      leader: this.leaderCalls,
+    });
+    this.quarantineControl = new QuarantineControl({
+      ...parts,
+      leader: this.leaderCalls,
+    });
+    this.watchReplies = new WatchReplies({
+      ...parts,
+      allBoxes: this.allBoxes,
+      watchingBoxes: this.boxes.list,
       upstreams: this.upstreams,
     });
     this.handlers.add(
       link.register(FLEET_SERVICE.watch, (body) =>
-        this.watch(body as WatchRequest),
+        this.answerWatch(body as WatchRequest),
       ),
     );
     this.handlers.add(
       link.register(FLEET_SERVICE.change, (body) =>
-        this.changeHere(body as ChangeRequest),
+        this.proposeChange(body as ChangeRequest),
       ),
     );
     this.handlers.add(
       link.register(FLEET_SERVICE.evacuate, (body) =>
-        this.evacuateHere(body as EvacuateRequest),
+        this.proposeEvacuation(body as EvacuateRequest),
       ),
     );
-    this.handlers.add(link.register(FLEET_SERVICE.read, () => this.readHere()));
+    this.handlers.add(
+      link.register(FLEET_SERVICE.read, () => this.readLocally()),
+    );
     this.handlers.add(
       link.register(FLEET_SERVICE.reportLimits, async (body) => {
-        this.hearLimits(body as LimitsRequest);
+        this.recordLimits(body as LimitsRequest);
         return null;
       }),
     );
-    this.others = new FleetWatch({
+    this.peerWatch = new FleetWatch({
       ...parts,
       askedAtOnce: Infinity,
-      news: new ControlNews(this),
+      news: new PeerUpdateHandler(this),
     });
-    this.rollouts = new RolloutControl({
+    this.rolloutControl = new RolloutControl({
       ...parts,
-      leader: this.leader,
+      leader: this.leaderCalls,
       upstreams: this.upstreams,
     });
-    // Nothing else rests on the steady clock: reads and records need a quorum's answer.
+    // Only connections need recovery after a suspension: reads and proposals need a quorum.
     this.suspension = new SuspensionWatch(clock, (ms) => wakeUp(parts, ms));
-    this.tasks.start((signal) => this.runExpiry(signal));
-    this.tasks.start((signal) => this.followLeader(signal));
+    this.tasks.start((signal) => this.expireSilentPeers(signal));
+    this.tasks.start((signal) => this.trackLeader(signal));
   }
 
-  /** Puts a checked configuration in force; true once a quorum holds it. */
+  /** Replaces the configuration with a validated one; accepted once a quorum has stored it. */
   async change(stored: StoredConfiguration): Promise<ChangeReply> {
     const request: ChangeRequest = {
       packed: packConfiguration(stored),
       version: stored.configuration.version,
     };
-    const without = {accepted: false, heldVersion: undefined};
-    return this.leader.atLeader(FLEET_SERVICE.change, request, without, () =>
-      this.changeHere(request),
+    const fallback = {accepted: false, heldVersion: undefined};
+    return this.leaderCalls.atLeader(
+      FLEET_SERVICE.change,
+      request,
+      fallback,
+      () => this.proposeChange(request),
     );
   }
 
-  /** Evacuates a hall or ends that; accepted once a quorum holds it. */
+  /** Starts or ends the evacuation of a hall; accepted once a quorum has stored it. */
   async evacuate(request: EvacuateRequest): Promise<EvacuateReply> {
-    const without = {accepted: false};
-    return this.leader.atLeader(FLEET_SERVICE.evacuate, request, without, () =>
-      this.evacuateHere(request),
+    const fallback = {accepted: false};
+    return this.leaderCalls.atLeader(
+      FLEET_SERVICE.evacuate,
+      request,
+      fallback,
+      () => this.proposeEvacuation(request),
     );
   }
 
-  /** Orders a roll-out; accepted once a quorum holds it. */
+  /** Starts a roll-out; accepted once a quorum has stored the order. */
   beginRollout(order: RolloutOrder): Promise<RolloutOrderReply> {
-    return this.rollouts.begin(order);
+    return this.rolloutControl.begin(order);
   }
 
-  /** The versions of a service, as a barrier of the log shows them. */
+  /** Reads the versions of a service after a barrier of the log. */
   readRollout(service: string): Promise<RolloutReadReply> {
-    return this.rollouts.read(service);
+    return this.rolloutControl.read(service);
   }
 
-  /** The document in force, as a barrier of the log shows it. */
+  /** Reads the current configuration document after a barrier of the log. */
   async read(): Promise<ReadReply> {
-    const without = {current: false, document: undefined};
-    return this.leader.atLeader(FLEET_SERVICE.read, null, without, () =>
-      this.readHere(),
+    const fallback = {current: false, document: undefined};
+    return this.leaderCalls.atLeader(FLEET_SERVICE.read, null, fallback, () =>
+      this.readLocally(),
     );
   }
 
-  /** Takes a heartbeat in. */
+  /** Records a heartbeat of an upstream. */
   hearUpstream(record: UpstreamRecord, source = 'heartbeat'): void {
     const {changed, clock} = this.parts;
     const {revision} = this.upstreams;
     if (this.upstreams.merge(record, clock.now())) {
-      this.noteUpstream(record, source);
+      this.logUpstreamChange(record, source);
     }
     if (this.upstreams.revision > revision) {
       changed.notify();
     }
   }
 
-  /** Takes in what upstreams said of their limits to an edge. */
-  private hearLimits({box: source, reports}: LimitsRequest): void {
+  /** Records the limits that upstreams reported to an edge. */
+  private recordLimits({box: source, reports}: LimitsRequest): void {
     const {changed, clock, log} = this.parts;
     for (const {bornAt, id, limit} of reports) {
       if (this.upstreams.hearLimit({bornAt, id}, limit, clock.now())) {
@@ -264,101 +278,103 @@
     }
   }
 
-  /** Takes note that a life of an upstream is over, the known one if none is named. */
+  /** Marks an incarnation of an upstream as gone; the known one by default. */
   removeUpstream(id: string, bornAt?: number): void {
     const {changed, clock} = this.parts;
     if (this.upstreams.remove(id, clock.now(), bornAt)) {
       const record = this.upstreams.get(id);
       if (record !== undefined) {
-        this.noteUpstream(record, 'leave');
+        this.logUpstreamChange(record, 'leave');
       }
       changed.notify();
     }
   }
 
-  /** Counts a word that names no upstream to use; nothing that is known changes. */
+  /** Counts a rejected heartbeat; the known upstreams stay unchanged. */
   refuseUpstream(id: string, cause: string): void {
     this.refusals.count(id, cause);
   }
 
-  /** Takes over which boxes watch another control box. */
-  hearBoxes(records: readonly BoxRecord[], source: string): void {
-    this.boxesOfOthers.set(source, records);
-    this.gatherBoxes();
+  /** Replaces the boxes that watch another control box. */
+  updatePeerBoxes(records: readonly BoxRecord[], source: string): void {
+    this.boxesByPeer.set(source, records);
+    this.rebuildAllBoxes();
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     await this.suspension[Symbol.asyncDispose]();
-    await this.others[Symbol.asyncDispose]();
-    await this.rollouts[Symbol.asyncDispose]();
+    await this.peerWatch[Symbol.asyncDispose]();
+    await this.rolloutControl[Symbol.asyncDispose]();
     this.handlers[Symbol.dispose]();
-    await this.allowances[Symbol.asyncDispose]();
-    await this.quarantine[Symbol.asyncDispose]();
+    await this.allowanceControl[Symbol.asyncDispose]();
+    await this.quarantineControl[Symbol.asyncDispose]();
     await this.refusals[Symbol.asyncDispose]();
     this.tasks.abort();
     this.parts.changed.notify();
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  private async watch(request: WatchRequest): Promise<WatchReply> {
+  private async answerWatch(request: WatchRequest): Promise<WatchReply> {
     const {changed, clock} = this.parts;
-    if (this.boxes.hear(request.from, clock.now())) {
-      this.gatherBoxes();
+    if (this.boxes.recordCall(request.from, clock.now())) {
+      this.rebuildAllBoxes();
     }
-    const current = request.current ? (await this.readHere()).current : false;
-    const until = clock.now() + request.waitMs;
-    // A box that starts waits for this alone once it has all the news.
+    const current = request.current
+      ? (await this.readLocally()).current
+      : false;
+    const deadline = clock.now() + request.waitMs;
+    // Once the barrier is passed, the reply is sent without waiting for updates.
     while (
       !current &&
-      !this.answers.hasNews(request) &&
-      clock.now() < until &&
+      !this.watchReplies.hasUpdates(request) &&
+      clock.now() < deadline &&
       !this.tasks.ended
     ) {
       await sleepUnlessNotified(
         clock,
         changed,
-        until - clock.now(),
+        deadline - clock.now(),
         this.tasks.signal,
       );
     }
-    return this.answers.newsFor(request, current);
+    return this.watchReplies.replyTo(request, current);
   }
 
-  /** Own list of boxes and those of the other control boxes in one. */
-  private gatherBoxes(): void {
-    const others = [...this.boxesOfOthers.values()].flat();
-    const own = [this.parts.self, ...this.boxes.list.records()];
-    const byBox = new Map(
-      [...others, ...own].map((record) => [record.box, record]),
+  /** Merges the own boxes with those of the other control boxes; the own ones win. */
+  private rebuildAllBoxes(): void {
+    const peerBoxes = [...this.boxesByPeer.values()].flat();
+    const ownBoxes = [this.parts.self, ...this.boxes.list.records()];
+    const byAddress = new Map(
+      [...peerBoxes, ...ownBoxes].map((record) => [record.box, record]),
     );
-    this.everyBox.replace([...byBox.values()]);
+    this.allBoxes.replace([...byAddress.values()]);
   }
 
-  private async changeHere({
+  private async proposeChange({
     packed,
     version,
   }: ChangeRequest): Promise<ChangeReply> {
-    const outcome = await this.leader.propose<ConfigurationOutcome>({
+    const outcome = await this.leaderCalls.propose<ConfigurationOutcome>({
       kind: 'packed-configuration',
       packed,
     });
     return outcome.match(
       ({adopted, heldVersion}) => {
-        this.noteChange(version, heldVersion, adopted ? 'adopted' : 'older');
+        this.logChange(version, heldVersion, adopted ? 'adopted' : 'older');
         return {accepted: true, heldVersion};
       },
       ({kind}) => {
-        this.noteChange(version, undefined, kind);
+        this.logChange(version, undefined, kind);
         return {accepted: false, heldVersion: undefined};
       },
     );
   }
 
-  private async evacuateHere({
+  private async proposeEvacuation({
     evacuated,
     hall,
   }: EvacuateRequest): Promise<EvacuateReply> {
-    const outcome = await this.leader.propose<EvacuationOutcome>({
+    const outcome = await this.leaderCalls.propose<EvacuationOutcome>({
       evacuated,
       hall,
       kind: 'evacuation',
@@ -374,15 +390,20 @@
     return {accepted};
   }
 
-  private noteChange(
+  private logChange(
     version: number,
-    held: number | undefined,
+    heldVersion: number | undefined,
     outcome: string,
   ): void {
-    this.parts.log.note({event: 'change-decided', held, outcome, version});
+    this.parts.log.note({
+      event: 'change-decided',
+      held: heldVersion,
+      outcome,
+      version,
+    });
   }
 
-  private noteUpstream(record: UpstreamRecord, source: string): void {
+  private logUpstreamChange(record: UpstreamRecord, source: string): void {
     const {address, bornAt, id, sequence, service, state} = record;
     this.parts.log.note({
       address,
@@ -396,34 +417,40 @@
     });
   }
 
-  private async readHere(): Promise<ReadReply> {
-    const current = await this.leader.isCurrent();
+  private async readLocally(): Promise<ReadReply> {
+    const current = await this.leaderCalls.isCurrent();
     const document = this.parts.machine.stored?.document;
     return {current, document: current ? document : undefined};
   }
 
-  /** Wakes up the questions that wait once a leader is lost or heard again. */
-  private async followLeader(signal: AbortSignal): Promise<void> {
+  /** Wakes pending watch requests when the leader is lost or found. */
+  private async trackLeader(signal: AbortSignal): Promise<void> {
     const {changed, clock, replica} = this.parts;
-    let heard = this.answers.hearsLeader;
+    let hadLeader = this.watchReplies.hasLeader;
     while (!signal.aborted) {
-      const lostInMs = Math.min(LEADER_HEARD_LOOK_MS, replica.leaderHeardForMs);
-      // Just after its silence counts, so that the look is not a moment too early.
-      await clock.sleep(heard ? lostInMs + 1 : LEADER_LOOK_MS, signal);
-      if (heard !== this.answers.hearsLeader) {
-        heard = this.answers.hearsLeader;
+      const nextCheckMs = Math.min(
+        MAX_LEADER_POLL_MS,
+        replica.leaderHeardForMs,
+      );
+      // Checks 1 ms after the leader expires, as it still counts as known before.
+      await clock.sleep(
+        hadLeader ? nextCheckMs + 1 : NO_LEADER_POLL_MS,
+        signal,
+      );
+      if (hadLeader !== this.watchReplies.hasLeader) {
+        hadLeader = this.watchReplies.hasLeader;
         changed.notify();
       }
     }
   }
 
-  private async runExpiry(signal: AbortSignal): Promise<void> {
+  private async expireSilentPeers(signal: AbortSignal): Promise<void> {
     const {clock} = this.parts;
     while (!signal.aborted) {
-      await clock.sleep(EXPIRE_EVERY_MS, signal);
+      await clock.sleep(EXPIRY_INTERVAL_MS, signal);
       this.upstreams.expire(clock.now());
       if (this.boxes.expire(clock.now())) {
-        this.gatherBoxes();
+        this.rebuildAllBoxes();
       }
     }
   }
--- a/packages/puffinturn-fleet/src/FleetMachine.ts
+++ b/packages/puffinturn-fleet/src/FleetMachine.ts
@@ -6,9 +6,9 @@
  */
 
 /**
- * The replicated state of a fleet: the configuration in force, the halls that are
- * evacuated, the tokens that edges were granted and the versions that may serve. Each
- * part applies its own records and has its own place in the snapshot.
+ * Replicated state machine of a fleet: the current configuration, the evacuated halls,
+ * the tokens granted to edges, the allowed service versions and the request quarantine.
+ * Each register applies its own records and has its own section in the snapshot.
  */
 import {Decoder, Encoder} from 'cbor-x';
 import type {TeamGrants} from 'puffinturn-decisions';
@@ -46,21 +46,21 @@
 const encoder = new Encoder({useRecords: false});
 const decoder = new Decoder({useRecords: false});
 
-/** Adds to what speaks against requests that were at crashes. */
+/** Log record: a report of the requests that were in flight when upstreams crashed. */
 export interface CrashReportRecord {
   readonly kind: 'crash-report';
-  /** When the leader took it by its time of day, Unix ms. */
+  /** Wall-clock time at which the leader received the report, Unix ms. */
   readonly at: number;
   readonly report: CrashReport;
 }
 
-/** What applying a report of crashes did. */
+/** Outcome of applying a crash report. */
 export interface CrashReportOutcome {
   readonly kind: 'crash-report';
   readonly quarantine: Quarantine;
 }
 
-/** Every record of the fleet's log. */
+/** Any record of the fleet's log. */
 export type FleetRecord =
   | AllowanceRecord
   | ConfigurationRecord
@@ -69,7 +69,7 @@
   | PackedConfigurationRecord
   | RolloutRecord;
 
-/** What applying any record did. */
+/** Outcome of applying any record. */
 export type FleetOutcome =
   | AllowanceOutcome
   | ConfigurationOutcome
@@ -77,139 +77,142 @@
   | EvacuationOutcome
   | RolloutRecordOutcome;
 
-interface Image extends AllowanceImage {
-  /** Missing in snapshots from before crashes were reported. */
+interface FleetSnapshot extends AllowanceImage {
+  /** Missing in snapshots of versions without crash reports. */
   readonly crashes?: CrashImage | undefined;
-  /** Missing in snapshots from before there were evacuations. */
+  /** Missing in snapshots of versions without evacuations. */
   readonly evacuations?: Evacuations | undefined;
-  /** Missing in snapshots from before there were roll-outs. */
+  /** Missing in snapshots of versions without roll-outs. */
   readonly rollouts?: RolloutImage | undefined;
   readonly stored: StoredConfiguration | undefined;
 }
 
-/** See the module comment. */
+/** Replicated state machine of a fleet. */
 export class FleetMachine extends Machine {
-  private readonly configuration: ConfigurationRegister;
-  private readonly evacuated: EvacuationRegister;
-  private readonly rolledOut: RolloutRegister;
-  private readonly crashes = new CrashRegister();
-  private readonly allowances = new AllowanceLedger((team) =>
-    this.prepaidOf(team),
+  private readonly configurationRegister: ConfigurationRegister;
+  private readonly evacuationRegister: EvacuationRegister;
+  private readonly rolloutRegister: RolloutRegister;
+  private readonly crashRegister = new CrashRegister();
+  private readonly allowanceLedger = new AllowanceLedger((team) =>
+    this.prepaidTokensOf(team),
   );
 
-  /** Told after every change that boxes have to hear of, not of allowances. */
+  /** Calls `onChange` after each change that boxes have to receive; allowances are exempt. */
   constructor(private readonly onChange: () => void = () => undefined) {
     super();
-    this.configuration = new ConfigurationRegister(onChange);
-    this.evacuated = new EvacuationRegister(onChange);
-    this.rolledOut = new RolloutRegister(onChange, (service) =>
+    this.configurationRegister = new ConfigurationRegister(onChange);
+    this.evacuationRegister = new EvacuationRegister(onChange);
+    this.rolloutRegister = new RolloutRegister(onChange, (service) =>
       this.isService(service),
     );
   }
 
-  /** The configuration in force. */
+  /** The current configuration. */
   get stored(): StoredConfiguration | undefined {
-    return this.configuration.stored;
+    return this.configurationRegister.stored;
   }
 
-  /** The halls that are evacuated. */
+  /** The evacuated halls. */
   get evacuations(): Evacuations {
-    return this.evacuated.evacuations;
+    return this.evacuationRegister.evacuations;
   }
 
-  /** The versions that may serve. */
+  /** The versions that may serve requests. */
   get rollouts(): Rollouts {
-    return this.rolledOut.rollouts;
+    return this.rolloutRegister.rollouts;
   }
 
-  /** The requests that no upstream is to run. */
+  /** The requests that no upstream may run. */
   get quarantine(): Quarantine {
-    return this.crashes.quarantine;
+    return this.crashRegister.quarantine;
   }
 
   /** The versions of one service. */
   versionsOf(service: string): ServiceVersions | undefined {
-    return this.rolledOut.versionsOf(service);
+    return this.rolloutRegister.versionsOf(service);
   }
 
-  /** What the log knows besides of the newest order for a service. */
+  /** Progress of the newest roll-out order of a service. */
   rolloutProgressOf(service: string): RolloutProgress | undefined {
-    return this.rolledOut.progressOf(service);
+    return this.rolloutRegister.progressOf(service);
   }
 
-  /** Whether the configuration in force names a service. */
+  /** Whether the current configuration contains a service. */
   isService(service: string): boolean {
     const services = this.stored?.configuration.services ?? [];
     return services.some(({name}) => name === service);
   }
 
-  /** Tokens of a team that are in the hands of edges or spent. */
+  /** Tokens of a team that edges hold or have spent. */
   grantedTo(team: string): number {
-    return this.allowances.grantedTo(team);
+    return this.allowanceLedger.grantedTo(team);
   }
 
-  /** The same with what there is in all, and what is in the hands of edges. */
+  /** Token totals of a team: its budget, the granted tokens, and those that edges hold. */
   grantsOf(team: string): TeamGrants {
-    return this.allowances.grantsOf(team);
+    return this.allowanceLedger.grantsOf(team);
   }
 
   override apply(record: unknown): FleetOutcome {
     const fleetRecord = record as FleetRecord;
     switch (fleetRecord.kind) {
       case 'allowance':
-        return this.allowances.apply(fleetRecord);
+        return this.allowanceLedger.apply(fleetRecord);
       case 'configuration':
-        return this.configuration.apply(fleetRecord.stored);
+        return this.configurationRegister.apply(fleetRecord.stored);
       case 'crash-report':
-        return this.takeCrashes(fleetRecord);
+        return this.applyCrashReport(fleetRecord);
       case 'evacuation':
-        return this.evacuated.apply(fleetRecord);
+        return this.evacuationRegister.apply(fleetRecord);
       case 'packed-configuration':
-        return this.configuration.apply(
+        return this.configurationRegister.apply(
           unpackConfiguration(fleetRecord.packed),
         );
       case 'exposure-block':
       case 'rollout-order':
       case 'rollout-verdict':
       case 'stable-version':
-        return this.rolledOut.apply(fleetRecord);
+        return this.rolloutRegister.apply(fleetRecord);
     }
   }
 
   override snapshot(): Uint8Array {
-    const image: Image = {
-      ...this.allowances.image(),
-      crashes: this.crashes.image(),
+    const snapshot: FleetSnapshot = {
+      ...this.allowanceLedger.image(),
+      crashes: this.crashRegister.image(),
       evacuations: this.evacuations,
-      rollouts: this.rolledOut.image(),
+      rollouts: this.rolloutRegister.image(),
       stored: this.stored,
     };
-    return encoder.encode(image);
+    return encoder.encode(snapshot);
   }
 
   override restore(bytes: Uint8Array): void {
-    const image = decoder.decode(Buffer.from(bytes)) as Image;
-    this.configuration.restore(image.stored ?? undefined);
-    this.allowances.restore(image);
-    this.crashes.restore(image.crashes ?? NO_CRASHES);
-    this.evacuated.restore(image.evacuations ?? NO_EVACUATIONS);
-    this.rolledOut.restore(image.rollouts ?? NO_ROLLOUT_IMAGE);
+    const snapshot = decoder.decode(Buffer.from(bytes)) as FleetSnapshot;
+    this.configurationRegister.restore(snapshot.stored ?? undefined);
+    this.allowanceLedger.restore(snapshot);
+    this.crashRegister.restore(snapshot.crashes ?? NO_CRASHES);
+    this.evacuationRegister.restore(snapshot.evacuations ?? NO_EVACUATIONS);
+    this.rolloutRegister.restore(snapshot.rollouts ?? NO_ROLLOUT_IMAGE);
     this.onChange();
   }
 
-  /** Whether a report, even an empty one, would let quarantined requests run again. */
-  isQuarantineOver(at: number): boolean {
-    return this.crashes.hasExpired(at);
+  /** Whether applying a report at this time would release quarantined requests. */
+  isQuarantineOver(unixMs: number): boolean {
+    return this.crashRegister.hasExpired(unixMs);
   }
 
-  private takeCrashes({at, report}: CrashReportRecord): CrashReportOutcome {
-    if (this.crashes.report(report, at)) {
+  private applyCrashReport({
+    at,
+    report,
+  }: CrashReportRecord): CrashReportOutcome {
+    if (this.crashRegister.report(report, at)) {
       this.onChange();
     }
     return {kind: 'crash-report', quarantine: this.quarantine};
   }
 
-  private prepaidOf(team: string): number {
+  private prepaidTokensOf(team: string): number {
     const teams = this.stored?.configuration.teams;
     return teams?.find(({name}) => name === team)?.prepaidTokens ?? 0;
   }
--- a/packages/puffinturn-fleet/src/FleetMessages.ts
+++ b/packages/puffinturn-fleet/src/FleetMessages.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Messages between control boxes and edges. */
+/** Messages that control boxes and edges exchange. */
 import type {UpstreamLimit} from 'puffinturn-permits';
 import type {CrashReport, Quarantine} from 'puffinturn-quarantine';
 
@@ -17,7 +17,7 @@
 import type {Rollouts} from './Rollouts';
 import type {UpstreamRecord} from './Upstreams';
 
-/** Names of the services on the link between boxes. */
+/** Service names on the link between boxes. */
 export const FLEET_SERVICE = {
   allowance: 'fleet-allowance',
   beginRollout: 'fleet-begin-rollout',
@@ -36,25 +36,25 @@
   watch: 'fleet-watch',
 } as const;
 
-/** What a box does in the fleet. */
+/** Roles of boxes in the fleet. */
 export const BOX_ROLE = {control: 'control', edge: 'edge'} as const;
 
-/** One of BOX_ROLE. */
+/** A value of BOX_ROLE. */
 export type BoxRole = (typeof BOX_ROLE)[keyof typeof BOX_ROLE];
 
-/** A box as the others know it. */
+/** A member of the fleet. */
 export interface BoxRecord {
-  /** Address between boxes, IP:PORT. */
+  /** Address for calls between boxes, IP:PORT. */
   readonly box: string;
   readonly role: BoxRole;
   readonly hall: string;
-  /** The region of the hall; missing where a former version tells. */
+  /** The region of the hall; missing in records of older software versions. */
   readonly region?: string | undefined;
-  /** One life of the process. */
+  /** Identifies one run of the process. */
   readonly incarnation: string;
 }
 
-/** The name of one life of a box, as messages about tokens carry it. */
+/** Returns the identifier of an incarnation of a box, as used in token messages. */
 export function lifeOf({
   box,
   incarnation,
@@ -62,64 +62,65 @@
   return `${box} ${incarnation}`;
 }
 
-/** Asks for all that is new; held back until there is something. */
+/** Requests all updates; the reply is delayed until there are any (long polling). */
 export interface WatchRequest {
   readonly from: BoxRecord;
   readonly configurationVersion: number;
-  /** The revision of the evacuations held. */
+  /** The requester's revision of the evacuations. */
   readonly evacuationRevision: number;
-  /** The revision of the roll-outs held; missing where a former version asks. */
+  /** The requester's revision of the roll-outs; older software versions omit it. */
   readonly rolloutRevision?: number | undefined;
-  /** The revision of the quarantine held; missing where a former version asks. */
+  /** The requester's revision of the quarantine; older software versions omit it. */
   readonly quarantineRevision?: number | undefined;
-  /** The incarnation of the asked box that `upstreamsRevision` belongs to. */
+  /** The incarnation of the responder to which the box and upstream revisions belong. */
   readonly incarnation: string;
   readonly upstreamsRevision: number;
   readonly boxesRevision: number;
+  /** Longest delay of the reply, ms. */
   readonly waitMs: number;
-  /** Whether the answer must rest on a barrier of the log. */
+  /** Whether the responder must pass a barrier of the log before it replies. */
   readonly current: boolean;
   /**
-   * Whether another control box brings configurations and boxes: then the
-   * answer only names the version that the asked box holds.
+   * Whether the requester gets configurations and boxes from another control box. The
+   * reply then omits them and only contains the version number of the configuration.
    */
   readonly brief: boolean;
   /**
-   * Whether the asking box takes it that the asked one hears a leader; it is told
-   * at once where that is not so. Missing in questions of a former version.
+   * Whether the requester assumes that the responder knows a leader; if that is wrong, the
+   * responder replies without delay. Older software versions omit it.
    */
   readonly hearsLeader?: boolean | undefined;
 }
 
-/** What is new since the last answer. */
+/** Updates since the last reply. */
 export interface WatchReply {
   readonly incarnation: string;
   readonly leader: string | undefined;
-  /** A newer configuration, unless the change to it is sent instead. */
+  /** A newer configuration; undefined if `configurationChange` is sent instead. */
   readonly configuration: FleetConfiguration | undefined;
-  /** What leads from the asking box's configuration to a newer one. */
+  /** The difference between the requester's configuration and a newer one. */
   readonly configurationChange: ConfigurationChange | undefined;
-  /** Evacuations newer than those that the asking box holds. */
+  /** Evacuations newer than the requester's revision. */
   readonly evacuations: Evacuations | undefined;
-  /** Roll-outs newer than those that the asking box holds. */
+  /** Roll-outs newer than the requester's revision. */
   readonly rollouts?: Rollouts | undefined;
-  /** A quarantine newer than the one that the asking box holds. */
+  /** A quarantine newer than the requester's revision. */
   readonly quarantine?: Quarantine | undefined;
   readonly upstreams: readonly UpstreamRecord[];
   readonly upstreamsRevision: number;
-  /** The version that the answering box holds, or -Infinity. */
+  /** The configuration version of the responder; -Infinity without one. */
   readonly heldVersion: number;
   /**
-   * What has changed among the live boxes, where anything has: all boxes for an
-   * edge, those that call the answering box itself for another control box.
+   * Changes of the live boxes, if any. An edge gets all boxes of the fleet; a control box
+   * gets those that watch the responder.
    */
   readonly boxes: BoxChanges | undefined;
   readonly boxesRevision: number;
-  /** Whether a barrier was passed, where one was asked for. */
+  /** Whether a requested barrier of the log was passed. */
   readonly current: boolean;
 }
 
-/** Asks the leader, through any control box, for an exchange of allowances. */
+/** Returns and requests token allowances; any control box forwards it to the leader. */
 export interface AllowanceRequest {
   readonly box: string;
   readonly holder: string;
@@ -127,165 +128,166 @@
   readonly asks: readonly AllowanceAsk[];
 }
 
-/** Outcome of an exchange; undefined grants mean that it may be sent again. */
+/** Reply to an AllowanceRequest; undefined grants mean that it failed and may be retried. */
 export interface AllowanceReply {
   readonly grants: readonly AllowanceGrant[] | undefined;
 }
 
-/** Asks another edge for tokens. */
+/** Requests a loan of tokens from another edge. */
 export interface BorrowRequest {
-  /** One life of the asking edge; with the number it names the loan. */
+  /** The incarnation of the borrower; together with `number` it identifies the loan. */
   readonly borrower: string;
   readonly number: number;
-  /** Whether only the outcome of that loan is asked for, as no answer came. */
+  /** Whether this only queries the outcome of a loan whose reply was lost. */
   readonly outcomeOnly: boolean;
   readonly team: string;
-  /** Tokens that a request lacks. */
+  /** Tokens that a pending request is short of. */
   readonly need: number;
-  /** Tokens that would be of use; at least those needed. */
+  /** Desired number of tokens; at least `need`. */
   readonly want: number;
   /**
-   * The part of what the asked edge wants to hold that must stay there; missing in
-   * requests of a former version, which leave nothing.
+   * The fraction of its target balance that the lender keeps; older software versions omit
+   * it, which means 0.
    */
   readonly keepPart?: number | undefined;
   /**
-   * Whether the asked edge, as the holder of the hall, may ask the core and the
-   * other halls for what it lacks. Then it lends all that is needed or nothing.
+   * Whether the lender, as the token holder of its hall, may request missing tokens from the
+   * control boxes and the other halls. It then lends at least `need` or nothing.
    */
   readonly gather: boolean;
 }
 
-/** What came of asking another edge for tokens. */
+/** Outcomes of a BorrowRequest. */
 export const LOAN = {
-  /** It lent what it could spare. */
+  /** The lender lent what it could spare. */
   lent: 'lent',
-  /** The core and the other halls together have too few. */
+  /** The whole fleet has too few tokens. */
   exhausted: 'exhausted',
-  /** It has too few, and not all that could have more answered. */
+  /** The lender has too few tokens, and some other holder did not reply. */
   unavailable: 'unavailable',
-  /** It is stopping; the next edge of the hall is the holder. */
+  /** The lender is shutting down; another edge of the hall becomes the holder. */
   closing: 'closing',
 } as const;
 
-/** One of LOAN. */
+/** A value of LOAN. */
 export type LoanOutcome = (typeof LOAN)[keyof typeof LOAN];
 
-/** Tokens that the asked edge has given up. */
+/** Tokens that the lender has transferred. */
 export interface BorrowReply {
   readonly given: number;
   readonly outcome: LoanOutcome;
 }
 
-/** Tokens of one team that an edge hands on. */
+/** Tokens of one team that an edge transfers to another one. */
 export interface Gift {
   readonly team: string;
   readonly amount: number;
 }
 
-/** Hands tokens on to another edge. */
+/** Transfers tokens to another edge. */
 export interface GiveRequest {
-  /** One life of the giving edge. */
+  /** The incarnation of the sender. */
   readonly giver: string;
   /**
-   * The life of the asked edge that may take the gift; another one can't know
-   * whether it was taken. Missing in gifts of a former version.
+   * The only incarnation that may accept the transfer, as a later one can't tell whether it
+   * was accepted before. Older software versions omit it.
    */
   readonly receiver?: string | undefined;
-  /** Grows with each gift of that life; one sent again counts once. */
+  /** Increases with each transfer of the sender; a repeated one is applied once. */
   readonly number: number;
   readonly gifts: readonly Gift[];
 }
 
 /**
- * Whether the asked edge took the tokens; one that is stopping does not, nor does
- * another life than the one that they are for.
+ * Whether the receiver accepted the tokens. It declines them if it is shutting down or if
+ * they are for another incarnation.
  */
 export interface GiveReply {
   readonly taken: boolean;
-  /** The life that answers; missing in answers of a former version. */
+  /** The incarnation of the receiver; older software versions omit it. */
   readonly receiver?: string | undefined;
 }
 
-/** What an edge lacks; asked for by an empty question. */
+/** Whether an edge needs initial state; the request is empty. */
 export interface GreetReply {
-  /** Whether it has no configuration and has not reached the core. */
+  /** Whether it has no configuration and has not reached a control box. */
   readonly needsState: boolean;
 }
 
 /**
- * Whether the asking edge, which is behind, may leave new connections to the others
- * of its hall for a while; asked for by an empty question.
+ * Whether an overloaded edge may stop accepting connections for a while and leave them to
+ * the other edges of its hall; the request is empty.
  */
 export interface StepAsideReply {
   readonly agreed: boolean;
 }
 
-/** What an edge serves from, handed to one that can't reach the core. */
+/** The state of an edge, sent to an edge that can't reach a control box. */
 export interface HandOver {
   readonly configuration: FleetConfiguration;
   readonly upstreams: readonly UpstreamRecord[];
-  /** Missing in what an edge of a former version hands over. */
+  /** Older software versions omit it. */
   readonly evacuations?: Evacuations | undefined;
-  /** Missing in what an edge of a former version hands over. */
+  /** Older software versions omit it. */
   readonly rollouts?: Rollouts | undefined;
-  /** Missing in what an edge of a former version hands over. */
+  /** Older software versions omit it. */
   readonly quarantine?: Quarantine | undefined;
-  /** All boxes known, the receiver included. */
+  /** All known boxes, including the receiver. */
   readonly boxes: readonly BoxRecord[];
 }
 
-/** Tells the leader, through any control box, which requests were at crashes. */
+/** Reports requests that were in flight at crashes; any control box forwards it to the leader. */
 export interface CrashRequest {
   readonly box: string;
   readonly report: CrashReport;
 }
 
-/** Whether a quorum holds the report; else it may be told again. */
+/** Whether a quorum has stored the report; if not, it may be retried. */
 export interface CrashReply {
   readonly taken: boolean;
 }
 
-/** What one life of an upstream said of its limit in answers to an edge. */
+/** A limit that an incarnation of an upstream reported in responses to an edge. */
 export interface LimitReport {
   readonly id: string;
   readonly bornAt?: number | undefined;
   readonly limit: UpstreamLimit;
 }
 
-/** Tells any control box what upstreams said of their limits; the answer is empty. */
+/** Sends limits that upstreams reported to any control box; the reply is empty. */
 export interface LimitsRequest {
   readonly box: string;
   readonly reports: readonly LimitReport[];
 }
 
-/** Asks the leader to put a checked configuration in force. */
+/** Requests the leader to replace the configuration with a validated one. */
 export interface ChangeRequest {
   readonly version: number;
-  /** The configuration and its document, as `packConfiguration` makes it. */
+  /** The configuration and its document, encoded by `packConfiguration`. */
   readonly packed: Uint8Array;
 }
 
-/** Asks the leader to evacuate a hall, or to put it in service again. */
+/** Requests the leader to evacuate a hall or to return it to service. */
 export interface EvacuateRequest {
   readonly hall: string;
   readonly evacuated: boolean;
 }
 
-/** Whether a quorum holds an evacuation. */
+/** Whether a quorum has stored an evacuation. */
 export interface EvacuateReply {
   readonly accepted: boolean;
 }
 
-/** What became of a change of the configuration. */
+/** Result of a ChangeRequest. */
 export interface ChangeReply {
   readonly accepted: boolean;
-  /** The version in force afterwards. */
+  /** The current version after the request. */
   readonly heldVersion: number | undefined;
 }
 
-/** The document in force, as one barrier found it. */
+/** The current configuration document, read after a barrier of the log. */
 export interface ReadReply {
+  /** Whether the barrier was passed; without it there is no document. */
   readonly current: boolean;
   readonly document: string | undefined;
 }
--- a/packages/puffinturn-fleet/src/FleetWatch.ts
+++ b/packages/puffinturn-fleet/src/FleetWatch.ts
@@ -6,12 +6,10 @@
  */
 
 /**
- * Keeps one box up to date: one task for each control box asks it for news and
- * is answered as soon as there are some. Control boxes are found from the
- * seeds, then from the answers. A box of a large fleet asks only a few of them
- * at a time; the others stand by until one of these falls silent or knows no
- * leader. A silent one is asked again and again; nothing learned is forgotten
- * because control is silent.
+ * Long-polls the control boxes for updates, with one task per control box. Control boxes
+ * are discovered from the seeds and then from the replies. Only `askedAtOnce` of them are
+ * polled; the others are on standby until one of these is unreachable or knows no leader.
+ * Unreachable ones are retried, and the state received from them stays valid.
  */
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {Quarantine} from 'puffinturn-quarantine';
@@ -31,107 +29,105 @@
 import type {UpstreamRecord} from './Upstreams';
 
 /**
- * How long a control box may hold a question back, ms. A question costs both sides
- * some wake-ups: held back for 1,000 ms, all boxes take 5 in 100 more processor time
- * than with 1,500 ms, and with 2,000 ms as much (17 edges, a day of failures). With
- * ANSWER_MS it must stay below the time within which changes are to be in force, as
- * that two control boxes are silent shows only after both.
+ * How long a control box may delay its reply, ms. Short values cost processor time. The sum
+ * with REPLY_TIMEOUT_MS is how long a silent control box goes unnoticed, so it must stay
+ * below the time within which a change has to be applied everywhere.
  */
-const WAIT_MS = 1_500;
+const LONG_POLL_MS = 1_500;
 
-/** How often the seeds are looked at, and a box that stands by its turn, ms. */
-const LOOK_MS = 1_000;
+/** Interval at which seeds are read and standby control boxes are reconsidered, ms. */
+const SELECTION_INTERVAL_MS = 1_000;
 
-/** Longest time for an answer after that, ms. */
-const ANSWER_MS = 500;
+/** Time allowed for the reply beyond LONG_POLL_MS, ms. */
+const REPLY_TIMEOUT_MS = 500;
 
-/** Pause after a failed call, ms; twice as long after each further one. */
-const RETRY_MS = 150;
+/** Delay after the first failed call, ms; doubles with each further failure. */
+const MIN_RETRY_DELAY_MS = 150;
 
-/** Longest pause after failed calls, ms. */
-const LONGEST_RETRY_MS = 600;
+/** Longest delay after failed calls, ms. */
+const MAX_RETRY_DELAY_MS = 600;
 
-/** Least time between two questions to one box, so that news are gathered. */
-const GATHER_MS = 25;
+/** Pause between a reply and the next request, ms, so that updates are batched. */
+const POLL_PAUSE_MS = 25;
 
-/** A box that is no seed is given up after this much silence, ms. */
-const GIVE_UP_MS = 20_000;
+/** A control box that is not a seed is removed after this time without a reply, ms. */
+const PEER_EXPIRY_MS = 20_000;
 
-/** How far control boxes are; the nearest ones are asked first. */
+/** Distance classes of control boxes; the nearest ones are polled first. */
 const DISTANCE = {ownHall: 0, ownRegion: 1, otherRegion: 2} as const;
 
-/** Takes what a watch has learned. */
+/** Receives the updates of a FleetWatch. */
 export abstract class FleetNews {
-  /** The version held, or -Infinity. */
+  /** The current configuration version; -Infinity without one. */
   abstract get configurationVersion(): number;
   abstract configuration(
     configuration: FleetConfiguration,
     source: string,
   ): void;
-  /** A change of the configuration held; ignored where another one is. */
+  /** Applies a difference; ignored if its base is not the current configuration. */
   abstract configurationChange(
     change: ConfigurationChange,
     source: string,
   ): void;
-  /** The revision of the evacuations held. */
+  /** The current revision of the evacuations. */
   abstract get evacuationRevision(): number;
-  abstract evacuations(found: Evacuations, source: string): void;
-  /** The revision of the roll-outs held. */
+  abstract evacuations(evacuations: Evacuations, source: string): void;
+  /** The current revision of the roll-outs. */
   abstract get rolloutRevision(): number;
-  abstract rollouts(found: Rollouts, source: string): void;
-  /** The revision of the quarantine held. */
+  abstract rollouts(rollouts: Rollouts, source: string): void;
+  /** The current revision of the quarantine. */
   abstract get quarantineRevision(): number;
-  abstract quarantine(found: Quarantine, source: string): void;
+  abstract quarantine(quarantine: Quarantine, source: string): void;
   abstract upstreams(records: readonly UpstreamRecord[], source: string): void;
   abstract boxes(records: readonly BoxRecord[], source: string): void;
 }
 
-/** What a FleetWatch is made of. */
+/** Constructor arguments of FleetWatch. */
 export interface FleetWatchParts {
   readonly self: BoxRecord;
-  /** Addresses between boxes of the seeds; may change. */
+  /** Addresses of the seeds, IP:PORT; may change. */
   readonly seeds: () => readonly string[];
   readonly clock: Clock;
   readonly link: Link;
   readonly log: DecisionLog;
   readonly news: FleetNews;
-  /** Control boxes asked at a time once up to date; Infinity for all. */
+  /** Number of control boxes to poll once current; Infinity for all. */
   readonly askedAtOnce: number;
-  /** The region of each hall; without them all halls are together. */
+  /** The region of each hall; by default all halls are in one region. */
   readonly regions?: Regions | undefined;
 }
 
-interface Watched {
+interface ControlPeer {
   readonly box: string;
-  /** Where it stands; undefined until some list has named it. */
+  /** Undefined until the control box appears in a list of boxes. */
   hall: string | undefined;
-  /** Boxes that it has told of, by address. */
+  /** Boxes that it has reported, by address. */
   readonly boxes: Map<string, BoxRecord>;
   incarnation: string;
   upstreamsRevision: number;
   boxesRevision: number;
-  answeredAt: number | undefined;
-  reachable: boolean;
-  /** Whether one answer rested on a barrier of the log. */
-  current: boolean;
+  lastReplyAt: number | undefined;
+  isReachable: boolean;
+  /** Whether it has passed a barrier of the log for a reply. */
+  hasCurrentReply: boolean;
   /**
-   * Whether the last call to it failed, or its answer named no leader: then it
-   * may be cut off from the quorum, and its news may be old.
+   * Whether the last call failed or its reply named no leader. It may then be partitioned
+   * from the quorum, and its data may be stale.
    */
-  unfit: boolean;
-  /** Orders control boxes of one hall, and those of all others; see `before`. */
+  isUnhealthy: boolean;
+  /** Hash that orders control boxes at the same distance. */
   readonly rank: number;
 }
 
-/** See the module comment. */
+/** Long-polls the control boxes of a fleet for updates. */
 export class FleetWatch implements AsyncDisposable {
-  private readonly watched = new Map<string, Watched>();
+  private readonly peers = new Map<string, ControlPeer>();
   private readonly tasks = new TaskGroup();
-  /** Notified when another control box may have to be asked. */
-  private readonly roles = new Condition();
+  /** Notified when another set of control boxes may have to be polled. */
+  private readonly selectionChanged = new Condition();
   private leaderBox: string | undefined;
-  /** The control box whose list of boxes was taken over last. */
-  private boxesFrom: string | undefined;
+  /** The control box whose list of boxes was applied last. */
+  private boxListSource: string | undefined;
   private readonly lag: ConfigurationLag;
   private readonly regions: Regions;
 
@@ -143,172 +139,184 @@
       log,
       () => news.configurationVersion,
     );
-    this.tasks.start((signal) => this.followSeeds(signal));
+    this.tasks.start((signal) => this.pollSeeds(signal));
   }
 
-  /** Takes nothing that is known for current until it has been asked for anew. */
+  /** Treats all data as possibly stale until a control box has passed a new barrier. */
   distrust(): void {
-    for (const watched of this.watched.values()) {
-      watched.current = false;
+    for (const peer of this.peers.values()) {
+      peer.hasCurrentReply = false;
     }
-    this.roles.notify();
+    this.selectionChanged.notify();
   }
 
-  /** Control boxes, the ones that answer first. */
+  /** Addresses of the control boxes; reachable ones come first. */
   get controls(): string[] {
-    const all = [...this.watched.values()];
-    all.sort((a, b) => Number(b.reachable) - Number(a.reachable));
+    const all = [...this.peers.values()];
+    all.sort((a, b) => Number(b.isReachable) - Number(a.isReachable));
     return all.map(({box}) => box);
   }
 
-  /** The leader as last heard of. */
+  /** The last known leader. */
   get leader(): string | undefined {
     return this.leaderBox;
   }
 
-  /** True once an answer rested on a barrier of the log. */
+  /** Whether some control box has passed a barrier of the log for a reply. */
   get current(): boolean {
-    return [...this.watched.values()].some(({current}) => current);
+    return [...this.peers.values()].some(
+      ({hasCurrentReply}) => hasCurrentReply,
+    );
   }
 
-  /** How many control boxes have answered at all. */
+  /** Number of control boxes that have replied at least once. */
   get answered(): number {
-    return [...this.watched.values()].filter(
-      ({answeredAt}) => answeredAt !== undefined,
+    return [...this.peers.values()].filter(
+      ({lastReplyAt}) => lastReplyAt !== undefined,
     ).length;
   }
 
-  /** True while some control box answers. */
+  /** Whether any control box is reachable. */
   get inTouch(): boolean {
-    return [...this.watched.values()].some(({reachable}) => reachable);
+    return [...this.peers.values()].some(({isReachable}) => isReachable);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  private async followSeeds(signal: AbortSignal): Promise<void> {
+  private async pollSeeds(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       for (const box of this.parts.seeds()) {
-        this.add(box);
+        this.addPeer(box);
       }
-      await this.parts.clock.sleep(LOOK_MS, signal);
+      await this.parts.clock.sleep(SELECTION_INTERVAL_MS, signal);
     }
   }
 
-  private add(box: string): void {
-    if (box === this.parts.self.box || this.watched.has(box)) {
+  private addPeer(box: string): void {
+    if (box === this.parts.self.box || this.peers.has(box)) {
       return;
     }
-    const watched: Watched = {
-      answeredAt: undefined,
+    const peer: ControlPeer = {
+      lastReplyAt: undefined,
       box,
       boxes: new Map(),
       boxesRevision: -1,
-      current: false,
+      hasCurrentReply: false,
       hall: undefined,
       incarnation: '',
-      // Spreads boxes evenly over the control boxes that they ask.
+      // Spreads the boxes evenly over the control boxes.
       rank: hashOf(`${this.parts.self.box} ${box}`),
-      reachable: false,
+      isReachable: false,
       upstreamsRevision: 0,
-      unfit: false,
+      isUnhealthy: false,
     };
-    this.watched.set(box, watched);
-    this.tasks.start((signal) => this.watch(watched, signal));
+    this.peers.set(box, peer);
+    this.tasks.start((signal) => this.pollPeer(peer, signal));
   }
 
-  private async watch(watched: Watched, signal: AbortSignal): Promise<void> {
+  private async pollPeer(
+    peer: ControlPeer,
+    signal: AbortSignal,
+  ): Promise<void> {
     const {clock, link} = this.parts;
     const startedAt = clock.now();
-    let pauseMs = RETRY_MS;
+    let retryDelayMs = MIN_RETRY_DELAY_MS;
     while (!signal.aborted) {
-      if (!this.isAsked(watched)) {
-        await sleepUnlessNotified(clock, this.roles, LOOK_MS, signal);
+      if (!this.isPolled(peer)) {
+        await sleepUnlessNotified(
+          clock,
+          this.selectionChanged,
+          SELECTION_INTERVAL_MS,
+          signal,
+        );
         continue;
       }
-      const answer = await link.call(
-        watched.box,
+      const result = await link.call(
+        peer.box,
         FLEET_SERVICE.watch,
-        this.question(watched),
-        WAIT_MS + ANSWER_MS,
+        this.buildRequest(peer),
+        LONG_POLL_MS + REPLY_TIMEOUT_MS,
       );
       if (signal.aborted) {
         return;
       }
-      if (answer.isOk()) {
-        this.take(watched, answer.value as WatchReply);
-        pauseMs = RETRY_MS;
-        await clock.sleep(GATHER_MS, signal);
+      if (result.isOk()) {
+        this.handleReply(peer, result.value as WatchReply);
+        retryDelayMs = MIN_RETRY_DELAY_MS;
+        await clock.sleep(POLL_PAUSE_MS, signal);
         continue;
       }
-      this.lose(watched);
-      const silence = clock.now() - (watched.answeredAt ?? startedAt);
-      const isSeed = this.parts.seeds().includes(watched.box);
-      if (!isSeed && silence > GIVE_UP_MS) {
-        this.watched.delete(watched.box);
+      this.markUnreachable(peer);
+      const silentMs = clock.now() - (peer.lastReplyAt ?? startedAt);
+      const isSeed = this.parts.seeds().includes(peer.box);
+      if (!isSeed && silentMs > PEER_EXPIRY_MS) {
+        this.peers.delete(peer.box);
         return;
       }
-      await clock.sleep(pauseMs, signal);
-      pauseMs = Math.min(LONGEST_RETRY_MS, pauseMs * 2);
+      await clock.sleep(retryDelayMs, signal);
+      retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, retryDelayMs * 2);
     }
   }
 
   /**
-   * Whether a control box is asked or stands by. Unfit ones are asked too, so
-   * that their return shows; until one answer was current, all are asked.
+   * Whether a control box is polled rather than on standby. Unhealthy ones are polled to
+   * detect their recovery; before the first current reply, all are polled.
    */
-  private isAsked(watched: Watched): boolean {
-    if (watched.unfit || !this.current) {
+  private isPolled(peer: ControlPeer): boolean {
+    if (peer.isUnhealthy || !this.current) {
       return true;
     }
-    return this.aheadOf(watched) < this.parts.askedAtOnce;
+    return this.countPreferred(peer) < this.parts.askedAtOnce;
   }
 
-  /** How many fit control boxes are asked before this one. */
-  private aheadOf(watched: Watched): number {
-    const ahead = [...this.watched.values()].filter(
-      (other) => !other.unfit && this.before(other, watched),
+  /** Number of healthy control boxes that are preferred to this one. */
+  private countPreferred(peer: ControlPeer): number {
+    const preferred = [...this.peers.values()].filter(
+      (other) => !other.isUnhealthy && this.isPreferred(other, peer),
     );
-    return ahead.length;
+    return preferred.length;
   }
 
   /**
-   * Control boxes of the own hall come first, then those of the own region; a hash
-   * spreads the load. So news cross between regions only where no control box of
-   * the own region is fit.
+   * Prefers control boxes of the own hall, then of the own region; a hash spreads the load.
+   * Other regions are polled only while too few in the own region are healthy.
    */
-  private before(a: Watched, b: Watched): boolean {
-    const away = this.distanceTo(a.hall) - this.distanceTo(b.hall);
-    return away === 0 ? a.rank < b.rank : away < 0;
+  private isPreferred(a: ControlPeer, b: ControlPeer): boolean {
+    const distanceDifference =
+      this.distanceTo(a.hall) - this.distanceTo(b.hall);
+    return distanceDifference === 0 ? a.rank < b.rank : distanceDifference < 0;
   }
 
   private distanceTo(hall: string | undefined): number {
-    const {hall: own} = this.parts.self;
-    if (hall === own) {
+    const {hall: ownHall} = this.parts.self;
+    if (hall === ownHall) {
       return DISTANCE.ownHall;
     }
-    const isNear =
+    const isInOwnRegion =
       !this.regions.several ||
-      (hall !== undefined && this.regions.areTogether(own, hall));
-    return isNear ? DISTANCE.ownRegion : DISTANCE.otherRegion;
+      (hall !== undefined && this.regions.areTogether(ownHall, hall));
+    return isInOwnRegion ? DISTANCE.ownRegion : DISTANCE.otherRegion;
   }
 
   /**
-   * One control box brings configurations and boxes; the others that are asked
-   * only show that it is not behind. An overdue version is asked for everywhere.
+   * Whether a control box need not send configurations and boxes. Only the preferred one
+   * sends them; the others show whether it is behind. If a version is overdue, all send it.
    */
-  private isBrief(watched: Watched): boolean {
+  private isBrief(peer: ControlPeer): boolean {
     const {askedAtOnce} = this.parts;
-    const overdue = this.lag.dueInMs <= 0;
-    return askedAtOnce < Infinity && !overdue && this.aheadOf(watched) > 0;
+    const isOverdue = this.lag.dueInMs <= 0;
+    return (
+      askedAtOnce < Infinity && !isOverdue && this.countPreferred(peer) > 0
+    );
   }
 
-  private question(watched: Watched): WatchRequest {
+  private buildRequest(peer: ControlPeer): WatchRequest {
     const {news, self} = this.parts;
-    const brief = this.isBrief(watched);
+    const brief = this.isBrief(peer);
     return {
-      boxesRevision: watched.boxesRevision,
+      boxesRevision: peer.boxesRevision,
       brief,
       configurationVersion: brief
         ? this.lag.namedVersion
@@ -316,126 +324,129 @@
       current: !this.current,
       evacuationRevision: news.evacuationRevision,
       from: self,
-      hearsLeader: !watched.unfit,
-      incarnation: watched.incarnation,
+      hearsLeader: !peer.isUnhealthy,
+      incarnation: peer.incarnation,
       quarantineRevision: news.quarantineRevision,
       rolloutRevision: news.rolloutRevision,
-      upstreamsRevision: watched.upstreamsRevision,
-      // Held back for longer, it would keep an overdue version from being asked
-      // for: changes came up to 3.2 s late while the first control box was cut off.
-      waitMs: brief ? Math.min(WAIT_MS, this.lag.dueInMs) : WAIT_MS,
+      upstreamsRevision: peer.upstreamsRevision,
+      // A longer wait would delay the full request for an overdue version while the
+      // preferred control box is partitioned.
+      waitMs: brief ? Math.min(LONG_POLL_MS, this.lag.dueInMs) : LONG_POLL_MS,
     };
   }
 
-  private take(watched: Watched, reply: WatchReply): void {
+  private handleReply(peer: ControlPeer, reply: WatchReply): void {
     const {clock, log, news} = this.parts;
-    if (!watched.reachable) {
+    if (!peer.isReachable) {
       log.note({
         event: 'dependency-changed',
-        lastAnswerAgeMs: this.ageOf(watched),
-        peer: watched.box,
+        lastAnswerAgeMs: this.lastReplyAgeMs(peer),
+        peer: peer.box,
         reachable: true,
       });
     }
-    watched.reachable = true;
-    this.hearLeader(watched, reply.leader ?? undefined);
-    watched.answeredAt = clock.now();
-    if (watched.incarnation !== reply.incarnation) {
-      watched.boxes.clear();
+    peer.isReachable = true;
+    this.updateLeader(peer, reply.leader ?? undefined);
+    peer.lastReplyAt = clock.now();
+    if (peer.incarnation !== reply.incarnation) {
+      peer.boxes.clear();
     }
-    watched.incarnation = reply.incarnation;
-    watched.upstreamsRevision = reply.upstreamsRevision;
-    watched.boxesRevision = reply.boxesRevision;
+    peer.incarnation = reply.incarnation;
+    peer.upstreamsRevision = reply.upstreamsRevision;
+    peer.boxesRevision = reply.boxesRevision;
     this.leaderBox = reply.leader ?? this.leaderBox;
     if (reply.configuration !== undefined && reply.configuration !== null) {
-      news.configuration(reply.configuration, watched.box);
+      news.configuration(reply.configuration, peer.box);
     }
     const change = reply.configurationChange;
     if (change !== undefined && change !== null) {
-      news.configurationChange(change, watched.box);
+      news.configurationChange(change, peer.box);
     }
     const {evacuations, quarantine, rollouts} = reply;
     if (evacuations !== undefined && evacuations !== null) {
-      news.evacuations(evacuations, watched.box);
+      news.evacuations(evacuations, peer.box);
     }
     if (rollouts !== undefined && rollouts !== null) {
-      news.rollouts(rollouts, watched.box);
+      news.rollouts(rollouts, peer.box);
     }
     if (quarantine !== undefined && quarantine !== null) {
-      news.quarantine(quarantine, watched.box);
+      news.quarantine(quarantine, peer.box);
     }
     if (reply.upstreams.length > 0) {
-      news.upstreams(reply.upstreams, watched.box);
+      news.upstreams(reply.upstreams, peer.box);
     }
-    this.takeBoxes(watched, reply.boxes ?? undefined);
-    watched.current ||= reply.current;
-    this.lag.learn(reply.heldVersion, watched.box);
+    this.applyBoxChanges(peer, reply.boxes ?? undefined);
+    peer.hasCurrentReply ||= reply.current;
+    this.lag.learn(reply.heldVersion, peer.box);
   }
 
-  /** A control box that hears no leader may be cut off from the quorum. */
-  private hearLeader(watched: Watched, leader: string | undefined): void {
-    const unfit = leader === undefined;
-    if (unfit !== watched.unfit) {
-      const {box} = watched;
+  /** Marks a control box as unhealthy if it knows no leader: it may lack a quorum. */
+  private updateLeader(peer: ControlPeer, leader: string | undefined): void {
+    const hasNoLeader = leader === undefined;
+    if (hasNoLeader !== peer.isUnhealthy) {
+      const {box} = peer;
       this.parts.log.note({event: 'leader-heard', leader, peer: box});
     }
-    this.setUnfit(watched, unfit);
+    this.setUnhealthy(peer, hasNoLeader);
   }
 
-  /** Takes over control boxes that another edge knows. */
+  /** Adds the control boxes among the given boxes. */
   learn(records: readonly BoxRecord[]): void {
     for (const {box, hall, role} of records) {
       if (role === BOX_ROLE.control) {
-        this.add(box);
-        const known = this.watched.get(box);
-        if (known !== undefined) {
-          known.hall = hall;
+        this.addPeer(box);
+        const peer = this.peers.get(box);
+        if (peer !== undefined) {
+          peer.hall = hall;
         }
       }
     }
   }
 
-  /** Only the list of the first control box counts where one is told of all. */
-  private takeBoxes(watched: Watched, changes: BoxChanges | undefined): void {
+  /** Applies box changes; an edge uses only the list of the preferred control box. */
+  private applyBoxChanges(
+    peer: ControlPeer,
+    changes: BoxChanges | undefined,
+  ): void {
     for (const record of changes?.changed ?? []) {
-      watched.boxes.set(record.box, record);
+      peer.boxes.set(record.box, record);
     }
     for (const box of changes?.gone ?? []) {
-      watched.boxes.delete(box);
+      peer.boxes.delete(box);
     }
     this.learn(changes?.changed ?? []);
-    const counts =
-      this.parts.askedAtOnce === Infinity || this.aheadOf(watched) === 0;
-    const isNew = changes !== undefined || this.boxesFrom !== watched.box;
-    if (counts && isNew && watched.boxes.size > 0) {
-      this.boxesFrom = watched.box;
-      this.parts.news.boxes([...watched.boxes.values()], watched.box);
+    const isAuthoritative =
+      this.parts.askedAtOnce === Infinity || this.countPreferred(peer) === 0;
+    const hasChanged = changes !== undefined || this.boxListSource !== peer.box;
+    if (isAuthoritative && hasChanged && peer.boxes.size > 0) {
+      this.boxListSource = peer.box;
+      this.parts.news.boxes([...peer.boxes.values()], peer.box);
     }
   }
 
-  private setUnfit(watched: Watched, unfit: boolean): void {
-    if (watched.unfit !== unfit) {
-      watched.unfit = unfit;
-      this.roles.notify();
+  private setUnhealthy(peer: ControlPeer, isUnhealthy: boolean): void {
+    if (peer.isUnhealthy !== isUnhealthy) {
+      peer.isUnhealthy = isUnhealthy;
+      this.selectionChanged.notify();
     }
   }
 
-  private lose(watched: Watched): void {
-    this.setUnfit(watched, true);
-    if (watched.reachable) {
-      watched.reachable = false;
+  private markUnreachable(peer: ControlPeer): void {
+    this.setUnhealthy(peer, true);
+    if (peer.isReachable) {
+      peer.isReachable = false;
       this.parts.log.note({
         event: 'dependency-changed',
-        lastAnswerAgeMs: this.ageOf(watched),
-        peer: watched.box,
+        lastAnswerAgeMs: this.lastReplyAgeMs(peer),
+        peer: peer.box,
         reachable: false,
       });
     }
   }
 
-  private ageOf({answeredAt}: Watched): number | undefined {
-    return answeredAt === undefined
+  private lastReplyAgeMs({lastReplyAt}: ControlPeer): number | undefined {
+    return lastReplyAt === undefined
       ? undefined
-      : Math.round(this.parts.clock.now() - answeredAt);
+      : Math.round(this.parts.clock.now() - lastReplyAt);
   }
 }
--- a/packages/puffinturn-fleet/src/LeaderCalls.ts
+++ b/packages/puffinturn-fleet/src/LeaderCalls.ts
@@ -6,8 +6,8 @@
  */
 
 /**
- * What needs the leader of the log: records, barriers, and calls that are passed on
- * to it. All end within a bound of their own, whatever becomes of the quorum.
+ * Operations that need the leader of the log: proposals, barriers and forwarded calls.
+ * Each has a timeout, so that none blocks while the quorum is lost.
  */
 import type {Result} from 'neverthrow';
 import {err, ResultAsync} from 'neverthrow';
@@ -17,13 +17,13 @@
 
 import type {FleetRecord} from './FleetMachine';
 
-/** Longest time that a proposal or barrier is waited for, ms. */
-const LEADER_CALL_MS = 1_500;
+/** Timeout of proposals, barriers and forwarded calls, ms. */
+const LEADER_TIMEOUT_MS = 1_500;
 
-/** Why control could not decide. */
+/** Why a proposal or barrier failed. */
 export type FleetFailure = Failure<'no-quorum'> | ProposalFailure;
 
-/** What LeaderCalls are made of. */
+/** Constructor arguments of LeaderCalls. */
 export interface LeaderCallsParts {
   readonly self: {readonly box: string};
   readonly clock: Clock;
@@ -31,70 +31,73 @@
   readonly replica: Replica;
 }
 
-/** See the module comment. */
+/** Runs operations that need the leader of the log. */
 export class LeaderCalls {
   constructor(private readonly parts: LeaderCallsParts) {}
 
-  /** Proposes a record; resolves with what applying it did. */
+  /** Proposes a record; resolves with the outcome of applying it. */
   propose<Outcome>(record: FleetRecord): ResultAsync<Outcome, FleetFailure> {
     const {clock, replica} = this.parts;
-    return within(clock, replica.propose(record)).map(
+    return withTimeout(clock, replica.propose(record)).map(
       (value) => value as Outcome,
     );
   }
 
-  /** Whether a barrier of the log was passed, so that the machine may be read. */
+  /** Waits for a barrier of the log; true means that the state machine is current. */
   async isCurrent(): Promise<boolean> {
     const {clock, replica} = this.parts;
-    const passed = await within(clock, replica.barrier());
-    return passed.isOk();
+    const barrier = await withTimeout(clock, replica.barrier());
+    return barrier.isOk();
   }
 
-  /** Does what only the leader can do: here, or at the box that leads. */
+  /**
+   * Runs an operation on the leader: here if this box leads or knows no leader, else by a
+   * call to the leader. Resolves with `fallback` if that call fails.
+   */
   atLeader<Reply>(
     service: string,
     body: unknown,
-    without: Reply,
-    here: () => Promise<Reply>,
+    fallback: Reply,
+    runLocally: () => Promise<Reply>,
   ): Promise<Reply> {
     const {isLeader, leaderBox} = this.parts.replica;
     return isLeader || leaderBox === undefined
-      ? here()
-      : this.askLeader(leaderBox, service, body, without);
+      ? runLocally()
+      : this.callLeader(leaderBox, service, body, fallback);
   }
 
-  private async askLeader<Reply>(
+  private async callLeader<Reply>(
     leader: string,
     service: string,
     body: unknown,
-    without: Reply,
+    fallback: Reply,
   ): Promise<Reply> {
     const {link, self} = this.parts;
     if (leader === self.box) {
-      return without;
+      return fallback;
     }
-    const answer = await link.call(leader, service, body, LEADER_CALL_MS);
-    return answer.match(
+    const result = await link.call(leader, service, body, LEADER_TIMEOUT_MS);
+    return result.match(
       (reply) => reply as Reply,
-      () => without,
+      () => fallback,
     );
   }
 }
 
-/** The result, or a failure once the leader's time is over. */
-function within<Value>(
+/** Resolves with the result, or with a failure after the timeout. */
+function withTimeout<Value>(
   clock: Clock,
   result: ResultAsync<Value, ProposalFailure>,
 ): ResultAsync<Value, FleetFailure> {
-  const stop = new AbortController();
-  const late = clock
-    .sleep(LEADER_CALL_MS, stop.signal)
+  const timerAbort = new AbortController();
+  const timeout = clock
+    .sleep(LEADER_TIMEOUT_MS, timerAbort.signal)
     .then(() => err<Value, FleetFailure>(noQuorum()));
   const settled = Promise.resolve(result).then((outcome) => {
-    stop.abort();
+    timerAbort.abort();
     return outcome as Result<Value, FleetFailure>;
   });
-  return new ResultAsync(Promise.race([settled, late]));
+  return new ResultAsync(Promise.race([settled, timeout]));
 }
 
 function noQuorum(): FleetFailure {
--- a/packages/puffinturn-fleet/src/ReplicaLink.ts
+++ b/packages/puffinturn-fleet/src/ReplicaLink.ts
@@ -5,13 +5,13 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Carries the messages of the replicated log over the link between boxes. */
+/** Transports the messages of the replicated log over the link between boxes. */
 import type {ResultAsync} from 'neverthrow';
 import type {LogLinkFailure, LogRequest, ReplicaId} from 'puffinturn-log';
 import {boxOf, LogLink} from 'puffinturn-log';
 import type {Link} from 'puffinturn-wire';
 
-/** The service that answers messages of the log. */
+/** Link service that handles the messages of the log. */
 const LOG_SERVICE = 'log';
 
 class ReplicaLink extends LogLink {
@@ -30,7 +30,7 @@
   }
 }
 
-/** The link of replicas, and how the messages of others reach this one. */
+/** Creates the link of a replica, and the function that registers its message handler. */
 export function linkOfReplicas(link: Link): {
   readonly logLink: LogLink;
   readonly serve: (
--- a/packages/puffinturn-fleet/src/WakeUp.ts
+++ b/packages/puffinturn-fleet/src/WakeUp.ts
@@ -5,19 +5,19 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** What every box of a fleet does once its machine has been suspended. */
+/** Recovery of a box after its host was suspended. */
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {Link} from 'puffinturn-wire';
 
-/** What a wake-up needs of the box. */
+/** Dependencies of `wakeUp`. */
 export interface WakeUpParts {
   readonly link: Link;
   readonly log: DecisionLog;
 }
 
-/** Says so, and makes the connections to other boxes anew: they may have ended unheard. */
-export function wakeUp({link, log}: WakeUpParts, missedMs: number): void {
-  const detail = `suspended for ${Math.round(missedMs)} ms`;
+/** Logs the suspension and reopens the links to other boxes, which may be half-open. */
+export function wakeUp({link, log}: WakeUpParts, suspendedMs: number): void {
+  const detail = `suspended for ${Math.round(suspendedMs)} ms`;
   log.note({detail, event: 'process-changed', phase: 'woke'});
   link.redial();
 }
--- a/packages/puffinturn-fleet/src/WatchAnswers.ts
+++ b/packages/puffinturn-fleet/src/WatchAnswers.ts
@@ -6,8 +6,8 @@
  */
 
 /**
- * What a control box answers to those who watch it: all that is new since their last
- * answer, and whether any of it can't wait.
+ * Builds the replies of a control box to watch requests: the updates since the last
+ * reply, and whether a reply must be sent without delay.
  */
 import type {Replica} from 'puffinturn-log';
 import type {Quarantine} from 'puffinturn-quarantine';
@@ -21,102 +21,102 @@
 import type {Rollouts} from './Rollouts';
 import type {UpstreamTable} from './Upstreams';
 
-const NO_CONFIGURATION = {
+const NO_CONFIGURATION_UPDATE = {
   configuration: undefined,
   configurationChange: undefined,
 } as const;
 
-/** What WatchAnswers are made of. */
+/** Constructor arguments of WatchReplies. */
 export interface WatchAnswersParts {
   readonly self: BoxRecord;
   readonly replica: Replica;
   readonly machine: FleetMachine;
   readonly upstreams: UpstreamTable;
-  /** Boxes that watch this one, as other control boxes are told. */
-  readonly ownBoxes: BoxList;
-  /** All boxes that any control box knows of, as edges are told. */
-  readonly everyBox: BoxList;
+  /** Boxes that watch this control box; sent to the other control boxes. */
+  readonly watchingBoxes: BoxList;
+  /** Boxes known to any control box; sent to edges. */
+  readonly allBoxes: BoxList;
 }
 
-/** See the module comment. */
-export class WatchAnswers {
+/** Builds the replies of a control box to watch requests. */
+export class WatchReplies {
   private readonly history = new ConfigurationHistory();
 
   constructor(private readonly parts: WatchAnswersParts) {}
 
-  /** Whether what is applied here may be taken for what a quorum has. */
-  get hearsLeader(): boolean {
+  /** Whether this replica knows a leader, so that its state follows the quorum. */
+  get hasLeader(): boolean {
     return this.parts.replica.heardLeaderBox !== undefined;
   }
 
-  /** The version in force here, or -Infinity. */
+  /** The configuration version applied here; -Infinity without one. */
   private get heldVersion(): number {
     return this.parts.machine.stored?.configuration.version ?? -Infinity;
   }
 
-  /** What can't wait; news of boxes go with the next answer. */
-  hasNews(request: WatchRequest): boolean {
-    const {hearsLeader = this.hearsLeader} = request;
+  /** Whether to reply without delay; box changes alone wait for the next reply. */
+  hasUpdates(request: WatchRequest): boolean {
+    const {hearsLeader = this.hasLeader} = request;
     return (
       request.incarnation !== this.parts.self.incarnation ||
-      // A box that is cut off from the quorum has no news and must not be waited for.
-      hearsLeader !== this.hearsLeader ||
+      // A box without a leader gets no updates, so the requester must use another one.
+      hearsLeader !== this.hasLeader ||
       this.heldVersion > request.configurationVersion ||
-      this.newEvacuations(request) !== undefined ||
-      this.newRollouts(request) !== undefined ||
-      this.newQuarantine(request) !== undefined ||
+      this.newerEvacuations(request) !== undefined ||
+      this.newerRollouts(request) !== undefined ||
+      this.newerQuarantine(request) !== undefined ||
       this.parts.upstreams.revision > request.upstreamsRevision
     );
   }
 
-  private newEvacuations({
+  private newerEvacuations({
     evacuationRevision,
   }: WatchRequest): Evacuations | undefined {
     const {evacuations} = this.parts.machine;
     return evacuations.revision > evacuationRevision ? evacuations : undefined;
   }
 
-  /** A box of a former version wants none. */
-  private newRollouts({
+  /** Older software versions omit the revision and get no update. */
+  private newerRollouts({
     rolloutRevision = Infinity,
   }: WatchRequest): Rollouts | undefined {
     const {rollouts} = this.parts.machine;
     return rollouts.revision > rolloutRevision ? rollouts : undefined;
   }
 
-  /** A box of a former version wants none. */
-  private newQuarantine({
+  /** Older software versions omit the revision and get no update. */
+  private newerQuarantine({
     quarantineRevision = Infinity,
   }: WatchRequest): Quarantine | undefined {
     const {quarantine} = this.parts.machine;
     return quarantine.revision > quarantineRevision ? quarantine : undefined;
   }
 
-  /** All that is new. */
-  newsFor(request: WatchRequest, current: boolean): WatchReply {
+  /** Builds the reply with all updates since the last one. */
+  replyTo(request: WatchRequest, current: boolean): WatchReply {
     const {replica, self} = this.parts;
-    const same = request.incarnation === self.incarnation;
-    const upstreamsRevision = same ? request.upstreamsRevision : 0;
-    const boxesRevision = same ? request.boxesRevision : -1;
-    const list =
+    const isSameIncarnation = request.incarnation === self.incarnation;
+    const upstreamsRevision = isSameIncarnation ? request.upstreamsRevision : 0;
+    const boxesRevision = isSameIncarnation ? request.boxesRevision : -1;
+    const boxList =
       request.from.role === BOX_ROLE.control
-        ? this.parts.ownBoxes
-        : this.parts.everyBox;
-    const tellsBoxes = !request.brief && list.revision > boxesRevision;
+        ? this.parts.watchingBoxes
+        : this.parts.allBoxes;
+    const includesBoxes = !request.brief && boxList.revision > boxesRevision;
     const configuration = request.brief
-      ? NO_CONFIGURATION
+      ? NO_CONFIGURATION_UPDATE
       : this.configurationFor(request.configurationVersion);
     return {
       ...configuration,
-      boxes: tellsBoxes ? list.changedSince(boxesRevision) : undefined,
-      boxesRevision: request.brief ? boxesRevision : list.revision,
+      boxes: includesBoxes ? boxList.changedSince(boxesRevision) : undefined,
+      boxesRevision: request.brief ? boxesRevision : boxList.revision,
       current,
-      evacuations: this.newEvacuations(request),
+      evacuations: this.newerEvacuations(request),
       heldVersion: this.heldVersion,
       incarnation: self.incarnation,
       leader: replica.heardLeaderBox,
-      quarantine: this.newQuarantine(request),
-      rollouts: this.newRollouts(request),
+      quarantine: this.newerQuarantine(request),
+      rollouts: this.newerRollouts(request),
       upstreams: this.parts.upstreams.changedSince(upstreamsRevision),
       upstreamsRevision: this.parts.upstreams.revision,
     };
@@ -127,7 +127,7 @@
   ): Pick<WatchReply, 'configuration' | 'configurationChange'> {
     const configuration = this.parts.machine.stored?.configuration;
     if (configuration === undefined || configuration.version <= version) {
-      return NO_CONFIGURATION;
+      return NO_CONFIGURATION_UPDATE;
     }
     this.history.add(configuration);
     const configurationChange = this.history.changeSince(version);
--- a/packages/puffinturn-fleet/src/index.ts
+++ b/packages/puffinturn-fleet/src/index.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Configuration, upstreams and allowances of a fleet, and how they spread. */
+/** Configuration, upstreams and token allowances of a fleet, and their propagation. */
 export type {
   AllowanceAsk,
   AllowanceGrant,
