--- a/packages/puffinturn-fleet/src/FleetWatch.ts
+++ b/packages/puffinturn-fleet/src/FleetWatch.ts
@@ -306,10 +306,8 @@
    */
   private isBrief(peer: ControlPeer): boolean {
     const {askedAtOnce} = this.parts;
-    const isOverdue = this.lag.dueInMs <= 0;
-    return (
-      askedAtOnce < Infinity && !isOverdue && this.countPreferred(peer) > 0
-    );
+    const isLate = this.lag.dueInMs <= 0;
+    return askedAtOnce < Infinity && !isLate && this.countPreferred(peer) > 0;
   }
 
   private buildRequest(peer: ControlPeer): WatchRequest {
