--- a/packages/puffinturn-fleet/src/FleetWatch.ts
+++ b/packages/puffinturn-fleet/src/FleetWatch.ts
@@ -60,10 +60,7 @@
 export abstract class FleetNews {
   /** The current configuration version; -Infinity without one. */
   abstract get configurationVersion(): number;
-  abstract configuration(
-    configuration: FleetConfiguration,
-    source: string,
-  ): void;
+  abstract configuration(update: FleetConfiguration, source: string): void;
   /** Applies a difference; ignored if its base is not the current configuration. */
   abstract configurationChange(
     change: ConfigurationChange,
@@ -71,13 +68,13 @@
   ): void;
   /** The current revision of the evacuations. */
   abstract get evacuationRevision(): number;
-  abstract evacuations(evacuations: Evacuations, source: string): void;
+  abstract evacuations(update: Evacuations, source: string): void;
   /** The current revision of the roll-outs. */
   abstract get rolloutRevision(): number;
-  abstract rollouts(rollouts: Rollouts, source: string): void;
+  abstract rollouts(update: Rollouts, source: string): void;
   /** The current revision of the quarantine. */
   abstract get quarantineRevision(): number;
-  abstract quarantine(quarantine: Quarantine, source: string): void;
+  abstract quarantine(update: Quarantine, source: string): void;
   abstract upstreams(records: readonly UpstreamRecord[], source: string): void;
   abstract boxes(records: readonly BoxRecord[], source: string): void;
 }
--- a/packages/puffinturn-fleet/src/__tests__/unit/FleetMachine.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/FleetMachine.test.ts
@@ -125,9 +125,13 @@
 
   test('reports the tokens written off for an earlier incarnation on the first exchange only', () => {
     const machine = machineWithBudget(1_000);
-    const call = (incarnation: string, sequence: number, asked: AllowanceAsk) =>
+    const call = (
+      incarnation: string,
+      sequence: number,
+      request: AllowanceAsk,
+    ) =>
       machine.apply({
-        asks: [asked],
+        asks: [request],
         box: 'e',
         holder: `e ${incarnation}`,
         kind: 'allowance',
@@ -159,8 +163,8 @@
   test('keeps a reserve of the budget that only needed tokens may use', () => {
     const machine = machineWithBudget(1_000);
     let held = 0;
-    for (let turn = 1; turn < 30; turn += 1) {
-      held += exchange(machine, `e${turn}`, 1, allowanceAsk({want: 500}));
+    for (let round = 1; round < 30; round += 1) {
+      held += exchange(machine, `e${round}`, 1, allowanceAsk({want: 500}));
     }
     expect(held).toBeLessThanOrEqual(450);
     expect(exchange(machine, 'late', 1, allowanceAsk({need: 300}))).toBe(300);
@@ -168,9 +172,9 @@
 
   test('lowers the holding limit when edges hold too much of the remaining budget', () => {
     const machine = machineWithBudget(1_000);
-    const mostHeld = (box: string, sequence: number, asked: AllowanceAsk) => {
+    const mostHeld = (box: string, sequence: number, request: AllowanceAsk) => {
       const outcome = machine.apply({
-        asks: [asked],
+        asks: [request],
         box,
         holder: `${box} 1`,
         kind: 'allowance',
@@ -195,8 +199,8 @@
       exchange(machine, 'e', 1, allowanceAsk({need: spent}));
       exchange(machine, 'e', 2, allowanceAsk({spent}));
       let held = 0;
-      for (let turn = 3; turn < 30; turn += 1) {
-        held += exchange(machine, 'e', turn, allowanceAsk({want: budget}));
+      for (let round = 3; round < 30; round += 1) {
+        held += exchange(machine, 'e', round, allowanceAsk({want: budget}));
       }
       return held / (budget - spent);
     };
@@ -211,9 +215,9 @@
   test('limits a holder to 1.5 times its share, except for needed tokens', () => {
     const machine = machineWithBudget(1_000);
     let held = 0;
-    for (let turn = 1; turn < 30; turn += 1) {
-      const asked = allowanceAsk({share: 1 / 8, want: 1_000});
-      held += exchange(machine, 'e', turn, asked);
+    for (let round = 1; round < 30; round += 1) {
+      const request = allowanceAsk({share: 1 / 8, want: 1_000});
+      held += exchange(machine, 'e', round, request);
     }
     expect(held).toBeLessThanOrEqual(450 * (1.5 / 8));
     const needed = allowanceAsk({need: 400, share: 1 / 8});
@@ -256,16 +260,22 @@
           const spentNow = Math.min(spend, balance - returned);
           spent += spentNow;
           sequence += 1;
-          const asked = allowanceAsk({
+          const request = allowanceAsk({
             back: returned,
             need,
             spent: spentNow,
             want,
           });
-          const granted = exchange(machine, box, sequence, asked, incarnation);
+          const granted = exchange(
+            machine,
+            box,
+            sequence,
+            request,
+            incarnation,
+          );
           const number = sequence;
           const repeatExchange = (): void => {
-            exchange(machine, box, number, asked, incarnation);
+            exchange(machine, box, number, request, incarnation);
           };
           exchanges.push(repeatExchange);
           if (isRepeated) {
--- a/packages/puffinturn-fleet/src/__tests__/unit/FleetSpread.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/FleetSpread.test.ts
@@ -494,7 +494,7 @@
     const {clock, network} = await startFleet();
     const link = network.connect('e1:1');
     const self = {box: 'e1:1', hall: 'z', incarnation: '1'};
-    const ask = async (
+    const sendWatch = async (
       box: string,
       fields: Partial<WatchRequest>,
     ): Promise<WatchReply> => {
@@ -510,16 +510,16 @@
         waitMs: 0,
         ...fields,
       };
-      const asked = link.call(box, FLEET_SERVICE.watch, request, 20_000);
-      const answer = await advanceUntilSettled(clock, Promise.resolve(asked));
-      invariant(answer.isOk(), 'the control box must reply');
-      return answer.value as WatchReply;
+      const call = link.call(box, FLEET_SERVICE.watch, request, 20_000);
+      const result = await advanceUntilSettled(clock, Promise.resolve(call));
+      invariant(result.isOk(), 'the control box must reply');
+      return result.value as WatchReply;
     };
-    const leader = (await ask('c1:1', {})).leader ?? '';
-    const {incarnation, upstreamsRevision} = await ask(leader, {});
+    const leader = (await sendWatch('c1:1', {})).leader ?? '';
+    const {incarnation, upstreamsRevision} = await sendWatch(leader, {});
     const before = clock.now();
     const upToDate = {incarnation, upstreamsRevision, waitMs: 3_000};
-    const reply = await ask(leader, {...upToDate, current: true});
+    const reply = await sendWatch(leader, {...upToDate, current: true});
     expect(reply.current).toBe(true);
     expect(clock.now() - before).toBeLessThan(500);
   });
@@ -539,7 +539,7 @@
     const stored = {configuration: configurationOf(7), document: 'seven'};
     await advanceUntilSettled(clock, control('c1:1').change(stored));
     await clock.advance(500);
-    const question: WatchRequest = {
+    const briefRequest: WatchRequest = {
       boxesRevision: -1,
       brief: true,
       configurationVersion: -Infinity,
@@ -551,21 +551,21 @@
       waitMs: 100,
     };
     const link = network.connect('e1:1');
-    const ask = async (asked: WatchRequest): Promise<WatchReply> => {
-      const answer = await advanceUntilSettled(
+    const sendWatch = async (request: WatchRequest): Promise<WatchReply> => {
+      const result = await advanceUntilSettled(
         clock,
-        Promise.resolve(link.call('c2:1', FLEET_SERVICE.watch, asked, 500)),
+        Promise.resolve(link.call('c2:1', FLEET_SERVICE.watch, request, 500)),
       );
-      invariant(answer.isOk(), 'the control box must reply');
-      return answer.value as WatchReply;
+      invariant(result.isOk(), 'the control box must reply');
+      return result.value as WatchReply;
     };
-    const short = await ask(question);
-    expect(short.configuration).toBeUndefined();
-    expect(short.boxes).toBeUndefined();
-    expect(short.heldVersion).toBe(7);
-    const whole = await ask({...question, brief: false});
-    expect(whole.configuration?.version).toBe(7);
-    expect(whole.boxes?.changed.length).toBeGreaterThan(0);
+    const briefReply = await sendWatch(briefRequest);
+    expect(briefReply.configuration).toBeUndefined();
+    expect(briefReply.boxes).toBeUndefined();
+    expect(briefReply.heldVersion).toBe(7);
+    const fullReply = await sendWatch({...briefRequest, brief: false});
+    expect(fullReply.configuration?.version).toBe(7);
+    expect(fullReply.boxes?.changed.length).toBeGreaterThan(0);
   });
 
   test('requests a version that the preferred control box lacks from the others', async () => {
@@ -578,9 +578,10 @@
     for (const [box, version] of versions) {
       const link = network.connect(box);
       link.register(FLEET_SERVICE.watch, async (body) => {
-        const asked = body as WatchRequest;
+        const request = body as WatchRequest;
         await clock.sleep(100);
-        const sends = !asked.brief && version > asked.configurationVersion;
+        const sendsConfiguration =
+          !request.brief && version > request.configurationVersion;
         const reply: WatchReply = {
           boxes: {
             changed: [
@@ -591,7 +592,9 @@
             gone: [],
           },
           boxesRevision: 1,
-          configuration: sends ? configurationOf(version) : undefined,
+          configuration: sendsConfiguration
+            ? configurationOf(version)
+            : undefined,
           configurationChange: undefined,
           current: true,
           evacuations: undefined,
