--- a/packages/puffinturn-fleet/src/FleetMessages.ts
+++ b/packages/puffinturn-fleet/src/FleetMessages.ts
@@ -128,7 +128,7 @@
   readonly asks: readonly AllowanceAsk[];
 }
 
-/** Reply to an AllowanceRequest; undefined grants mean that it failed and may be retried. */
+/** Reply to an exchange; undefined grants mean that it failed and may be retried. */
 export interface AllowanceReply {
   readonly grants: readonly AllowanceGrant[] | undefined;
 }
@@ -157,7 +157,7 @@
   readonly gather: boolean;
 }
 
-/** Outcomes of a BorrowRequest. */
+/** Outcomes of a loan request. */
 export const LOAN = {
   /** The lender lent what it could spare. */
   lent: 'lent',
@@ -169,7 +169,7 @@
   closing: 'closing',
 } as const;
 
-/** A value of LOAN. */
+/** Outcome of a loan request. */
 export type LoanOutcome = (typeof LOAN)[keyof typeof LOAN];
 
 /** Tokens that the lender has transferred. */
@@ -278,7 +278,7 @@
   readonly accepted: boolean;
 }
 
-/** Result of a ChangeRequest. */
+/** Result of a configuration change. */
 export interface ChangeReply {
   readonly accepted: boolean;
   /** The current version after the request. */
--- a/packages/puffinturn-fleet/src/FleetWatch.ts
+++ b/packages/puffinturn-fleet/src/FleetWatch.ts
@@ -7,7 +7,7 @@
 
 /**
  * Long-polls the control boxes for updates, with one task per control box. Control boxes
- * are discovered from the seeds and then from the replies. Only `askedAtOnce` of them are
+ * are discovered from the seeds and then from the replies. Only a limited number of them is
  * polled; the others are on standby until one of these is unreachable or knows no leader.
  * Unreachable ones are retried, and the state received from them stays valid.
  */
--- a/packages/puffinturn-fleet/src/WakeUp.ts
+++ b/packages/puffinturn-fleet/src/WakeUp.ts
@@ -9,7 +9,7 @@
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {Link} from 'puffinturn-wire';
 
-/** Dependencies of `wakeUp`. */
+/** Dependencies of the recovery. */
 export interface WakeUpParts {
   readonly link: Link;
   readonly log: DecisionLog;
