--- a/packages/puffinturn-fleet/src/AllowanceControl.ts
+++ b/packages/puffinturn-fleet/src/AllowanceControl.ts
@@ -5,7 +5,6 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Exchanges of allowances at a control box: at the leader, through the log. */
 import type {DecisionLog, TeamAmount} from 'puffinturn-decisions';
 import {largestTeams} from 'puffinturn-decisions';
 import type {Link} from 'puffinturn-wire';
@@ -18,7 +17,7 @@
 import {GrantTotals} from './GrantTotals';
 import type {LeaderCalls} from './LeaderCalls';
 
-/** What an AllowanceControl is made of. */
+/** Dependencies of an AllowanceControl. */
 export interface AllowanceControlParts {
   readonly clock: Clock;
   readonly leader: LeaderCalls;
@@ -27,7 +26,10 @@
   readonly machine: FleetMachine;
 }
 
-/** See the module comment. */
+/**
+ * Handles allowance requests of edges at a control box. Followers forward them to
+ * the leader, which commits each exchange to the replicated log.
+ */
 export class AllowanceControl implements AsyncDisposable {
   private readonly grantTotals: GrantTotals;
   private readonly handler: Disposable;
@@ -46,16 +48,16 @@
   }
 
   private exchange(request: AllowanceRequest): Promise<AllowanceReply> {
-    const without = {grants: undefined};
+    const unavailable = {grants: undefined};
     return this.parts.leader.atLeader(
       FLEET_SERVICE.allowance,
       request,
-      without,
-      () => this.exchangeHere(request),
+      unavailable,
+      () => this.exchangeAsLeader(request),
     );
   }
 
-  private async exchangeHere(
+  private async exchangeAsLeader(
     request: AllowanceRequest,
   ): Promise<AllowanceReply> {
     const outcome = await this.parts.leader.propose<AllowanceOutcome>({
@@ -64,18 +66,18 @@
     });
     return outcome.match(
       ({grants, writtenOff}) => {
-        this.noteWrittenOff(request.box, writtenOff ?? []);
-        this.grantTotals.count(request.asks.map(({team}) => team));
+        this.logWrittenOff(request.box, writtenOff ?? []);
+        this.grantTotals.recordTeams(request.asks.map(({team}) => team));
         return {grants};
       },
       () => ({grants: undefined}),
     );
   }
 
-  private noteWrittenOff(edge: string, all: readonly TeamAmount[]): void {
-    if (all.length > 0) {
-      const amount = all.reduce((sum, team) => sum + team.amount, 0);
-      const teams = largestTeams(all, (team) => team.amount);
+  private logWrittenOff(edge: string, amounts: readonly TeamAmount[]): void {
+    if (amounts.length > 0) {
+      const amount = amounts.reduce((sum, team) => sum + team.amount, 0);
+      const teams = largestTeams(amounts, (team) => team.amount);
       this.parts.log.note({amount, edge, event: 'tokens-written-off', teams});
     }
   }
--- a/packages/puffinturn-fleet/src/AllowanceLedger.ts
+++ b/packages/puffinturn-fleet/src/AllowanceLedger.ts
@@ -5,261 +5,279 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * How much of each team's prepaid budget was handed to edges. Tokens count as spent
- * from the moment they are granted; only a returned grant makes them free again.
- */
 import type {TeamAmount, TeamGrants} from 'puffinturn-decisions';
 
-/**
- * Lives of edges remembered, dead ones too; the ones unused for longest are
- * forgotten first.
- */
-const MAX_LIVES = 4_000;
+/** Maximum number of incarnations kept; the least recently used is evicted. */
+const MAX_INCARNATIONS = 4_000;
 
 /**
- * The part of a team's unspent tokens that all holders together may hold, for each
- * part of the budget that is unspent beyond SCARCE_PART, and its bounds. What is
- * held is lost as its holders die, and what is not held is missing in a cut. A
- * budget that is nearly used up serves no more callers for being held, as what a
- * cut refuses is served later. A request that needs more still gets it
- * (docs/design/shifted-work.md has the measurement).
+ * The held fraction is the part of a team's unspent tokens that all holders together
+ * may hold. It rises by this slope with the unspent part of the budget above
+ * SCARCE_FRACTION. Held tokens serve requests during a network partition, but are lost
+ * if the holder crashes. Requests that need more tokens still get them.
  */
-const PART_HELD_BY_UNSPENT = 1.2;
+const HELD_FRACTION_SLOPE = 1.2;
 
-/** Unspent part of a budget below which holding more serves nobody. */
-const SCARCE_PART = 0.2;
+/** Unspent fraction of a budget at which the held fraction is lowest. */
+const SCARCE_FRACTION = 0.2;
 
-/** Least part held of what is unspent: a cut finds some tokens. */
-const LEAST_PART_HELD = 0.02;
+/** Minimum held fraction, so that holders have tokens during a partition. */
+const MIN_HELD_FRACTION = 0.02;
 
-/** Most part held of what is unspent: the loss of all edges leaves as much again. */
-const MOST_PART_HELD = 0.45;
+/** Maximum held fraction, so that a crash of all edges loses less than half. */
+const MAX_HELD_FRACTION = 0.45;
 
 /**
- * A holder may hold this multiple of its edges' share of all edges, so that one
- * that serves a busy hall alone does not hold most tokens; holders lend.
+ * Maximum tokens of one holder, as a multiple of its fair share. Keeps the holder of
+ * a busy hall from taking most tokens; holders can borrow from each other.
  */
-const FAIR_SHARES_HELD = 1.5;
+const FAIR_SHARE_MULTIPLE = 1.5;
 
-/** The part of what may still be granted that one ask gets at most. */
-const PART_OF_ROOM = 1 / 2;
+/**
+ * One ask gets at most this fraction of the tokens that holders may still take, unless
+ * its waiting requests need more.
+ */
+const MAX_GRANT_FRACTION = 1 / 2;
 
-/** One team's part of an allowance exchange; tokens. */
+/** One team's part of an allowance exchange; amounts in tokens. */
 export interface AllowanceAsk {
   readonly team: string;
-  /** Tokens without which a waiting request can't run. */
+  /** Tokens that waiting requests need in order to run. */
   readonly need: number;
-  /** Tokens that would be held in all calm. */
+  /** Tokens requested in total, including a reserve beyond `need`. */
   readonly want: number;
-  /** Tokens handed back. */
+  /** Unused tokens returned. */
   readonly back: number;
   /**
-   * Tokens set aside for requests since the last exchange, less those that
-   * came back unspent: what a holder can't hand back counts as spent at once.
+   * Tokens reserved for requests since the last exchange, less those released
+   * unused. Reserved tokens count as spent.
    */
   readonly spent: number;
-  /** Tokens lent to (below 0: borrowed from) other edges since then. */
+  /** Net tokens lent to other edges since the last exchange; negative if borrowed. */
   readonly lent: number;
-  /** The part of all edges that this holder holds tokens for, from 0 to 1. */
+  /** Fraction of all edges that this holder serves, from 0 to 1. */
   readonly share: number;
 }
 
-/** Exchanges allowances with one holder. */
+/** Log record of an allowance exchange with one holder. */
 export interface AllowanceRecord {
   readonly kind: 'allowance';
-  /** The box of an edge. */
+  /** Address of the edge's box. */
   readonly box: string;
-  /** One life of that edge. */
+  /** Incarnation ID of that edge. */
   readonly holder: string;
-  /** Grows by 1; an exchange sent again under its number is done once. */
+  /** Increases by 1 per exchange; a retry with the same number is applied once. */
   readonly sequence: number;
   readonly asks: readonly AllowanceAsk[];
 }
 
-/** What one team got; tokens. */
+/** Tokens granted to a holder for one team. */
 export interface AllowanceGrant {
   readonly team: string;
   readonly granted: number;
-  /** Tokens that the core can still grant afterwards; below 0 if overdrawn. */
+  /** Tokens that can still be granted afterwards. */
   readonly left: number;
-  /** The most that this holder should hold, besides what requests have. */
+  /** Maximum tokens that this holder should hold, excluding reserved ones. */
   readonly mostHeld: number;
 }
 
-/** What applying an allowance exchange did. */
+/** Result of applying an AllowanceRecord. */
 export interface AllowanceOutcome {
   readonly kind: 'allowance';
   readonly grants: readonly AllowanceGrant[];
-  /** What a former life of the box held, where this is its next life's first. */
+  /** Tokens held by the previous incarnation of the box, if this one is new. */
   readonly writtenOff?: readonly TeamAmount[] | undefined;
 }
 
-/** One life of an edge. */
+/** State of one incarnation of an edge. */
 interface Holder {
   readonly box: string;
-  /** Of the last exchange, and what it brought. */
+  /** Sequence number of the last exchange. */
   readonly sequence: number;
+  /** Grants of the last exchange, repeated on a retry. */
   readonly grants: readonly AllowanceGrant[];
-  /** Tokens in its hands that no request has, by team. */
+  /** Tokens held and not reserved for requests, by team. */
   readonly held: Map<string, number>;
 }
 
-/** How snapshots of a former version tell of the newest life of each box. */
-interface FormerHolder extends Omit<Holder, 'box'> {
+/** Holder as stored by earlier software versions, which keyed it by box. */
+interface LegacyHolder extends Omit<Holder, 'box'> {
   readonly holder: string;
 }
 
-/** The part of a snapshot that tells of allowances. */
+/** Snapshot of the allowance ledger. */
 export interface AllowanceImage {
   readonly granted: readonly (readonly [string, number])[];
-  /** By box, in snapshots of a former version. */
-  readonly holders: readonly (readonly [string, FormerHolder])[];
-  /** By life; missing in snapshots of a former version. */
+  /** Holders by box; empty except in snapshots of earlier versions. */
+  readonly holders: readonly (readonly [string, LegacyHolder])[];
+  /** Holders by incarnation ID; missing in snapshots of earlier versions. */
   readonly lives?: readonly (readonly [string, Holder])[] | undefined;
 }
 
-/** See the module comment. */
+/**
+ * Tracks how many tokens of each team's prepaid budget were granted to edges. Tokens
+ * count as spent once granted and become available again only when they are returned.
+ */
 export class AllowanceLedger {
   private granted = new Map<string, number>();
-  /** Lives of edges that have exchanged allowances, the one used last at the end. */
-  private lives = new Map<string, Holder>();
-  /** The life of each box that was heard of last. */
-  private newest = new Map<string, string>();
+  /** Holders by incarnation ID, least recently used first. */
+  private holdersByIncarnation = new Map<string, Holder>();
+  /** Latest incarnation ID by box. */
+  private incarnationByBox = new Map<string, string>();
 
-  /** Is told how many tokens a team has paid for, as of the configuration in force. */
-  constructor(private readonly prepaidOf: (team: string) => number) {}
+  /** `prepaidTokensOf` returns a team's prepaid tokens in the active configuration. */
+  constructor(private readonly prepaidTokensOf: (team: string) => number) {}
 
-  /** Tokens of a team that are in the hands of edges or spent. */
+  /** Tokens of a team granted to edges and not returned, including spent ones. */
   grantedTo(team: string): number {
     return this.granted.get(team) ?? 0;
   }
 
-  /** The same with what there is in all, and what is in the hands of edges. */
+  /** Granted, held and prepaid tokens of a team. */
   grantsOf(team: string): TeamGrants {
     return {
       granted: this.grantedTo(team),
-      held: this.heldByAll(team),
-      prepaid: this.prepaidOf(team),
+      held: this.totalHeld(team),
+      prepaid: this.prepaidTokensOf(team),
       team,
     };
   }
 
-  /** Its part of a snapshot. */
+  /** Returns the ledger's state for a snapshot. */
   image(): AllowanceImage {
-    return {granted: [...this.granted], holders: [], lives: [...this.lives]};
+    return {
+      granted: [...this.granted],
+      holders: [],
+      lives: [...this.holdersByIncarnation],
+    };
   }
 
-  /** Takes over what a snapshot holds. */
+  /** Restores the ledger's state from a snapshot. */
   restore({granted, holders, lives}: AllowanceImage): void {
     this.granted = new Map(granted);
-    this.lives = new Map(lives ?? holders.map(lifeOfFormer));
-    this.newest = new Map(
-      [...this.lives].map(([life, {box}]) => [box, life] as const),
+    this.holdersByIncarnation = new Map(
+      lives ?? holders.map(migrateLegacyHolder),
+    );
+    this.incarnationByBox = new Map(
+      [...this.holdersByIncarnation].map(
+        ([incarnationId, {box}]) => [box, incarnationId] as const,
+      ),
     );
   }
 
-  /** Exchanges allowances with one holder. */
+  /** Applies an allowance exchange with one holder. */
   apply(record: AllowanceRecord): AllowanceOutcome {
     const {asks, box, holder, sequence} = record;
-    const known = this.lives.get(holder);
-    // Also for a life that is over: a copy of its last words may arrive later, and
-    // the tokens that they hand back would be counted, and granted, twice.
-    if (known !== undefined && sequence <= known.sequence) {
-      const grants = sequence === known.sequence ? known.grants : [];
+    const existing = this.holdersByIncarnation.get(holder);
+    // Drops duplicates, including late ones from an ended incarnation. Otherwise
+    // their returned tokens would be counted and granted twice.
+    if (existing !== undefined && sequence <= existing.sequence) {
+      const grants = sequence === existing.sequence ? existing.grants : [];
       return {grants, kind: 'allowance'};
     }
-    const writtenOff = this.endFormerLife(box, holder);
-    const held = known?.held ?? new Map<string, number>();
-    this.remember(holder, {box, grants: [], held, sequence});
+    const writtenOff = this.writeOffPreviousIncarnation(box, holder);
+    const held = existing?.held ?? new Map<string, number>();
+    this.storeHolder(holder, {box, grants: [], held, sequence});
     const grants = asks.map((ask) => this.grant(ask, held));
-    this.remember(holder, {box, grants, held, sequence});
+    this.storeHolder(holder, {box, grants, held, sequence});
     return {grants, kind: 'allowance', writtenOff};
   }
 
-  /** What another life of a box held can't be told from what it spent. */
-  private endFormerLife(box: string, life: string): TeamAmount[] | undefined {
-    const former = this.newest.get(box);
-    if (former === undefined || former === life) {
+  /** Writes off a previous incarnation's tokens: it may have spent any of them. */
+  private writeOffPreviousIncarnation(
+    box: string,
+    incarnationId: string,
+  ): TeamAmount[] | undefined {
+    const previousId = this.incarnationByBox.get(box);
+    if (previousId === undefined || previousId === incarnationId) {
       return undefined;
     }
-    const held = this.lives.get(former)?.held;
-    const writtenOff = amountsIn(held ?? new Map());
+    const held = this.holdersByIncarnation.get(previousId)?.held;
+    const writtenOff = positiveAmounts(held ?? new Map());
     held?.clear();
     return writtenOff;
   }
 
-  private remember(life: string, holder: Holder): void {
-    this.lives.delete(life);
-    this.lives.set(life, holder);
-    this.newest.set(holder.box, life);
-    const [oldest] = this.lives.keys();
-    if (this.lives.size > MAX_LIVES && oldest !== undefined) {
-      this.forget(oldest);
+  private storeHolder(incarnationId: string, holder: Holder): void {
+    this.holdersByIncarnation.delete(incarnationId);
+    this.holdersByIncarnation.set(incarnationId, holder);
+    this.incarnationByBox.set(holder.box, incarnationId);
+    const [oldest] = this.holdersByIncarnation.keys();
+    if (
+      this.holdersByIncarnation.size > MAX_INCARNATIONS &&
+      oldest !== undefined
+    ) {
+      this.removeHolder(oldest);
     }
   }
 
-  private forget(life: string): void {
-    const box = this.lives.get(life)?.box;
-    this.lives.delete(life);
-    if (box !== undefined && this.newest.get(box) === life) {
-      this.newest.delete(box);
+  private removeHolder(incarnationId: string): void {
+    const box = this.holdersByIncarnation.get(incarnationId)?.box;
+    this.holdersByIncarnation.delete(incarnationId);
+    if (box !== undefined && this.incarnationByBox.get(box) === incarnationId) {
+      this.incarnationByBox.delete(box);
     }
   }
 
   private grant(ask: AllowanceAsk, held: Map<string, number>): AllowanceGrant {
     const {back, lent, need, share, spent, team, want} = ask;
-    const former = held.get(team) ?? 0;
-    const kept = former - back - spent - lent;
-    held.set(team, kept);
-    const out = Math.max(0, this.grantedTo(team) - back);
-    const left = Math.max(0, this.prepaidOf(team) - out);
-    const heldByAll = this.heldByAll(team);
-    const most = this.mostHeldByAll(team, left + heldByAll);
-    const fair = most * Math.min(1, share * FAIR_SHARES_HELD);
-    const room = Math.max(0, most - heldByAll) * PART_OF_ROOM;
-    const calm = Math.min(want, Math.floor(Math.min(room, fair - kept)));
-    const granted = Math.min(left, Math.max(need, calm));
-    this.granted.set(team, out + granted);
-    const holds = kept + granted;
-    held.set(team, holds);
-    const excess = (heldByAll + granted) / Math.max(1, most);
-    const mostHeld =
-      excess > 1 ? Math.min(fair, Math.max(0, holds) / excess) : fair;
+    const previouslyHeld = held.get(team) ?? 0;
+    const remaining = previouslyHeld - back - spent - lent;
+    held.set(team, remaining);
+    const alreadyGranted = Math.max(0, this.grantedTo(team) - back);
+    const available = Math.max(0, this.prepaidTokensOf(team) - alreadyGranted);
+    const totalHeld = this.totalHeld(team);
+    const maxTotalHeld = this.maxTotalHeld(team, available + totalHeld);
+    const fairLimit = maxTotalHeld * Math.min(1, share * FAIR_SHARE_MULTIPLE);
+    const maxGrant = Math.max(0, maxTotalHeld - totalHeld) * MAX_GRANT_FRACTION;
+    const desired = Math.min(
+      want,
+      Math.floor(Math.min(maxGrant, fairLimit - remaining)),
+    );
+    const granted = Math.min(available, Math.max(need, desired));
+    this.granted.set(team, alreadyGranted + granted);
+    const heldAfter = remaining + granted;
+    held.set(team, heldAfter);
+    const heldRatio = (totalHeld + granted) / Math.max(1, maxTotalHeld);
+    const maxHeld =
+      heldRatio > 1
+        ? Math.min(fairLimit, Math.max(0, heldAfter) / heldRatio)
+        : fairLimit;
     return {
       granted,
-      left: left - granted,
-      mostHeld: Math.floor(mostHeld),
+      left: available - granted,
+      mostHeld: Math.floor(maxHeld),
       team,
     };
   }
 
-  private mostHeldByAll(team: string, unspent: number): number {
-    const part = unspent / Math.max(1, this.prepaidOf(team));
-    const steep = (part - SCARCE_PART) * PART_HELD_BY_UNSPENT;
-    const partHeld = Math.min(MOST_PART_HELD, steep);
-    return unspent * Math.max(LEAST_PART_HELD, partHeld);
+  private maxTotalHeld(team: string, unspent: number): number {
+    const unspentFraction = unspent / Math.max(1, this.prepaidTokensOf(team));
+    const scaledFraction =
+      (unspentFraction - SCARCE_FRACTION) * HELD_FRACTION_SLOPE;
+    const heldFraction = Math.min(MAX_HELD_FRACTION, scaledFraction);
+    return unspent * Math.max(MIN_HELD_FRACTION, heldFraction);
   }
 
-  private heldByAll(team: string): number {
+  private totalHeld(team: string): number {
     let sum = 0;
-    for (const life of this.newest.values()) {
-      sum += this.lives.get(life)?.held.get(team) ?? 0;
+    for (const incarnationId of this.incarnationByBox.values()) {
+      sum += this.holdersByIncarnation.get(incarnationId)?.held.get(team) ?? 0;
     }
     return Math.max(0, sum);
   }
 }
 
-function amountsIn(held: ReadonlyMap<string, number>): TeamAmount[] {
+function positiveAmounts(held: ReadonlyMap<string, number>): TeamAmount[] {
   return [...held]
     .map(([team, amount]) => ({amount, team}))
     .filter(({amount}) => amount > 0);
 }
 
-function lifeOfFormer([box, former]: readonly [
+function migrateLegacyHolder([box, legacy]: readonly [
   string,
-  FormerHolder,
+  LegacyHolder,
 ]): readonly [string, Holder] {
-  const {grants, held, holder, sequence} = former;
+  const {grants, held, holder, sequence} = legacy;
   return [holder, {box, grants, held, sequence}];
 }
--- a/packages/puffinturn-fleet/src/Configuration.ts
+++ b/packages/puffinturn-fleet/src/Configuration.ts
@@ -5,78 +5,73 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * The configuration of a fleet as one whole document: routes, services, limits
- * and teams under one version. The highest version that a quorum holds is
- * the one in force.
- */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 import type {Failure} from 'shared';
 
-/** How often a request of a route may run. */
+/** Whether requests of a route may be retried. */
 export const REPETITION = {
-  /** At most once. */
+  /** Never retried: a request runs at most once. */
   never: 'never',
-  /** Any number of times. */
+  /** Safe to retry from the start. */
   repeatable: 'repeatable',
-  /** Any number of times, each run going on behind the last event. */
+  /** Safe to retry; a retry resumes after the last event received. */
   resumable: 'resumable',
 } as const;
 
-/** One of REPETITION. */
+/** A value of REPETITION. */
 export type Repetition = (typeof REPETITION)[keyof typeof REPETITION];
 
-/** A service that a route sends to, and its share. */
+/** A service that a route sends requests to, with its weight. */
 export interface RouteTarget {
   readonly service: string;
   readonly weight: number;
 }
 
-/** Requests of one host whose path begins with a prefix. */
+/** Routing rule for requests by host and path prefix. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   readonly pathPrefix: string;
   readonly repetition: Repetition;
-  /** Whether answers are streams of events. */
+  /** Whether responses are event streams. */
   readonly streams: boolean;
-  /** Longest time a request is held, ms. */
+  /** Request timeout, ms. */
   readonly timeoutMs: number;
-  /** Time to the first byte that earns full credit, ms. */
+  /** Target time to the first byte of the response, ms. */
   readonly objectiveMs: number;
-  /** Rank; 0 is the most urgent. */
+  /** Priority; 0 is the highest. */
   readonly priority: number;
   readonly targets: readonly RouteTarget[];
-  /** Most upstreams that one request may be sent to. */
+  /** Maximum number of upstreams tried per request. */
   readonly maxAttempts: number;
-  /** Whether requests need no key. */
+  /** Whether requests are accepted without an API key. */
   readonly anonymous: boolean;
-  /** Regions that may serve and keep its requests; undefined for all. */
+  /** Regions that may serve and store its requests; undefined for all. */
   readonly allowedRegions?: readonly string[] | undefined;
 }
 
-/** What is known of a service's model engines. */
+/** Capacity of a service's model engines. */
 export interface EngineProfile {
   readonly slots: number;
   readonly memoryTokens: number;
   readonly tokensPerEvent: number;
   /**
-   * Time to copy the memory of one token from another engine, ms; undefined
-   * where engines do not copy.
+   * Time to copy the cached state of one token from another engine, ms; undefined
+   * if engines don't support copying.
    */
   readonly copyMsPerToken: number | undefined;
 }
 
-/** What an upstream of a service bears before it has warmed up. */
+/** Limits for upstreams of a service during warm-up. */
 export interface ColdStart {
-  /** How long it stays cold after a start, ms. */
+  /** Warm-up time after a start, ms. */
   readonly durationMs: number;
-  /** Requests a second that it bears meanwhile, from all boxes together. */
+  /** Maximum requests per second during warm-up, over all boxes together. */
   readonly requestsPerSecond: number;
 }
 
-/** What no two routes of a configuration share. */
+/** Returns the unique key of a route: its host and path prefix. */
 export function routePlace({host, pathPrefix}: Route): string {
   return `${host.toLowerCase()} ${pathPrefix}`;
 }
@@ -86,11 +81,11 @@
   readonly name: string;
   readonly maxConnections: number;
   readonly engine: EngineProfile | undefined;
-  /** Undefined where cold upstreams bear as much as warm ones. */
+  /** Undefined if upstreams need no warm-up. */
   readonly coldStart?: ColdStart | undefined;
 }
 
-/** What a caller may send, and how long it may take over it. */
+/** Size and time limits for callers' requests. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -103,33 +98,39 @@
   readonly name: string;
   readonly keys: readonly string[];
   readonly priority: number;
-  /** Tokens paid for; undefined where none are counted. */
+  /** Prepaid budget in tokens; undefined if usage isn't metered. */
   readonly prepaidTokens: number | undefined;
-  /** Regions that may serve and keep its requests; undefined for all. */
+  /** Regions that may serve and store its requests; undefined for all. */
   readonly allowedRegions?: readonly string[] | undefined;
 }
 
-/** One version of everything that operators declare. */
+/**
+ * One version of the whole configuration that operators declare. The highest version
+ * committed by a quorum is active.
+ */
 export interface FleetConfiguration {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
   readonly limits: CallerLimits;
-  /** Undefined where requests need no key. */
+  /** Undefined if requests need no API key. */
   readonly teams: readonly Team[] | undefined;
 }
 
-/** Why a configuration can't be in force. */
+/** Reason why a configuration is rejected. */
 export type ConfigurationFailure = Failure<'invalid-configuration'> & {
-  /** Where in the document, as `routes.3.timeoutMs`. */
+  /** Path in the document, such as `routes.3.timeoutMs`. */
   readonly path: string;
 };
 
-function invalid(path: string, message: string): ConfigurationFailure {
+function invalidConfiguration(
+  path: string,
+  message: string,
+): ConfigurationFailure {
   return {kind: 'invalid-configuration', message, path};
 }
 
-/** Checks what a schema can't: references, duplicates and shared keys. */
+/** Checks references, weights and duplicates, which a schema can't express. */
 export function checkConfiguration(
   configuration: FleetConfiguration,
 ): Result<FleetConfiguration, ConfigurationFailure> {
@@ -142,26 +143,40 @@
   routes,
   services,
 }: FleetConfiguration): ConfigurationFailure | undefined {
-  const names = new Set(services.map(({name}) => name));
-  const places = new Set<string>();
+  const serviceNames = new Set(services.map(({name}) => name));
+  const seenKeys = new Set<string>();
   for (const [index, route] of routes.entries()) {
     const path = `routes.${index}`;
-    const place = routePlace(route);
-    if (places.has(place)) {
-      return invalid(path, `a second route for ${place}`);
+    const key = routePlace(route);
+    if (seenKeys.has(key)) {
+      return invalidConfiguration(path, `duplicate route for ${key}`);
     }
-    places.add(place);
+    seenKeys.add(key);
     if (route.timeoutMs <= 0) {
-      return invalid(`${path}.timeoutMs`, 'must be above 0');
+      return invalidConfiguration(
+        `${path}.timeoutMs`,
+        'must be greater than 0',
+      );
     }
-    const unknown = route.targets.find(({service}) => !names.has(service));
-    if (unknown !== undefined) {
-      return invalid(path, `no service ${unknown.service}`);
+    const unknownTarget = route.targets.find(
+      ({service}) => !serviceNames.has(service),
+    );
+    if (unknownTarget !== undefined) {
+      return invalidConfiguration(
+        path,
+        `unknown service ${unknownTarget.service}`,
+      );
     }
-    const negative = route.targets.some(({weight}) => weight < 0);
-    const sum = route.targets.reduce((total, {weight}) => total + weight, 0);
-    if (negative || sum <= 0) {
-      return invalid(path, 'the weights must add up to more than 0');
+    const hasNegativeWeight = route.targets.some(({weight}) => weight < 0);
+    const totalWeight = route.targets.reduce(
+      (total, {weight}) => total + weight,
+      0,
+    );
+    if (hasNegativeWeight || totalWeight <= 0) {
+      return invalidConfiguration(
+        path,
+        'target weights must not be negative and their sum must be greater than 0',
+      );
     }
   }
   return undefined;
@@ -170,19 +185,22 @@
 function findTeamFailure({
   teams = [],
 }: FleetConfiguration): ConfigurationFailure | undefined {
-  const names = new Set<string>();
-  const owners = new Map<string, string>();
+  const seenNames = new Set<string>();
+  const ownersByKey = new Map<string, string>();
   for (const [index, {keys, name}] of teams.entries()) {
-    if (names.has(name)) {
-      return invalid(`teams.${index}`, `a second team ${name}`);
+    if (seenNames.has(name)) {
+      return invalidConfiguration(`teams.${index}`, `duplicate team ${name}`);
     }
-    names.add(name);
+    seenNames.add(name);
     for (const key of keys) {
-      const owner = owners.get(key);
+      const owner = ownersByKey.get(key);
       if (owner !== undefined && owner !== name) {
-        return invalid(`teams.${index}`, `${owner} has the same key`);
+        return invalidConfiguration(
+          `teams.${index}`,
+          `a key is already used by team ${owner}`,
+        );
       }
-      owners.set(key, name);
+      ownersByKey.set(key, name);
     }
   }
   return undefined;
--- a/packages/puffinturn-fleet/src/ConfigurationChange.ts
+++ b/packages/puffinturn-fleet/src/ConfigurationChange.ts
@@ -5,11 +5,6 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * What differs between two versions of a configuration. Most versions change a
- * route or a team out of hundreds, so boxes that hold the former version get
- * the difference and not the whole.
- */
 import type {
   CallerLimits,
   FleetConfiguration,
@@ -19,15 +14,19 @@
 } from './Configuration';
 import {routePlace} from './Configuration';
 
-/** Turns the configuration with the version `base` into the next one. */
+/**
+ * Difference between two versions of a configuration. It is sent instead of the whole
+ * configuration to boxes that have version `base`, because most versions change few
+ * routes or teams.
+ */
 export interface ConfigurationChange {
   readonly base: number;
   readonly version: number;
   /** Routes that were added or changed. */
   readonly routes: readonly Route[];
-  /** Places of routes that are gone, as `routePlace` gives them. */
+  /** Keys of removed routes, as returned by `routePlace`. */
   readonly removedRoutes: readonly string[];
-  /** Teams that were added or changed; undefined where no key is needed. */
+  /** Teams that were added or changed; undefined if requests need no API key. */
   readonly teams: readonly Team[] | undefined;
   readonly removedTeams: readonly string[];
   readonly services: readonly Service[];
@@ -43,13 +42,13 @@
   return name;
 }
 
-/** The change that leads from one configuration to another. */
+/** Computes the change from one configuration to another. */
 export function changeBetween(
   base: FleetConfiguration,
   next: FleetConfiguration,
 ): ConfigurationChange {
-  const routes = differenceOf(base.routes, next.routes, routePlace);
-  const teams = differenceOf(base.teams ?? [], next.teams ?? [], teamName);
+  const routes = diffItems(base.routes, next.routes, routePlace);
+  const teams = diffItems(base.teams ?? [], next.teams ?? [], teamName);
   return {
     base: base.version,
     limits: next.limits,
@@ -62,7 +61,7 @@
   };
 }
 
-/** The configuration that a change makes of its base. */
+/** Applies a change to its base configuration. */
 export function applyChange(
   base: FleetConfiguration,
   change: ConfigurationChange,
@@ -70,7 +69,7 @@
   const {limits, services, teams, version} = change;
   return {
     limits,
-    routes: merged(
+    routes: mergeItems(
       base.routes,
       change.routes,
       change.removedRoutes,
@@ -80,34 +79,34 @@
     teams:
       teams === undefined || teams === null
         ? undefined
-        : merged(base.teams ?? [], teams, change.removedTeams, teamName),
+        : mergeItems(base.teams ?? [], teams, change.removedTeams, teamName),
     version,
   };
 }
 
-function differenceOf<Item>(
-  former: readonly Item[],
+function diffItems<Item>(
+  previous: readonly Item[],
   next: readonly Item[],
   keyOf: (item: Item) => string,
 ): Difference<Item> {
-  const before = new Map(
-    former.map((item) => [keyOf(item), JSON.stringify(item)]),
+  const previousByKey = new Map(
+    previous.map((item) => [keyOf(item), JSON.stringify(item)]),
   );
   const changed = next.filter(
-    (item) => before.get(keyOf(item)) !== JSON.stringify(item),
+    (item) => previousByKey.get(keyOf(item)) !== JSON.stringify(item),
   );
-  const kept = new Set(next.map(keyOf));
-  const removed = [...before.keys()].filter((key) => !kept.has(key));
+  const nextKeys = new Set(next.map(keyOf));
+  const removed = [...previousByKey.keys()].filter((key) => !nextKeys.has(key));
   return {changed, removed};
 }
 
-function merged<Item>(
-  former: readonly Item[],
+function mergeItems<Item>(
+  previous: readonly Item[],
   changed: readonly Item[],
   removed: readonly string[],
   keyOf: (item: Item) => string,
 ): Item[] {
-  const items = new Map(former.map((item) => [keyOf(item), item]));
+  const items = new Map(previous.map((item) => [keyOf(item), item]));
   for (const key of removed) {
     items.delete(key);
   }
--- a/packages/puffinturn-fleet/src/ConfigurationHistory.ts
+++ b/packages/puffinturn-fleet/src/ConfigurationHistory.ts
@@ -5,48 +5,52 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * The configurations that were in force lately, so that a box which holds one
- * of them is sent the change since then.
- */
 import type {FleetConfiguration} from './Configuration';
 import type {ConfigurationChange} from './ConfigurationChange';
 import {changeBetween} from './ConfigurationChange';
 
-/** Former versions that are remembered. */
-const MAX_FORMER = 12;
+/** Maximum number of previous versions kept. */
+const MAX_PREVIOUS_VERSIONS = 12;
 
-/** See the module comment. */
+/**
+ * Keeps recent configurations, so that a box with one of them can be sent the change
+ * since then instead of the whole configuration.
+ */
 export class ConfigurationHistory {
-  private newest: FleetConfiguration | undefined;
-  private former: FleetConfiguration[] = [];
-  /** Changes to the newest version, by the version they start from. */
-  private readonly changes = new Map<number, ConfigurationChange>();
+  private latest: FleetConfiguration | undefined;
+  private previous: FleetConfiguration[] = [];
+  /** Changes to the latest version, by base version. */
+  private readonly cachedChanges = new Map<number, ConfigurationChange>();
 
-  /** Notes the configuration in force. */
+  /** Adds the active configuration. */
   add(configuration: FleetConfiguration): void {
-    if (this.newest === configuration) {
+    if (this.latest === configuration) {
       return;
     }
-    if (this.newest !== undefined) {
-      this.former = [this.newest, ...this.former].slice(0, MAX_FORMER);
+    if (this.latest !== undefined) {
+      this.previous = [this.latest, ...this.previous].slice(
+        0,
+        MAX_PREVIOUS_VERSIONS,
+      );
     }
-    this.newest = configuration;
-    this.changes.clear();
+    this.latest = configuration;
+    this.cachedChanges.clear();
   }
 
-  /** The change from a version to the newest; undefined if it is forgotten. */
+  /** Returns the change from a version to the latest, or undefined if unknown. */
   changeSince(version: number): ConfigurationChange | undefined {
-    const known = this.changes.get(version);
-    if (known !== undefined) {
-      return known;
+    const cached = this.cachedChanges.get(version);
+    if (cached !== undefined) {
+      return cached;
     }
-    const base = this.former.find((held) => held.version === version);
-    if (base === undefined || this.newest === undefined) {
+    const base = this.previous.find(
+      (candidate) => candidate.version === version,
+    );
+    if (base === undefined || this.latest === undefined) {
       return undefined;
     }
-    const change = changeBetween(base, this.newest);
-    this.changes.set(version, change);
+    const change = changeBetween(base, this.latest);
+    this.cachedChanges.set(version, change);
     return change;
   }
 }
--- a/packages/puffinturn-fleet/src/ConfigurationLag.ts
+++ b/packages/puffinturn-fleet/src/ConfigurationLag.ts
@@ -5,70 +5,70 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * How far one box is behind the configurations that control boxes have named. One
- * control box brings them; where it does not, the others are asked for them too.
- */
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {Clock} from 'shared';
 
 /**
- * How long a version that one control box holds may be on its way from another
- * one before it is asked for everywhere, ms; a change takes some 20 ms.
+ * Time after which a version announced by a control box counts as overdue, ms. An
+ * overdue version is requested from every control box.
  */
-export const OVERDUE_MS = 250;
+export const OVERDUE_AFTER_MS = 250;
 
-/** See the module comment. */
+/**
+ * Tracks how long this box has been missing a configuration version that a control box
+ * announced. Configurations normally come from a single control box; the others are
+ * asked when a version is overdue.
+ */
 export class ConfigurationLag {
-  private named = -Infinity;
-  /** Since when a named version has been lacking; undefined while none is. */
+  private latestAnnounced = -Infinity;
+  /** Time since when an announced version has been missing; undefined if none is. */
   private behindSince: number | undefined;
-  private notedVersion = -Infinity;
+  private lastLoggedVersion = -Infinity;
 
   constructor(
     private readonly clock: Clock,
     private readonly log: DecisionLog,
-    /** The version held, or -Infinity. */
-    private readonly held: () => number,
+    /** Returns the version that this box has, or -Infinity. */
+    private readonly heldVersion: () => number,
   ) {}
 
-  /** The highest version that is held or that some control box has named. */
+  /** Highest version that this box has or that a control box announced. */
   get namedVersion(): number {
-    return Math.max(this.named, this.held());
+    return Math.max(this.latestAnnounced, this.heldVersion());
   }
 
-  /** Time until a version that is lacking is overdue, ms; Infinity without one. */
+  /** Time until a missing version is overdue, ms; Infinity if none is missing. */
   get dueInMs(): number {
     return this.behindSince === undefined
       ? Infinity
-      : this.behindSince + OVERDUE_MS - this.clock.now();
+      : this.behindSince + OVERDUE_AFTER_MS - this.clock.now();
   }
 
-  /** Takes note of what a control box holds, after its news were put in force. */
+  /** Records the version of a control box, after its configuration was applied. */
   learn(version: number, source: string): void {
-    this.named = Math.max(this.named, version);
-    if (this.held() >= this.named) {
+    this.latestAnnounced = Math.max(this.latestAnnounced, version);
+    if (this.heldVersion() >= this.latestAnnounced) {
       this.behindSince = undefined;
       return;
     }
-    // A version named later must not start the time of the earlier one anew.
+    // A later version must not restart the timer of an earlier missing one.
     this.behindSince ??= this.clock.now();
-    this.noteOverdue(this.behindSince, source);
+    this.logIfOverdue(this.behindSince, source);
   }
 
-  /** Writes down, once for each version, that it has not come. */
-  private noteOverdue(since: number, source: string): void {
-    if (this.dueInMs > 0 || this.named <= this.notedVersion) {
+  /** Logs an overdue version, once per version. */
+  private logIfOverdue(since: number, source: string): void {
+    if (this.dueInMs > 0 || this.latestAnnounced <= this.lastLoggedVersion) {
       return;
     }
-    const held = this.held();
-    this.notedVersion = this.named;
+    const currentVersion = this.heldVersion();
+    this.lastLoggedVersion = this.latestAnnounced;
     this.log.note({
       behindMs: Math.round(this.clock.now() - since),
       event: 'configuration-overdue',
-      held: held === -Infinity ? undefined : held,
+      held: currentVersion === -Infinity ? undefined : currentVersion,
       source,
-      version: this.named,
+      version: this.latestAnnounced,
     });
   }
 }
--- a/packages/puffinturn-fleet/src/ConfigurationRegister.ts
+++ b/packages/puffinturn-fleet/src/ConfigurationRegister.ts
@@ -5,65 +5,65 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The configuration in force: the highest version that was ever put in force. */
 import type {FleetConfiguration} from './Configuration';
 
-/** A configuration together with the text that it was read from. */
+/** A configuration with the document that it was parsed from. */
 export interface StoredConfiguration {
   readonly configuration: FleetConfiguration;
-  /** The operator's document as it came. */
+  /** The operator's document, unchanged. */
   readonly document: string;
 }
 
-/** Puts a configuration in force unless a version as high is held. */
+/** Log record that activates a configuration if its version is higher. */
 export interface ConfigurationRecord {
   readonly kind: 'configuration';
   readonly stored: StoredConfiguration;
 }
 
-/** The same, compressed; what control boxes write today. */
+/** Log record like ConfigurationRecord with a compressed configuration. */
 export interface PackedConfigurationRecord {
   readonly kind: 'packed-configuration';
   readonly packed: Uint8Array;
 }
 
-/** What applying a configuration did. */
+/** Result of applying a configuration. */
 export interface ConfigurationOutcome {
   readonly kind: 'configuration';
   readonly adopted: boolean;
   readonly heldVersion: number;
 }
 
-/** See the module comment. */
+/** Holds the active configuration: the one with the highest version committed. */
 export class ConfigurationRegister {
-  private held: StoredConfiguration | undefined;
+  private currentConfiguration: StoredConfiguration | undefined;
 
-  /** Told after every configuration that came into force. */
+  /** `onChange` is called whenever another configuration becomes active. */
   constructor(private readonly onChange: () => void) {}
 
-  /** The configuration in force. */
+  /** The active configuration. */
   get stored(): StoredConfiguration | undefined {
-    return this.held;
+    return this.currentConfiguration;
   }
 
-  /** Puts a configuration in force unless a version as high is held. */
+  /** Activates a configuration if its version is higher than the current one. */
   apply(stored: StoredConfiguration): ConfigurationOutcome {
-    const heldVersion = this.held?.configuration.version ?? -Infinity;
+    const currentVersion =
+      this.currentConfiguration?.configuration.version ?? -Infinity;
     const {version} = stored.configuration;
-    const adopted = version > heldVersion;
+    const adopted = version > currentVersion;
     if (adopted) {
-      this.held = stored;
+      this.currentConfiguration = stored;
       this.onChange();
     }
     return {
       adopted,
-      heldVersion: Math.max(version, heldVersion),
+      heldVersion: Math.max(version, currentVersion),
       kind: 'configuration',
     };
   }
 
-  /** Takes over what a snapshot holds. */
+  /** Restores the configuration from a snapshot. */
   restore(stored: StoredConfiguration | undefined): void {
-    this.held = stored;
+    this.currentConfiguration = stored;
   }
 }
--- a/packages/puffinturn-fleet/src/EvacuationRegister.ts
+++ b/packages/puffinturn-fleet/src/EvacuationRegister.ts
@@ -5,48 +5,47 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The halls that are evacuated, as the records of the log leave them. */
 import type {Evacuations} from './Evacuations';
-import {evacuationsAfter, NO_EVACUATIONS} from './Evacuations';
+import {applyEvacuation, NO_EVACUATIONS} from './Evacuations';
 
-/** Evacuates a hall, or puts it in service again; one told twice is done once. */
+/** Log record that starts or ends the evacuation of a hall; idempotent. */
 export interface EvacuationRecord {
   readonly kind: 'evacuation';
   readonly hall: string;
   readonly evacuated: boolean;
 }
 
-/** What applying an evacuation did. */
+/** Result of applying an EvacuationRecord. */
 export interface EvacuationOutcome {
   readonly kind: 'evacuation';
   readonly evacuations: Evacuations;
 }
 
-/** See the module comment. */
+/** Replicated state of evacuated halls. */
 export class EvacuationRegister {
-  private evacuated = NO_EVACUATIONS;
+  private currentEvacuations = NO_EVACUATIONS;
 
-  /** Told after every change. */
+  /** `onChange` is called after every change. */
   constructor(private readonly onChange: () => void) {}
 
-  /** The halls that are evacuated. */
+  /** The evacuated halls. */
   get evacuations(): Evacuations {
-    return this.evacuated;
+    return this.currentEvacuations;
   }
 
-  /** Evacuates a hall, or ends that. */
+  /** Starts or ends the evacuation of a hall. */
   apply(record: EvacuationRecord): EvacuationOutcome {
     const {evacuated, hall} = record;
-    const after = evacuationsAfter(this.evacuated, hall, evacuated);
-    if (after !== this.evacuated) {
-      this.evacuated = after;
+    const updated = applyEvacuation(this.currentEvacuations, hall, evacuated);
+    if (updated !== this.currentEvacuations) {
+      this.currentEvacuations = updated;
       this.onChange();
     }
-    return {evacuations: this.evacuated, kind: 'evacuation'};
+    return {evacuations: this.currentEvacuations, kind: 'evacuation'};
   }
 
-  /** Takes over what a snapshot holds. */
+  /** Restores the evacuated halls from a snapshot. */
   restore(evacuations: Evacuations): void {
-    this.evacuated = evacuations;
+    this.currentEvacuations = evacuations;
   }
 }
--- a/packages/puffinturn-fleet/src/Evacuations.ts
+++ b/packages/puffinturn-fleet/src/Evacuations.ts
@@ -6,34 +6,32 @@
  */
 
 /**
- * Which data halls operators have evacuated: their upstreams get no new requests
- * until the evacuation is finished. The log holds the order of all changes, so
- * the one with the higher revision is the newer wherever it comes from.
+ * The data halls that operators have evacuated, at one revision. Upstreams in these
+ * halls get no new requests. Revisions follow the order of the replicated log, so the
+ * highest revision is the latest state.
  */
-
-/** All evacuated halls, as of one revision. */
 export interface Evacuations {
-  /** Grows by 1 with each change; 0 before the first one. */
+  /** Increases by 1 per change; 0 before the first change. */
   readonly revision: number;
   readonly halls: readonly string[];
 }
 
-/** No hall was ever evacuated. */
+/** State before the first evacuation. */
 export const NO_EVACUATIONS: Evacuations = {halls: [], revision: 0};
 
-/** The state after an order; `held` itself where the order changes nothing. */
-export function evacuationsAfter(
-  held: Evacuations,
+/** Starts or ends the evacuation of a hall; returns `current` if nothing changes. */
+export function applyEvacuation(
+  current: Evacuations,
   hall: string,
   evacuated: boolean,
 ): Evacuations {
-  const {halls, revision} = held;
+  const {halls, revision} = current;
   if (halls.includes(hall) === evacuated) {
-    return held;
+    return current;
   }
-  const others = halls.filter((other) => other !== hall);
+  const otherHalls = halls.filter((other) => other !== hall);
   return {
-    halls: evacuated ? [...others, hall] : others,
+    halls: evacuated ? [...otherHalls, hall] : otherHalls,
     revision: revision + 1,
   };
 }
--- a/packages/puffinturn-fleet/src/GrantTotals.ts
+++ b/packages/puffinturn-fleet/src/GrantTotals.ts
@@ -5,11 +5,6 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Totals of the core for its log, once a second while edges exchange allowances:
- * what is granted of each budget. With the edges' own totals they show whether more
- * tokens are about than the core has granted.
- */
 import type {DecisionLog} from 'puffinturn-decisions';
 import {largestTeams} from 'puffinturn-decisions';
 import type {Clock} from 'shared';
@@ -17,13 +12,16 @@
 
 import type {FleetMachine} from './FleetMachine';
 
-/** Time over which exchanges are gathered for one line, ms. */
-const TOTALS_EVERY_MS = 1_000;
+/** Time over which exchanges are aggregated into one log line, ms. */
+const LOG_INTERVAL_MS = 1_000;
 
-/** See the module comment. */
+/**
+ * Logs the tokens granted per team, once a second while edges exchange allowances.
+ * Compared with the totals that edges log, they reveal tokens that were never granted.
+ */
 export class GrantTotals implements AsyncDisposable {
   private readonly tasks = new TaskGroup();
-  private teams = new Set<string>();
+  private changedTeams = new Set<string>();
 
   constructor(
     private readonly clock: Clock,
@@ -31,13 +29,13 @@
     private readonly machine: FleetMachine,
   ) {}
 
-  /** Takes note of teams whose tokens have moved. */
-  count(teams: readonly string[]): void {
-    if (this.teams.size === 0 && teams.length > 0) {
-      this.tasks.start((signal) => this.writeLater(signal));
+  /** Includes teams in the next log line after an allowance exchange. */
+  recordTeams(teams: readonly string[]): void {
+    if (this.changedTeams.size === 0 && teams.length > 0) {
+      this.tasks.start((signal) => this.logAfterInterval(signal));
     }
     for (const team of teams) {
-      this.teams.add(team);
+      this.changedTeams.add(team);
     }
   }
 
@@ -45,11 +43,13 @@
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  private async writeLater(signal: AbortSignal): Promise<void> {
-    await this.clock.sleep(TOTALS_EVERY_MS, signal);
-    const all = [...this.teams].map((team) => this.machine.grantsOf(team));
-    this.teams = new Set();
-    const teams = largestTeams(all, ({granted}) => granted);
+  private async logAfterInterval(signal: AbortSignal): Promise<void> {
+    await this.clock.sleep(LOG_INTERVAL_MS, signal);
+    const grants = [...this.changedTeams].map((team) =>
+      this.machine.grantsOf(team),
+    );
+    this.changedTeams = new Set();
+    const teams = largestTeams(grants, ({granted}) => granted);
     this.log.note({event: 'grants-counted', teams});
   }
 }
--- a/packages/puffinturn-fleet/src/PackedConfiguration.ts
+++ b/packages/puffinturn-fleet/src/PackedConfiguration.ts
@@ -6,9 +6,8 @@
  */
 
 /**
- * Configurations as control boxes send and keep them: compressed, since one of
- * a thousand routes takes some hundred kilobytes as text and again as a model,
- * and crosses to every other control box.
+ * Compression of configurations for the replicated log. A configuration with a thousand
+ * routes takes hundreds of kilobytes uncompressed.
  */
 import {deflateRawSync, inflateRawSync} from 'node:zlib';
 
@@ -19,12 +18,12 @@
 const encoder = new Encoder({useRecords: false});
 const decoder = new Decoder({useRecords: false});
 
-/** Compresses a configuration with its document. */
+/** Encodes and compresses a configuration with its document. */
 export function packConfiguration(stored: StoredConfiguration): Uint8Array {
   return deflateRawSync(encoder.encode(stored));
 }
 
-/** The configuration that `packConfiguration` was given. */
+/** Decompresses and decodes the output of `packConfiguration`. */
 export function unpackConfiguration(packed: Uint8Array): StoredConfiguration {
   const bytes = inflateRawSync(packed);
   return decoder.decode(bytes) as StoredConfiguration;
--- a/packages/puffinturn-fleet/src/QuarantineControl.ts
+++ b/packages/puffinturn-fleet/src/QuarantineControl.ts
@@ -5,10 +5,6 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Reports of crashes at a control box: at the leader, through the log. While this box
- * leads it also sees that a quarantine ends when its time is over.
- */
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {Replica} from 'puffinturn-log';
 import {NO_REPORT} from 'puffinturn-quarantine';
@@ -21,13 +17,13 @@
 import {FLEET_SERVICE} from './FleetMessages';
 import type {LeaderCalls} from './LeaderCalls';
 
-/** How often to look whether the time of a quarantined request is over, ms. */
-const LOOK_MS = 60_000;
+/** Interval between checks for expired quarantines, ms. */
+const EXPIRY_CHECK_INTERVAL_MS = 60_000;
 
-/** Lives named in one line of the log; the count tells of the others. */
-const LOGGED_AT_MOST = 16;
+/** Maximum number of crashed incarnations listed in one log line. */
+const MAX_LOGGED_CRASHES = 16;
 
-/** What a QuarantineControl is made of. */
+/** Dependencies of a QuarantineControl. */
 export interface QuarantineControlParts {
   readonly clock: Clock;
   readonly leader: LeaderCalls;
@@ -38,16 +34,19 @@
   readonly replica: Replica;
 }
 
-/** See the module comment. */
+/**
+ * Handles crash reports of edges at a control box. Followers forward them to the
+ * leader, which commits them to the replicated log and ends expired quarantines.
+ */
 export class QuarantineControl implements AsyncDisposable {
   private readonly tasks = new TaskGroup();
   private readonly handler: Disposable;
 
   constructor(private readonly parts: QuarantineControlParts) {
     this.handler = parts.link.register(FLEET_SERVICE.reportCrashes, (body) =>
-      this.take(body as CrashRequest),
+      this.reportCrashes(body as CrashRequest),
     );
-    this.tasks.start((signal) => this.endQuarantines(signal));
+    this.tasks.start((signal) => this.expireQuarantines(signal));
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -55,26 +54,29 @@
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  private take(request: CrashRequest): Promise<CrashReply> {
+  private reportCrashes(request: CrashRequest): Promise<CrashReply> {
     return this.parts.leader.atLeader(
       FLEET_SERVICE.reportCrashes,
       request,
       {taken: false},
-      () => this.takeHere(request),
+      () => this.recordAsLeader(request),
     );
   }
 
-  private async endQuarantines(signal: AbortSignal): Promise<void> {
+  private async expireQuarantines(signal: AbortSignal): Promise<void> {
     const {clock, machine, replica, self} = this.parts;
     while (!signal.aborted) {
-      await clock.sleep(LOOK_MS, signal);
+      await clock.sleep(EXPIRY_CHECK_INTERVAL_MS, signal);
       if (replica.isLeader && machine.isQuarantineOver(clock.wallTime())) {
-        await this.takeHere({box: self.box, report: NO_REPORT});
+        await this.recordAsLeader({box: self.box, report: NO_REPORT});
       }
     }
   }
 
-  private async takeHere({box, report}: CrashRequest): Promise<CrashReply> {
+  private async recordAsLeader({
+    box,
+    report,
+  }: CrashRequest): Promise<CrashReply> {
     const {clock, leader, log} = this.parts;
     const outcome = await leader.propose<CrashReportOutcome>({
       at: clock.wallTime(),
@@ -84,7 +86,9 @@
     log.note({
       answered: report.answered.length,
       count: report.crashes.length,
-      crashes: report.crashes.slice(0, LOGGED_AT_MOST).map(({life}) => life),
+      crashes: report.crashes
+        .slice(0, MAX_LOGGED_CRASHES)
+        .map(({life}) => life),
       edge: box,
       event: 'crashes-reported',
       outcome: outcome.isOk() ? 'accepted' : outcome.error.kind,
--- a/packages/puffinturn-fleet/src/Regions.ts
+++ b/packages/puffinturn-fleet/src/Regions.ts
@@ -6,48 +6,46 @@
  */
 
 /**
- * Regions: a level above data halls. Links between halls of one region are short
- * and wide, those between regions long and narrow.
+ * Maps data halls to regions. Links between regions have higher latency and less
+ * bandwidth than links within one.
  */
-
-/** Which region each hall is in. */
 export class Regions {
-  private byHall: ReadonlyMap<string, string> = new Map();
-  private severalKnown = false;
+  private regionByHall: ReadonlyMap<string, string> = new Map();
+  private isMultiRegion = false;
 
-  /** `byHall` maps halls to regions; a hall that it lacks is a region of its own. */
+  /** `byHall` maps halls to regions; an unlisted hall is a region of its own. */
   constructor(byHall: Readonly<Record<string, string>> = {}) {
     this.learn(byHall);
   }
 
-  /** Takes over which region each hall is in, in place of what was known. */
+  /** Replaces the mapping of halls to regions. */
   learn(byHall: Readonly<Record<string, string>>): void {
-    this.byHall = new Map(Object.entries(byHall));
-    this.severalKnown = new Set(this.byHall.values()).size > 1;
+    this.regionByHall = new Map(Object.entries(byHall));
+    this.isMultiRegion = new Set(this.regionByHall.values()).size > 1;
   }
 
-  /** Whether there is more than one region; else all halls are together. */
+  /** Whether there is more than one region. */
   get several(): boolean {
-    return this.severalKnown;
+    return this.isMultiRegion;
   }
 
-  /** The region of a hall. */
+  /** Returns the region of a hall. */
   regionOf(hall: string): string {
-    return this.byHall.get(hall) ?? hall;
+    return this.regionByHall.get(hall) ?? hall;
   }
 
-  /** Whether two halls are in one region. */
+  /** Whether two halls are in the same region; always true with a single region. */
   areTogether(hall: string, other: string): boolean {
-    return !this.severalKnown || this.regionOf(hall) === this.regionOf(other);
+    return !this.isMultiRegion || this.regionOf(hall) === this.regionOf(other);
   }
 
-  /** Whether a hall is in one of the regions; no list allows every hall. */
+  /** Whether a hall is in one of the allowed regions; undefined allows every hall. */
   allows(allowed: readonly string[] | undefined, hall: string): boolean {
     return allowed === undefined || allowed.includes(this.regionOf(hall));
   }
 }
 
-/** The regions in both lists; no list names all regions. */
+/** Returns the regions in both lists; undefined stands for all regions. */
 export function regionsInBoth(
   first: readonly string[] | undefined,
   second: readonly string[] | undefined,
--- a/packages/puffinturn-fleet/src/ServiceUpstreams.ts
+++ b/packages/puffinturn-fleet/src/ServiceUpstreams.ts
@@ -5,19 +5,18 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** What the registrations of upstreams tell about the versions of a service. */
 import type {UpstreamRecord} from './Upstreams';
 import {UPSTREAM_STATE} from './Upstreams';
 
-/** The version of upstreams that name none. */
+/** Version of upstreams that report none. */
 export const UNNAMED_VERSION = '';
 
-/** The version of an upstream. */
+/** Returns the software version of an upstream. */
 export function versionOf({version}: UpstreamRecord): string {
   return version ?? UNNAMED_VERSION;
 }
 
-/** Slots of the ready upstreams of one version of a service. */
+/** Returns the total slots of a service's ready upstreams with a given version. */
 export function slotsOf(
   records: readonly UpstreamRecord[],
   service: string,
@@ -29,17 +28,17 @@
 }
 
 /**
- * The version that most ready upstreams of a service have, the one heard of first
- * among equals; undefined where none is ready. `except` counts only where there is no
- * other one.
+ * Returns the most common version among the ready upstreams of a service, or undefined
+ * if none is ready. Ties go to the version found first. `excludedVersion` is returned
+ * only if there is no other version.
  */
 export function prevalentVersion(
   records: readonly UpstreamRecord[],
   service: string,
-  except?: string,
+  excludedVersion?: string,
 ): string | undefined {
   const versions = readyOf(records, service).map(versionOf);
-  const others = versions.filter((version) => version !== except);
+  const others = versions.filter((version) => version !== excludedVersion);
   return mostFrequent(others) ?? mostFrequent(versions);
 }
 
@@ -48,20 +47,21 @@
   for (const version of versions) {
     counts.set(version, (counts.get(version) ?? 0) + 1);
   }
-  const most = Math.max(...counts.values());
-  return [...counts.keys()].find((version) => counts.get(version) === most);
+  const maxCount = Math.max(...counts.values());
+  return [...counts.keys()].find((version) => counts.get(version) === maxCount);
 }
 
 /**
- * The ready upstreams of a service; of several at one address, of which all but one
- * have crashed, the one heard of last.
+ * Returns the ready upstreams of a service. Of several records with one address it
+ * returns the last, as the others belong to crashed processes.
  */
 export function readyOf(
   records: readonly UpstreamRecord[],
-  wanted: string,
+  serviceName: string,
 ): UpstreamRecord[] {
   const ready = records.filter(
-    ({service, state}) => service === wanted && state === UPSTREAM_STATE.ready,
+    ({service, state}) =>
+      service === serviceName && state === UPSTREAM_STATE.ready,
   );
   return [...new Map(ready.map((record) => [record.address, record])).values()];
 }
--- a/packages/puffinturn-fleet/src/UpstreamRefusals.ts
+++ b/packages/puffinturn-fleet/src/UpstreamRefusals.ts
@@ -5,65 +5,67 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Heartbeats and leave calls that were refused as unusable, for the log: one line a
- * second at most, however many come.
- */
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {Clock} from 'shared';
 import {TaskGroup} from 'shared';
 
-/** Time over which refusals are gathered for one line, ms. */
-const TOTALS_EVERY_MS = 1_000;
+/** Time over which refusals are aggregated into one log line, ms. */
+const LOG_INTERVAL_MS = 1_000;
 
-/** Causes that a line tells apart; any other one is `other`. */
+/** Maximum number of distinct causes per log line; the rest count as `other`. */
 const MAX_CAUSES = 12;
 
-/** The cause of refusals beyond those. */
-const OTHER = 'other';
+const OTHER_CAUSE = 'other';
 
-/** Characters of an id that a line shows; a caller may send any. */
-const SHOWN_CHARACTERS = 64;
+/** Maximum length of a logged upstream ID; callers can send IDs of any length. */
+const MAX_LOGGED_ID_LENGTH = 64;
 
-/** See the module comment. */
+/** Logs refused heartbeats and leave calls, at most one line per second. */
 export class UpstreamRefusals implements AsyncDisposable {
   private readonly tasks = new TaskGroup();
-  private causes = new Map<string, number>();
-  private newest = '';
-  private sinceStart = 0;
+  private countsByCause = new Map<string, number>();
+  private latestUpstream = '';
+  private totalCount = 0;
 
   constructor(
     private readonly clock: Clock,
     private readonly log: DecisionLog,
   ) {}
 
-  /** How many words were refused since the start of the process. */
+  /** Number of calls refused since the process started. */
   get total(): number {
-    return this.sinceStart;
+    return this.totalCount;
   }
 
-  /** Counts one; the first one after a pause starts the next second. */
+  /** Counts a refused call and schedules a log line unless one is scheduled. */
   count(upstream: string, cause: string): void {
-    if (this.causes.size === 0) {
-      this.tasks.start((signal) => this.writeLater(signal));
+    if (this.countsByCause.size === 0) {
+      this.tasks.start((signal) => this.logAfterInterval(signal));
     }
-    const isNamed = this.causes.has(cause) || this.causes.size < MAX_CAUSES;
-    const named = isNamed ? cause : OTHER;
-    this.causes.set(named, (this.causes.get(named) ?? 0) + 1);
-    this.newest = upstream.slice(0, SHOWN_CHARACTERS);
-    this.sinceStart += 1;
+    const isListed =
+      this.countsByCause.has(cause) || this.countsByCause.size < MAX_CAUSES;
+    const listedCause = isListed ? cause : OTHER_CAUSE;
+    this.countsByCause.set(
+      listedCause,
+      (this.countsByCause.get(listedCause) ?? 0) + 1,
+    );
+    this.latestUpstream = upstream.slice(0, MAX_LOGGED_ID_LENGTH);
+    this.totalCount += 1;
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  private async writeLater(signal: AbortSignal): Promise<void> {
-    await this.clock.sleep(TOTALS_EVERY_MS, signal);
-    const {newest, total} = this;
-    const causes = [...this.causes].map(([cause, count]) => ({cause, count}));
-    this.causes = new Map();
+  private async logAfterInterval(signal: AbortSignal): Promise<void> {
+    await this.clock.sleep(LOG_INTERVAL_MS, signal);
+    const {latestUpstream, total} = this;
+    const causes = [...this.countsByCause].map(([cause, count]) => ({
+      cause,
+      count,
+    }));
+    this.countsByCause = new Map();
     const event = 'upstreams-refused';
-    this.log.note({causes, event, total, upstream: newest});
+    this.log.note({causes, event, total, upstream: latestUpstream});
   }
 }
--- a/packages/puffinturn-fleet/src/Upstreams.ts
+++ b/packages/puffinturn-fleet/src/Upstreams.ts
@@ -5,54 +5,47 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * The upstreams of all services as soft state. Every control box takes
- * heartbeats and passes on what changed. An upstream may start again under its
- * id: records of a later life replace those of a former one, whatever these say.
- * Records of one life are ordered by their sequence, and a life that is gone
- * never comes back. What a life said of its limit in answers has an order of its own.
- */
 import type {UpstreamLimit} from 'puffinturn-permits';
 import {isLaterLimit, NO_LIMIT} from 'puffinturn-permits';
 
-/** What an upstream said of itself last. */
+/** States that an upstream can report. */
 export const UPSTREAM_STATE = {
   draining: 'draining',
   gone: 'gone',
   ready: 'ready',
 } as const;
 
-/** One of UPSTREAM_STATE. */
+/** A value of UPSTREAM_STATE. */
 export type UpstreamState =
   (typeof UPSTREAM_STATE)[keyof typeof UPSTREAM_STATE];
 
-/** What one life of an upstream said of itself. */
+/** Registration of one incarnation of an upstream. */
 export interface UpstreamRecord {
   readonly id: string;
   readonly service: string;
   /** IP address and port. */
   readonly address: string;
   readonly hall: string;
-  /** The version of its software; undefined where it names none. */
+  /** Software version; undefined if the upstream reports none. */
   readonly version?: string | undefined;
-  /** When this life began by its own time of day, Unix ms; undefined where untold. */
+  /** Start time by the upstream's clock, Unix ms; undefined if not reported. */
   readonly bornAt?: number | undefined;
   readonly slots: number;
   readonly state: UpstreamState;
-  /** How much longer the upstream bears only few requests, ms; 0 when warm. */
+  /** Remaining warm-up time, ms; 0 once warm. */
   readonly coldMs: number;
-  /** Grows with every call of one life of the upstream. */
+  /** Increases with every call of this incarnation. */
   readonly sequence: number;
-  /** What it said in answers of how many requests it takes; missing where it didn't. */
+  /** Request limit reported in responses; undefined if none was reported. */
   readonly limit?: UpstreamLimit | undefined;
 }
 
-/** The part of a record that tells lives of one id apart. */
+/** The part of a record that distinguishes incarnations of one upstream. */
 export type UpstreamLife = Pick<UpstreamRecord, 'bornAt'>;
 
 /**
- * Orders lives of one id: positive where the first one is the later. A life that
- * names no start is older than any that does.
+ * Compares incarnations of one upstream; positive if `a` started later. An incarnation
+ * without a start time is older than any with one.
  */
 export function compareLives(a: UpstreamLife, b: UpstreamLife): number {
   const first = a.bornAt ?? -Infinity;
@@ -60,31 +53,31 @@
   return first === second ? 0 : first - second;
 }
 
-interface Slot {
+interface Entry {
   record: UpstreamRecord;
   revision: number;
-  heardAt: number;
-  /** When others were told last. */
-  toldAt: number;
-  /** The latest end of its cold time that any record named. */
+  lastSeenAt: number;
+  /** Time of the last publication to other boxes. */
+  publishedAt: number;
+  /** Latest end of the warm-up in any record of this incarnation. */
   coldUntil: number;
 }
 
-/** Upstreams not heard from for this long are forgotten, ms. */
-const FORGET_AFTER_MS = 60_000;
+/** Time without a new record after which an upstream is removed, ms. */
+const EXPIRY_MS = 60_000;
 
 /**
- * A record is told again after this time though nothing in it has changed, ms. An
- * upstream may call only one control box for as long as that answers, and the others
- * would take it for silent; two messages lost in a row are made good by a third.
+ * Interval at which an unchanged record is published again, ms. An upstream may send
+ * heartbeats to a single control box, and the others would otherwise expire it. Short
+ * enough for three publications before EXPIRY_MS, so that two may be lost.
  */
-const TELL_AGAIN_MS = 18_000;
+const REPUBLISH_INTERVAL_MS = 18_000;
 
-/** Others are told of a cold time that ends later than known by this much, ms. */
-const COLD_NEWS_MS = 250;
+/** Minimum delay of a warm-up end for it to be published again, ms. */
+const COLD_END_TOLERANCE_MS = 250;
 
-/** What is told of a life that left before anything else was heard of it. */
-const NOTHING_KNOWN = {
+/** Record fields of an incarnation that left before its first heartbeat. */
+const UNKNOWN_UPSTREAM = {
   address: '',
   hall: '',
   sequence: 0,
@@ -92,163 +85,177 @@
   slots: 0,
 } as const;
 
-/** All upstreams known to one process, with a revision for each change. */
+/**
+ * The upstreams of all services as soft state, with a revision for each change. A later
+ * incarnation replaces an earlier one. Records of one incarnation are ordered by
+ * `sequence`, and `gone` is final. Limits are ordered by their own revision.
+ */
 export class UpstreamTable {
-  private readonly slots = new Map<string, Slot>();
-  private current = 0;
+  private readonly entries = new Map<string, Entry>();
+  private latestRevision = 0;
 
-  /** The revision of the newest change. */
+  /** Revision of the latest change. */
   get revision(): number {
-    return this.current;
+    return this.latestRevision;
   }
 
-  /** Every record. */
+  /** Returns all records. */
   records(): UpstreamRecord[] {
-    return [...this.slots.values()].map(({record}) => record);
+    return [...this.entries.values()].map(({record}) => record);
   }
 
-  /** What is known of an id: the newest word of its newest life. */
+  /** Returns the latest record of the latest incarnation of an upstream. */
   get(id: string): UpstreamRecord | undefined {
-    return this.slots.get(id)?.record;
+    return this.entries.get(id)?.record;
   }
 
-  /** When an upstream has warmed up, by the clock that records came with. */
+  /** Returns when an upstream's warm-up ends, on the clock passed to `merge`. */
   coldUntil(id: string): number {
-    return this.slots.get(id)?.coldUntil ?? -Infinity;
+    return this.entries.get(id)?.coldUntil ?? -Infinity;
   }
 
-  /** Records that changed after a revision. */
+  /** Returns the records published after a revision. */
   changedSince(revision: number): UpstreamRecord[] {
     const changed: UpstreamRecord[] = [];
-    for (const slot of this.slots.values()) {
-      if (slot.revision > revision) {
-        changed.push(slot.record);
+    for (const entry of this.entries.values()) {
+      if (entry.revision > revision) {
+        changed.push(entry.record);
       }
     }
     return changed;
   }
 
-  /** Takes a record in; true when it changed what others must know. */
+  /** Merges a received record; returns true if other boxes need to know the change. */
   merge(record: UpstreamRecord, now: number): boolean {
-    const known = this.slots.get(record.id);
-    if (known === undefined) {
-      this.keep(record, now);
+    const entry = this.entries.get(record.id);
+    if (entry === undefined) {
+      this.storeEntry(record, now);
       return true;
     }
-    const {record: held} = known;
-    const life = compareLives(record, held);
-    if (life > 0) {
-      // A new life: nothing of the former one holds, its cold time included.
-      this.keep(record, now);
+    const {record: current} = entry;
+    const order = compareLives(record, current);
+    if (order > 0) {
+      // A new incarnation replaces the whole entry, including its warm-up end.
+      this.storeEntry(record, now);
       return true;
     }
-    if (life === 0) {
-      this.takeLimit(known, record.limit ?? NO_LIMIT, now);
+    if (order === 0) {
+      this.applyLimit(entry, record.limit ?? NO_LIMIT, now);
     }
-    const gone = held.state === UPSTREAM_STATE.gone;
-    const goes = record.state === UPSTREAM_STATE.gone;
-    const isLate = record.sequence <= held.sequence && !goes;
-    if (life < 0 || gone || isLate) {
-      this.tellAgain(known, record, now);
+    const isGone = current.state === UPSTREAM_STATE.gone;
+    const isLeaving = record.state === UPSTREAM_STATE.gone;
+    const isStale = record.sequence <= current.sequence && !isLeaving;
+    if (order < 0 || isGone || isStale) {
+      this.republishOverStale(entry, record, now);
       return false;
     }
-    known.heardAt = now;
-    const {limit} = known.record;
-    known.record = limit === undefined ? record : {...record, limit};
+    entry.lastSeenAt = now;
+    const {limit} = entry.record;
+    entry.record = limit === undefined ? record : {...record, limit};
     const coldUntil = coldUntilOf(record, now);
-    const changed =
-      differs(record, held) || coldUntil > known.coldUntil + COLD_NEWS_MS;
-    known.coldUntil = Math.max(known.coldUntil, coldUntil);
-    if (changed || now - known.toldAt > TELL_AGAIN_MS) {
-      this.tell(known, now);
+    const isChanged =
+      hasPublishedChange(record, current) ||
+      coldUntil > entry.coldUntil + COLD_END_TOLERANCE_MS;
+    entry.coldUntil = Math.max(entry.coldUntil, coldUntil);
+    if (isChanged || now - entry.publishedAt > REPUBLISH_INTERVAL_MS) {
+      this.publish(entry, now);
     }
-    return changed;
+    return isChanged;
   }
 
-  /** Takes in what a life said of its limit; true when it changed what others must know. */
+  /** Records an incarnation's request limit; returns true if the limit changed. */
   hearLimit(
     {bornAt, id}: UpstreamLife & Pick<UpstreamRecord, 'id'>,
     limit: UpstreamLimit,
     now: number,
   ): boolean {
-    const known = this.slots.get(id);
+    const entry = this.entries.get(id);
     return (
-      known !== undefined &&
-      compareLives({bornAt}, known.record) === 0 &&
-      this.takeLimit(known, limit, now)
+      entry !== undefined &&
+      compareLives({bornAt}, entry.record) === 0 &&
+      this.applyLimit(entry, limit, now)
     );
   }
 
   /**
-   * Marks a life as gone, the one known here where none is named; an unknown id
-   * is remembered as such.
+   * Marks an incarnation as gone: the one that started at `bornAt`, or the known one
+   * if it is undefined. An unknown upstream gets an entry too, so that late heartbeats
+   * are ignored.
    */
   remove(id: string, now: number, bornAt?: number): boolean {
-    const held = this.slots.get(id)?.record;
-    const life = bornAt ?? held?.bornAt;
-    const isHeld =
-      held !== undefined && compareLives({bornAt: life}, held) === 0;
-    const known = isHeld ? held : NOTHING_KNOWN;
+    const current = this.entries.get(id)?.record;
+    const startedAt = bornAt ?? current?.bornAt;
+    const isCurrent =
+      current !== undefined && compareLives({bornAt: startedAt}, current) === 0;
+    const base = isCurrent ? current : UNKNOWN_UPSTREAM;
     const state = UPSTREAM_STATE.gone;
-    return this.merge({...known, bornAt: life, coldMs: 0, id, state}, now);
+    return this.merge({...base, bornAt: startedAt, coldMs: 0, id, state}, now);
   }
 
-  /** Forgets upstreams not heard from for long. */
+  /** Removes upstreams without a new record for EXPIRY_MS. */
   expire(now: number): void {
-    for (const [id, slot] of this.slots) {
-      if (now - slot.heardAt > FORGET_AFTER_MS) {
-        this.slots.delete(id);
+    for (const [id, entry] of this.entries) {
+      if (now - entry.lastSeenAt > EXPIRY_MS) {
+        this.entries.delete(id);
       }
     }
   }
 
   /**
-   * Passes the held record on once more where an earlier word of its life says
-   * otherwise: plain heartbeats aren't passed on, so its sender may lack them.
+   * Publishes the current record again if a stale record of the same incarnation
+   * differs. Unchanged heartbeats aren't published, so the sender may have missed it.
    */
-  private tellAgain(slot: Slot, late: UpstreamRecord, now: number): void {
-    const {record: held} = slot;
+  private republishOverStale(
+    entry: Entry,
+    stale: UpstreamRecord,
+    now: number,
+  ): void {
+    const {record: current} = entry;
     const isEarlier =
-      compareLives(late, held) === 0 && late.sequence < held.sequence;
+      compareLives(stale, current) === 0 && stale.sequence < current.sequence;
     if (
       isEarlier &&
-      held.state !== UPSTREAM_STATE.gone &&
-      differs(late, held)
+      current.state !== UPSTREAM_STATE.gone &&
+      hasPublishedChange(stale, current)
     ) {
-      this.tell(slot, now);
+      this.publish(entry, now);
     }
   }
 
-  private takeLimit(slot: Slot, found: UpstreamLimit, now: number): boolean {
-    const {limit: held = NO_LIMIT} = slot.record;
-    if (!isLaterLimit(found, held)) {
+  private applyLimit(
+    entry: Entry,
+    received: UpstreamLimit,
+    now: number,
+  ): boolean {
+    const {limit: current = NO_LIMIT} = entry.record;
+    if (!isLaterLimit(received, current)) {
       return false;
     }
-    slot.record = {...slot.record, limit: found};
-    this.tell(slot, now);
+    entry.record = {...entry.record, limit: received};
+    this.publish(entry, now);
     return true;
   }
 
-  private tell(slot: Slot, now: number): void {
-    this.current += 1;
-    slot.revision = this.current;
-    slot.toldAt = now;
+  private publish(entry: Entry, now: number): void {
+    this.latestRevision += 1;
+    entry.revision = this.latestRevision;
+    entry.publishedAt = now;
   }
 
-  private keep(record: UpstreamRecord, now: number): void {
-    this.current += 1;
-    this.slots.set(record.id, {
+  private storeEntry(record: UpstreamRecord, now: number): void {
+    this.latestRevision += 1;
+    this.entries.set(record.id, {
       coldUntil: coldUntilOf(record, now),
-      heardAt: now,
+      lastSeenAt: now,
+      publishedAt: now,
       record,
-      revision: this.current,
-      toldAt: now,
+      revision: this.latestRevision,
     });
   }
 }
 
-/** Whether two records of one life say different things that others must know. */
-function differs(a: UpstreamRecord, b: UpstreamRecord): boolean {
+/** Whether two records of one incarnation differ in a field that must be published. */
+function hasPublishedChange(a: UpstreamRecord, b: UpstreamRecord): boolean {
   return (
     a.state !== b.state ||
     a.address !== b.address ||
--- a/packages/puffinturn-fleet/src/__tests__/unit/ConfigurationLag.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/ConfigurationLag.test.ts
@@ -8,40 +8,41 @@
 import {KeptDecisionLog} from 'puffinturn-decisions';
 import {ManualClock} from 'shared';
 
-import {ConfigurationLag, OVERDUE_MS} from '../../ConfigurationLag';
+import {ConfigurationLag, OVERDUE_AFTER_MS} from '../../ConfigurationLag';
 
-function lagOf() {
+function createLag() {
   const clock = new ManualClock();
   const log = new KeptDecisionLog();
-  const box = {held: 1};
-  const lag = new ConfigurationLag(clock, log, () => box.held);
+  const box = {version: 1};
+  const lag = new ConfigurationLag(clock, log, () => box.version);
   return {box, clock, lag, log};
 }
 
+// A missing version must be detected even if newer versions are announced meanwhile.
 describe('ConfigurationLag', () => {
-  test('counts from the first version that is lacking, not from the newest', async () => {
-    const {box, clock, lag} = lagOf();
+  test('measures the delay from the first missing version, not the latest', async () => {
+    const {box, clock, lag} = createLag();
     expect(lag.dueInMs).toBe(Infinity);
     lag.learn(2, 'c1');
-    expect(lag.dueInMs).toBe(OVERDUE_MS);
+    expect(lag.dueInMs).toBe(OVERDUE_AFTER_MS);
     await clock.advance(200);
     lag.learn(3, 'c1');
-    expect(lag.dueInMs).toBe(OVERDUE_MS - 200);
+    expect(lag.dueInMs).toBe(OVERDUE_AFTER_MS - 200);
     expect(lag.namedVersion).toBe(3);
-    box.held = 3;
+    box.version = 3;
     lag.learn(2, 'c2');
     expect(lag.dueInMs).toBe(Infinity);
   });
 
-  test('writes an overdue version down once', async () => {
-    const {clock, lag, log} = lagOf();
+  test('logs an overdue version once', async () => {
+    const {clock, lag, log} = createLag();
     lag.learn(2, 'c1');
-    await clock.advance(OVERDUE_MS);
+    await clock.advance(OVERDUE_AFTER_MS);
     lag.learn(2, 'c1');
     lag.learn(2, 'c2');
     expect(log.lines).toEqual([
       {
-        behindMs: OVERDUE_MS,
+        behindMs: OVERDUE_AFTER_MS,
         event: 'configuration-overdue',
         held: 1,
         source: 'c1',
--- a/packages/puffinturn-fleet/src/__tests__/unit/GrantTotals.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/GrantTotals.test.ts
@@ -12,8 +12,9 @@
 import {FleetMachine} from '../../index';
 import {configurationOf, teamOf} from '../utils/FleetFixture';
 
+// Continuous exchanges must not flood the log, and idle periods must log nothing.
 describe('GrantTotals', () => {
-  test('tell once a second what is granted, and nothing in a pause', async () => {
+  test('logs granted tokens once a second, and nothing while idle', async () => {
     const clock = new ManualClock();
     const log = new KeptDecisionLog();
     const machine = new FleetMachine();
@@ -21,7 +22,7 @@
     const configuration = configurationOf(1, {teams});
     machine.apply({
       kind: 'configuration',
-      stored: {configuration, document: 'not read here'},
+      stored: {configuration, document: 'unused'},
     });
     const ask = {back: 0, lent: 0, need: 300, share: 1, spent: 0, want: 0};
     machine.apply({
@@ -32,8 +33,8 @@
       sequence: 1,
     });
     await using totals = new GrantTotals(clock, log, machine);
-    totals.count(['t']);
-    totals.count(['t']);
+    totals.recordTeams(['t']);
+    totals.recordTeams(['t']);
     await clock.advance(10_000);
     expect(log.lines).toEqual([
       {
