--- a/packages/puffinturn-fleet/src/__tests__/unit/Configuration.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/Configuration.test.ts
@@ -8,8 +8,9 @@
 import {checkConfiguration} from '../../index';
 import {configurationOf, routeOf, teamOf} from '../utils/FleetFixture';
 
+// An invalid configuration must be rejected before it becomes active.
 describe('checkConfiguration', () => {
-  test('takes a sound configuration', () => {
+  test('accepts a valid configuration', () => {
     expect(checkConfiguration(configurationOf(1)).isOk()).toBe(true);
   });
 
@@ -19,14 +20,14 @@
       {routes: [routeOf({targets: [{service: 'x', weight: 1}]})]},
     ],
     [
-      'two routes at one place',
+      'two routes with the same host and path prefix',
       {routes: [routeOf(), routeOf({host: 'A.example'})]},
     ],
     [
-      'weights of 0',
+      'a target weight of 0',
       {routes: [routeOf({targets: [{service: 's', weight: 0}]})]},
     ],
-    ['no target', {routes: [routeOf({targets: []})]}],
+    ['a route without targets', {routes: [routeOf({targets: []})]}],
     [
       'a negative weight',
       {
@@ -40,10 +41,13 @@
         ],
       },
     ],
-    ['a time-out of 0', {routes: [routeOf({timeoutMs: 0})]}],
-    ['a shared key', {teams: [teamOf(), teamOf({name: 'u'})]}],
-    ['a team twice', {teams: [teamOf(), teamOf({keys: ['other']})]}],
-  ])('refuses %s and says where', (_, fields) => {
+    ['a timeout of 0', {routes: [routeOf({timeoutMs: 0})]}],
+    ['an API key used by two teams', {teams: [teamOf(), teamOf({name: 'u'})]}],
+    [
+      'two teams with the same name',
+      {teams: [teamOf(), teamOf({keys: ['other']})]},
+    ],
+  ])('rejects %s and reports its path', (_, fields) => {
     const checked = checkConfiguration(configurationOf(1, fields));
     expect(checked._unsafeUnwrapErr().kind).toBe('invalid-configuration');
     expect(checked._unsafeUnwrapErr().path).toMatch(/^(routes|teams)\.\d/);
--- a/packages/puffinturn-fleet/src/__tests__/unit/ConfigurationChange.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/ConfigurationChange.test.ts
@@ -16,13 +16,13 @@
 } from '../../index';
 import {configurationOf} from '../utils/FleetFixture';
 
-const route = (at: number, timeoutMs: number): Route => ({
+const createRoute = (index: number, timeoutMs: number): Route => ({
   anonymous: false,
   host: 'h',
   maxAttempts: 1,
-  name: `r-${at}`,
+  name: `r-${index}`,
   objectiveMs: 100,
-  pathPrefix: `/${at}/`,
+  pathPrefix: `/${index}/`,
   priority: 0,
   repetition: REPETITION.never,
   streams: false,
@@ -30,9 +30,9 @@
   timeoutMs,
 });
 
-const team = (at: number, prepaidTokens: number): Team => ({
-  keys: [`k-${at}`],
-  name: `t-${at}`,
+const createTeam = (index: number, prepaidTokens: number): Team => ({
+  keys: [`k-${index}`],
+  name: `t-${index}`,
   prepaidTokens,
   priority: 0,
 });
@@ -48,69 +48,79 @@
   .map(({routes, teams, version}): FleetConfiguration => {
     return {
       ...configurationOf(version),
-      routes: Object.entries(routes).map(([at, ms]) => route(Number(at), ms)),
+      routes: Object.entries(routes).map(([index, timeoutMs]) =>
+        createRoute(Number(index), timeoutMs),
+      ),
       teams:
         teams &&
-        Object.entries(teams).map(([at, paid]) => team(Number(at), paid)),
+        Object.entries(teams).map(([index, tokens]) =>
+          createTeam(Number(index), tokens),
+        ),
     };
   });
 
-describe('A change of a configuration', () => {
-  test('carries allowed regions that come, change and go', () => {
+// A box that applies a change must end with exactly the new configuration.
+describe('Configuration changes', () => {
+  test('include allowed regions that are added, changed or removed', () => {
     const lists = [undefined, ['east'], ['east', 'west'], ['west'], undefined];
-    const versions = lists.map((allowedRegions, at): FleetConfiguration => ({
-      ...configurationOf(at),
-      routes: [{...route(1, 100), allowedRegions}, route(2, 100)],
-      teams: [{...team(1, 9), allowedRegions}, team(2, 9)],
-    }));
-    let held = versions[0]!;
+    const versions = lists.map(
+      (allowedRegions, version): FleetConfiguration => ({
+        ...configurationOf(version),
+        routes: [{...createRoute(1, 100), allowedRegions}, createRoute(2, 100)],
+        teams: [{...createTeam(1, 9), allowedRegions}, createTeam(2, 9)],
+      }),
+    );
+    let current = versions[0]!;
     for (const next of versions.slice(1)) {
-      const change = changeBetween(held, next);
+      const change = changeBetween(current, next);
       expect(change.routes).toHaveLength(1);
       expect(change.teams).toHaveLength(1);
       const sent = JSON.parse(JSON.stringify(change)) as typeof change;
-      held = applyChange(held, sent);
-      expect(held.routes[0]?.allowedRegions).toEqual(
+      current = applyChange(current, sent);
+      expect(current.routes[0]?.allowedRegions).toEqual(
         next.routes[0]?.allowedRegions,
       );
-      expect(held.teams?.[0]?.allowedRegions).toEqual(
+      expect(current.teams?.[0]?.allowedRegions).toEqual(
         next.teams?.[0]?.allowedRegions,
       );
     }
   });
 
-  test('leads from any configuration to any other', () => {
+  test('convert any configuration into any other', () => {
     fc.assert(
       fc.property(anyConfiguration, anyConfiguration, (base, next) => {
-        const reached = applyChange(base, changeBetween(base, next));
-        const byName = (found: FleetConfiguration) => ({
-          ...found,
-          routes: [...found.routes].sort((a, b) => (a.name < b.name ? -1 : 1)),
-          teams: found.teams
-            ? [...found.teams].sort((a, b) => (a.name < b.name ? -1 : 1))
+        const result = applyChange(base, changeBetween(base, next));
+        const sortByName = (config: FleetConfiguration) => ({
+          ...config,
+          routes: [...config.routes].sort((a, b) => (a.name < b.name ? -1 : 1)),
+          teams: config.teams
+            ? [...config.teams].sort((a, b) => (a.name < b.name ? -1 : 1))
             : undefined,
         });
-        expect(byName(reached)).toEqual(byName(next));
+        expect(sortByName(result)).toEqual(sortByName(next));
       }),
       {seed: 7},
     );
   });
 
-  test('holds only what differs', () => {
-    const routes = Array.from({length: 500}, (_, at) => route(at, 100));
+  test('contain only the differences', () => {
+    const routes = Array.from({length: 500}, (_, index) =>
+      createRoute(index, 100),
+    );
     const base = {...configurationOf(1), routes};
     const next = {
       ...configurationOf(2),
-      routes: [...routes.slice(1), route(900, 1)],
+      routes: [...routes.slice(1), createRoute(900, 1)],
     };
     const change = changeBetween(base, next);
-    expect(change.routes).toEqual([route(900, 1)]);
+    expect(change.routes).toEqual([createRoute(900, 1)]);
     expect(change.removedRoutes).toEqual(['h /0/']);
   });
 });
 
-describe('The history of configurations', () => {
-  test('knows the change from the versions before the newest', () => {
+// A box with a recent configuration must be sent the change, not the whole document.
+describe('ConfigurationHistory', () => {
+  test('returns the change from a previous version to the latest', () => {
     const history = new ConfigurationHistory();
     for (const version of [1, 2, 3]) {
       history.add(configurationOf(version));
--- a/packages/puffinturn-fleet/src/__tests__/unit/Evacuations.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/Evacuations.test.ts
@@ -9,26 +9,27 @@
 
 import {FleetMachine, NO_EVACUATIONS} from '../../index';
 
-function order(hall: string, evacuated: boolean) {
+function createRecord(hall: string, evacuated: boolean) {
   return {evacuated, hall, kind: 'evacuation'} as const;
 }
 
+// All replicas must agree on the evacuated halls, also after a restore from a snapshot.
 describe('Evacuations', () => {
-  test('hold until they are finished, and an order told twice is one', () => {
+  test('last until they are ended, and a repeated record has no effect', () => {
     const machine = new FleetMachine();
-    machine.apply(order('a', true));
-    machine.apply(order('a', true));
-    machine.apply(order('b', true));
+    machine.apply(createRecord('a', true));
+    machine.apply(createRecord('a', true));
+    machine.apply(createRecord('b', true));
     expect(machine.evacuations).toEqual({halls: ['a', 'b'], revision: 2});
-    machine.apply(order('a', false));
-    machine.apply(order('a', false));
+    machine.apply(createRecord('a', false));
+    machine.apply(createRecord('a', false));
     expect(machine.evacuations).toEqual({halls: ['b'], revision: 3});
   });
 
-  test('are there again after a snapshot, and none in an older one', () => {
+  test('are restored from a snapshot, and an earlier snapshot clears them', () => {
     const machine = new FleetMachine();
     const empty = machine.snapshot();
-    machine.apply(order('a', true));
+    machine.apply(createRecord('a', true));
     const restored = new FleetMachine();
     restored.restore(machine.snapshot());
     expect(restored.evacuations).toEqual({halls: ['a'], revision: 1});
@@ -36,34 +37,34 @@
     expect(restored.evacuations).toEqual(NO_EVACUATIONS);
   });
 
-  test('tell those who wait for changes', () => {
-    let told = 0;
-    const machine = new FleetMachine(() => (told += 1));
-    machine.apply(order('a', true));
-    expect(told).toBe(1);
-    // The same order again is no news.
-    machine.apply(order('a', true));
-    expect(told).toBe(1);
+  test('call the listener on every change', () => {
+    let notifications = 0;
+    const machine = new FleetMachine(() => (notifications += 1));
+    machine.apply(createRecord('a', true));
+    expect(notifications).toBe(1);
+    // A repeated record changes nothing.
+    machine.apply(createRecord('a', true));
+    expect(notifications).toBe(1);
   });
 
-  test('are the same wherever the same orders are applied', () => {
-    const orders = fc.array(
+  test('are equal on all replicas that apply the same records', () => {
+    const records = fc.array(
       fc.tuple(fc.constantFrom('a', 'b', 'c'), fc.boolean()),
     );
     fc.assert(
-      fc.property(orders, fc.nat(40), (all, cut) => {
-        const whole = new FleetMachine();
-        let resumed = new FleetMachine();
-        for (const [at, [hall, evacuated]] of all.entries()) {
-          whole.apply(order(hall, evacuated));
-          resumed.apply(order(hall, evacuated));
-          if (at === cut) {
-            const image = resumed.snapshot();
-            resumed = new FleetMachine();
-            resumed.restore(image);
+      fc.property(records, fc.nat(40), (entries, restoreAt) => {
+        const uninterrupted = new FleetMachine();
+        let restored = new FleetMachine();
+        for (const [index, [hall, evacuated]] of entries.entries()) {
+          uninterrupted.apply(createRecord(hall, evacuated));
+          restored.apply(createRecord(hall, evacuated));
+          if (index === restoreAt) {
+            const snapshot = restored.snapshot();
+            restored = new FleetMachine();
+            restored.restore(snapshot);
           }
         }
-        expect(resumed.evacuations).toEqual(whole.evacuations);
+        expect(restored.evacuations).toEqual(uninterrupted.evacuations);
       }),
       {numRuns: 200, seed: 6},
     );
--- a/packages/puffinturn-fleet/src/__tests__/unit/LimitReports.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/LimitReports.test.ts
@@ -12,7 +12,8 @@
 
 const EDGE = 'x:1';
 
-describe('What upstreams say of their limits to one edge', () => {
+// An upstream's request limit reported by one edge must reach all other edges.
+describe('Upstream limits reported by one edge', () => {
   let fleet: RolloutFleet;
 
   beforeEach(async () => {
@@ -24,13 +25,13 @@
     return upstreams.filter(({id}) => id === 'i-1').map(({limit}) => limit);
   }
 
-  test('reaches the edges of every control box, and so does its end', async () => {
+  test('are sent to the edges of every control box, and so is their removal', async () => {
     const [first = ''] = CONTROLS;
     fleet.control(first).hearUpstream(upstreamOf());
     await fleet.clock.advance(1_000);
-    const named = {perSecond: 1.2, revision: 1};
-    const ended = {perSecond: undefined, revision: 2};
-    for (const limit of [named, ended]) {
+    const added = {perSecond: 1.2, revision: 1};
+    const removed = {perSecond: undefined, revision: 2};
+    for (const limit of [added, removed]) {
       const request: LimitsRequest = {box: EDGE, reports: [{id: 'i-1', limit}]};
       await fleet.call(first, FLEET_SERVICE.reportLimits, request);
       await fleet.clock.advance(1_000);
--- a/packages/puffinturn-fleet/src/__tests__/unit/Quarantine.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/Quarantine.test.ts
@@ -13,27 +13,28 @@
 
 const SECOND_MS = 1_000;
 
-function record(
+function createRecord(
   at: number,
-  life: string,
+  incarnationId: string,
   ...fingerprints: string[]
 ): CrashReportRecord {
-  const crashes = [{agoMs: 0, fingerprints, life}];
+  const crashes = [{agoMs: 0, fingerprints, life: incarnationId}];
   return {at, kind: 'crash-report', report: {answered: [], crashes}};
 }
 
-/** Three crashes with the same request. */
-function convict(machine: FleetMachine): void {
-  for (const [turn, life] of ['a', 'b', 'c'].entries()) {
-    machine.apply(record(turn * SECOND_MS, life, 'f'));
+/** Reports three crashes that involve the same request. */
+function reportThreeCrashes(machine: FleetMachine): void {
+  for (const [index, incarnationId] of ['a', 'b', 'c'].entries()) {
+    machine.apply(createRecord(index * SECOND_MS, incarnationId, 'f'));
   }
 }
 
-describe('The quarantine in the log', () => {
-  test('is there again after a snapshot, and none in an older one', () => {
+// All replicas must agree on the quarantine, also after a restore from a snapshot.
+describe('Replicated quarantine', () => {
+  test('is restored from a snapshot, and an earlier snapshot clears it', () => {
     const machine = new FleetMachine();
     const empty = machine.snapshot();
-    convict(machine);
+    reportThreeCrashes(machine);
     const restored = new FleetMachine();
     restored.restore(machine.snapshot());
     expect(restored.quarantine).toEqual({
@@ -45,20 +46,20 @@
     expect(restored.quarantine).toEqual(NO_QUARANTINE);
   });
 
-  test('is told to those who wait for changes, with those that one more crash adds', () => {
-    let told = 0;
-    const machine = new FleetMachine(() => (told += 1));
-    machine.apply(record(0, 'a', 'f'));
-    expect(told).toBe(0);
-    machine.apply(record(SECOND_MS, 'b', 'f'));
-    expect(told).toBe(1);
+  test('calls the listener on changes, with requests that are one crash from quarantine', () => {
+    let notifications = 0;
+    const machine = new FleetMachine(() => (notifications += 1));
+    machine.apply(createRecord(0, 'a', 'f'));
+    expect(notifications).toBe(0);
+    machine.apply(createRecord(SECOND_MS, 'b', 'f'));
+    expect(notifications).toBe(1);
     expect(machine.quarantine.suspects).toEqual(['f']);
-    machine.apply(record(2 * SECOND_MS, 'c', 'f'));
-    expect(told).toBe(2);
+    machine.apply(createRecord(2 * SECOND_MS, 'c', 'f'));
+    expect(notifications).toBe(2);
     expect(machine.quarantine.suspects).toEqual([]);
   });
 
-  test('is the same wherever the same reports are applied', () => {
+  test('is equal on all replicas that apply the same reports', () => {
     const reports = fc.array(
       fc.record({
         answered: fc.subarray(['f', 'g', 'h']),
@@ -69,23 +70,23 @@
       {maxLength: 40},
     );
     fc.assert(
-      fc.property(reports, fc.nat(40), (all, cut) => {
-        const whole = new FleetMachine();
-        let resumed = new FleetMachine();
-        for (const [turn, entry] of all.entries()) {
+      fc.property(reports, fc.nat(40), (entries, restoreAt) => {
+        const uninterrupted = new FleetMachine();
+        let restored = new FleetMachine();
+        for (const [index, entry] of entries.entries()) {
           const {answered, at, fingerprints, life} = entry;
           const crashes = [{agoMs: 0, fingerprints, life}];
           const report = {answered, crashes};
-          const one: CrashReportRecord = {at, kind: 'crash-report', report};
-          whole.apply(one);
-          resumed.apply(one);
-          if (turn === cut) {
-            const image = resumed.snapshot();
-            resumed = new FleetMachine();
-            resumed.restore(image);
+          const record: CrashReportRecord = {at, kind: 'crash-report', report};
+          uninterrupted.apply(record);
+          restored.apply(record);
+          if (index === restoreAt) {
+            const snapshot = restored.snapshot();
+            restored = new FleetMachine();
+            restored.restore(snapshot);
           }
         }
-        expect(resumed.quarantine).toEqual(whole.quarantine);
+        expect(restored.quarantine).toEqual(uninterrupted.quarantine);
       }),
       {numRuns: 200, seed: 7},
     );
--- a/packages/puffinturn-fleet/src/__tests__/unit/QuarantineControl.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/QuarantineControl.test.ts
@@ -11,18 +11,19 @@
 
 const MINUTE_MS = 60_000;
 
-/** A quarantine is over, and the leader has looked since. */
-const OVER_MS = 12 * MINUTE_MS;
+/** Time after which a quarantine has expired and the leader has ended it. */
+const QUARANTINE_ENDED_MS = 12 * MINUTE_MS;
 
-describe('Reports of crashes to control boxes', () => {
+// Every control box must show the same quarantine, and none may outlast its time.
+describe('Crash reports at control boxes', () => {
   let fleet: RolloutFleet;
 
   beforeEach(async () => {
     fleet = await RolloutFleet.start();
   });
 
-  function report(control: string, life: string): Promise<CrashReply> {
-    const crashes = [{agoMs: 0, fingerprints: ['f'], life}];
+  function report(control: string, incarnationId: string): Promise<CrashReply> {
+    const crashes = [{agoMs: 0, fingerprints: ['f'], life: incarnationId}];
     const request: CrashRequest = {
       box: 'x:1',
       report: {answered: [], crashes},
@@ -35,10 +36,12 @@
     return quarantine?.fingerprints ?? [];
   }
 
-  test('count whichever box takes them, and each box tells the outcome', async () => {
-    for (const [at, control] of CONTROLS.entries()) {
+  test('count at whichever box they arrive, and all boxes show the outcome', async () => {
+    for (const [index, control] of CONTROLS.entries()) {
       expect(await quarantined(control)).toEqual([]);
-      expect(await report(control, `life ${at}`)).toEqual({taken: true});
+      expect(await report(control, `incarnation ${index}`)).toEqual({
+        taken: true,
+      });
       await fleet.clock.advance(1_000);
     }
     for (const control of CONTROLS) {
@@ -46,15 +49,15 @@
     }
   });
 
-  test('are forgotten by themselves once the time is over', async () => {
-    for (const [at, control] of CONTROLS.entries()) {
-      await report(control, `life ${at}`);
+  test('are dropped once the quarantine has expired', async () => {
+    for (const [index, control] of CONTROLS.entries()) {
+      await report(control, `incarnation ${index}`);
       await fleet.clock.advance(1_000);
     }
-    await fleet.clock.advance(OVER_MS);
-    // A revision that boxes hear of says that nothing is quarantined any more.
+    await fleet.clock.advance(QUARANTINE_ENDED_MS);
+    // The end of the quarantine is sent to boxes as a new revision.
     expect(await quarantined('c1:1')).toEqual([]);
-    await report('c1:1', 'one more');
+    await report('c1:1', 'another incarnation');
     await fleet.clock.advance(1_000);
     expect(await quarantined('c1:1')).toEqual(['f']);
   });
--- a/packages/puffinturn-fleet/src/__tests__/unit/Regions.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/Regions.test.ts
@@ -7,52 +7,53 @@
 
 import {Regions, regionsInBoth} from '../../index';
 
+// Requests must not reach halls outside the allowed regions.
 describe('Regions', () => {
   const regions = new Regions({e1: 'east', e2: 'east', w1: 'west'});
 
-  test('names the region of each hall', () => {
+  test('returns the region of each hall', () => {
     expect(regions.regionOf('e2')).toBe('east');
     expect(regions.areTogether('e1', 'e2')).toBe(true);
     expect(regions.areTogether('e1', 'w1')).toBe(false);
     expect(regions.several).toBe(true);
   });
 
-  test('takes a hall that it does not know for a region of its own', () => {
+  test('treats an unlisted hall as a region of its own', () => {
     expect(regions.regionOf('x')).toBe('x');
     expect(regions.areTogether('x', 'e1')).toBe(false);
     expect(regions.allows(['east', 'west'], 'x')).toBe(false);
   });
 
-  test('has all halls together where it knows fewer than two regions', () => {
-    const one = new Regions({a: 'r', b: 'r'});
-    for (const few of [one, new Regions()]) {
-      expect(few.several).toBe(false);
-      expect(few.areTogether('a', 'b')).toBe(true);
-      expect(few.areTogether('a', 'x')).toBe(true);
+  test('treats all halls as one region if fewer than two regions are listed', () => {
+    const single = new Regions({a: 'r', b: 'r'});
+    for (const current of [single, new Regions()]) {
+      expect(current.several).toBe(false);
+      expect(current.areTogether('a', 'b')).toBe(true);
+      expect(current.areTogether('a', 'x')).toBe(true);
     }
   });
 
-  test('allows every hall without a list, and only those named with one', () => {
+  test('allows every hall without a list, and only those in listed regions with one', () => {
     expect(regions.allows(undefined, 'x')).toBe(true);
     expect(regions.allows(['west'], 'w1')).toBe(true);
     expect(regions.allows(['west'], 'e1')).toBe(false);
     expect(regions.allows([], 'e1')).toBe(false);
   });
 
-  test('binds a list also where no region is known', () => {
+  test('applies a list of allowed regions even if no mapping is known', () => {
     expect(new Regions().allows(['east'], 'e1')).toBe(false);
   });
 
-  test('learns another assignment', () => {
-    const changing = new Regions();
-    changing.learn({e1: 'east', w1: 'west'});
-    expect(changing.areTogether('e1', 'w1')).toBe(false);
-    expect(changing.regionOf('e1')).toBe('east');
+  test('replaces the mapping of halls to regions', () => {
+    const updated = new Regions();
+    updated.learn({e1: 'east', w1: 'west'});
+    expect(updated.areTogether('e1', 'w1')).toBe(false);
+    expect(updated.regionOf('e1')).toBe('east');
   });
 });
 
 describe('regionsInBoth', () => {
-  test('is what both lists name, and the other list where one is missing', () => {
+  test('returns the common regions, or the defined list if the other is undefined', () => {
     expect(regionsInBoth(undefined, undefined)).toBeUndefined();
     expect(regionsInBoth(['a'], undefined)).toEqual(['a']);
     expect(regionsInBoth(undefined, ['b'])).toEqual(['b']);
--- a/packages/puffinturn-fleet/src/__tests__/unit/UpstreamRefusals.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/UpstreamRefusals.test.ts
@@ -10,13 +10,14 @@
 
 import {UpstreamRefusals} from '../../index';
 
+// Many invalid calls, long IDs and many causes must not flood the log.
 describe('UpstreamRefusals', () => {
-  test('come to one line a second, whatever comes', async () => {
+  test('are logged in at most one line of limited size per second', async () => {
     const clock = new ManualClock();
     const log = new KeptDecisionLog();
     await using refusals = new UpstreamRefusals(clock, log);
-    for (let at = 0; at < 500; at += 1) {
-      refusals.count('i'.repeat(500), at < 20 ? `cause-${at}` : 'zone');
+    for (let index = 0; index < 500; index += 1) {
+      refusals.count('i'.repeat(500), index < 20 ? `cause-${index}` : 'zone');
     }
     await clock.advance(1_001);
     expect(log.lines).toHaveLength(1);
--- a/packages/puffinturn-fleet/src/__tests__/unit/Upstreams.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/Upstreams.test.ts
@@ -11,8 +11,9 @@
 import {UPSTREAM_STATE, UpstreamTable} from '../../index';
 import {upstreamOf} from '../utils/FleetFixture';
 
+// Lost, late or repeated heartbeats must not revert newer state.
 describe('UpstreamTable', () => {
-  test('tells what changed after a revision, and no plain heartbeat', () => {
+  test('returns changes after a revision, but no unchanged heartbeats', () => {
     const table = new UpstreamTable();
     expect(table.merge(upstreamOf(), 0)).toBe(true);
     const {revision} = table;
@@ -23,14 +24,14 @@
     expect(table.changedSince(revision)).toEqual([draining]);
   });
 
-  test('does not go back for a heartbeat that comes late', () => {
+  test('ignores a heartbeat that arrives out of order', () => {
     const table = new UpstreamTable();
     table.merge(upstreamOf({sequence: 5, state: UPSTREAM_STATE.draining}), 0);
     expect(table.merge(upstreamOf({sequence: 4}), 1)).toBe(false);
     expect(table.get('i-1')?.state).toBe(UPSTREAM_STATE.draining);
   });
 
-  test('keeps what a life said of its limit, whatever its heartbeats say', () => {
+  test('keeps the limit of an incarnation when heartbeats carry none', () => {
     const table = new UpstreamTable();
     table.merge(upstreamOf(), 0);
     const {revision} = table;
@@ -45,7 +46,7 @@
     ]);
   });
 
-  test('learns limits from other boxes, in late words of the same life too', () => {
+  test('accepts a limit from a late record of the same incarnation', () => {
     const table = new UpstreamTable();
     table.merge(upstreamOf({sequence: 5}), 0);
     const limit = {perSecond: 1.2, revision: 1};
@@ -53,7 +54,7 @@
     expect(table.get('i-1')).toEqual(upstreamOf({limit, sequence: 5}));
   });
 
-  test('keeps no limit of another life', () => {
+  test('drops limits of other incarnations', () => {
     const table = new UpstreamTable();
     table.merge(upstreamOf({bornAt: 1}), 0);
     const limit = {perSecond: 1.2, revision: 1};
@@ -64,54 +65,54 @@
     expect(table.get('i-1')).toEqual(upstreamOf({bornAt: 2}));
   });
 
-  test('remembers an upstream that left before it was known', () => {
+  test('ignores heartbeats of an upstream that left before its first heartbeat', () => {
     const table = new UpstreamTable();
     expect(table.remove('i-1', 0)).toBe(true);
     expect(table.merge(upstreamOf({sequence: 9}), 1)).toBe(false);
     expect(table.get('i-1')?.state).toBe(UPSTREAM_STATE.gone);
   });
 
-  test('tells when an upstream turns cold, once for each time', () => {
+  test('reports each start of a warm-up once', () => {
     const table = new UpstreamTable();
     table.merge(upstreamOf({coldMs: 3_000}), 0);
     expect(table.coldUntil('i-1')).toBe(3_000);
-    // Nothing new: the same end as known.
+    // The warm-up end is unchanged.
     const later = upstreamOf({coldMs: 1_800, sequence: 2});
     expect(table.merge(later, 1_200)).toBe(false);
     expect(table.merge(upstreamOf({sequence: 3}), 3_600)).toBe(false);
-    const again = upstreamOf({coldMs: 2_000, sequence: 4});
-    expect(table.merge(again, 4_800)).toBe(true);
-    // Cold for longer than known: it turned cold once more.
-    const more = upstreamOf({coldMs: 3_000, sequence: 5});
-    expect(table.merge(more, 6_000)).toBe(true);
+    const restarted = upstreamOf({coldMs: 2_000, sequence: 4});
+    expect(table.merge(restarted, 4_800)).toBe(true);
+    // A later warm-up end means that another warm-up has started.
+    const extended = upstreamOf({coldMs: 3_000, sequence: 5});
+    expect(table.merge(extended, 6_000)).toBe(true);
     expect(table.coldUntil('i-1')).toBe(9_000);
   });
 
-  test('tells of a cold time once, also where two boxes pass it on', () => {
+  test('does not extend a warm-up when two boxes forward the same record', () => {
     const table = new UpstreamTable();
-    const cold = upstreamOf({coldMs: 3_000});
-    table.merge(cold, 0);
-    table.merge(cold, 2_000);
+    const record = upstreamOf({coldMs: 3_000});
+    table.merge(record, 0);
+    table.merge(record, 2_000);
     expect(table.coldUntil('i-1')).toBe(3_000);
   });
 
-  test('another box does not forget an upstream that calls only this one', () => {
-    const called = new UpstreamTable();
-    const told = new UpstreamTable();
+  test('another box does not expire an upstream that sends heartbeats only to this one', () => {
+    const receiver = new UpstreamTable();
+    const replica = new UpstreamTable();
     let revision = 0;
-    for (let at = 0; at <= 180_000; at += 1_200) {
-      called.merge(upstreamOf({sequence: at + 1}), at);
-      for (const record of called.changedSince(revision)) {
-        told.merge(record, at);
+    for (let now = 0; now <= 180_000; now += 1_200) {
+      receiver.merge(upstreamOf({sequence: now + 1}), now);
+      for (const record of receiver.changedSince(revision)) {
+        replica.merge(record, now);
       }
-      revision = called.revision;
-      told.expire(at);
+      revision = receiver.revision;
+      replica.expire(now);
     }
-    expect(told.get('i-1')?.state).toBe(UPSTREAM_STATE.ready);
+    expect(replica.get('i-1')?.state).toBe(UPSTREAM_STATE.ready);
     expect(revision).toBeLessThan(12);
   });
 
-  test('forgets what has long been silent', () => {
+  test('removes upstreams that have sent nothing for too long', () => {
     const table = new UpstreamTable();
     table.merge(upstreamOf(), 0);
     table.expire(61_000);
@@ -119,12 +120,13 @@
   });
 });
 
-describe('Lives of one id', () => {
-  const former = upstreamOf({bornAt: 1_000, sequence: 50});
+// Records of an earlier incarnation must not replace those of a later one.
+describe('Incarnations of one upstream', () => {
+  const previous = upstreamOf({bornAt: 1_000, sequence: 50});
   const next = upstreamOf({bornAt: 2_000, sequence: 1});
   const {draining, gone, ready} = UPSTREAM_STATE;
 
-  function tableOf(...records: readonly UpstreamRecord[]) {
+  function createTable(...records: readonly UpstreamRecord[]) {
     const table = new UpstreamTable();
     for (const record of records) {
       table.merge(record, 0);
@@ -132,93 +134,93 @@
     return table;
   }
 
-  test('a later one counts though its sequence is lower', () => {
-    const table = tableOf(former);
+  test('a later one replaces an earlier one despite a lower sequence', () => {
+    const table = createTable(previous);
     expect(table.merge(next, 1)).toBe(true);
     expect(table.get('i-1')).toEqual(next);
   });
 
-  test('a late word of a former one changes nothing', () => {
-    const table = tableOf(former, next);
+  test('a late record of an earlier one changes nothing', () => {
+    const table = createTable(previous, next);
     const {revision} = table;
-    const late = {...former, sequence: 90, state: draining};
+    const late = {...previous, sequence: 90, state: draining};
     expect(table.merge(late, 1)).toBe(false);
     expect(table.remove('i-1', 1, 1_000)).toBe(false);
     expect(table.get('i-1')).toEqual(next);
     expect(table.changedSince(revision)).toEqual([]);
   });
 
-  test('one that is gone does not come back, the next one serves', () => {
-    const table = tableOf(former);
+  test('one that is gone does not return, and the next one is ready', () => {
+    const table = createTable(previous);
     expect(table.remove('i-1', 1, 1_000)).toBe(true);
-    expect(table.merge({...former, sequence: 51}, 2)).toBe(false);
+    expect(table.merge({...previous, sequence: 51}, 2)).toBe(false);
     expect(table.get('i-1')?.state).toBe(gone);
     expect(table.merge(next, 3)).toBe(true);
     expect(table.get('i-1')?.state).toBe(ready);
   });
 
-  test('a leaving that names none ends the one that is known', () => {
-    const table = tableOf(former, next);
+  test('a leave call without a start time ends the known one', () => {
+    const table = createTable(previous, next);
     expect(table.remove('i-1', 1)).toBe(true);
     expect(table.get('i-1')).toMatchObject({bornAt: 2_000, state: gone});
     expect(table.merge({...next, sequence: 2}, 2)).toBe(false);
     expect(table.merge({...next, bornAt: 3_000}, 3)).toBe(true);
   });
 
-  test('a leaving of a later one that nobody heard of ends the former too', () => {
-    const table = tableOf(former);
+  test('a leave call of an unknown later one ends the earlier one too', () => {
+    const table = createTable(previous);
     expect(table.remove('i-1', 1, 2_000)).toBe(true);
-    expect(table.merge({...former, sequence: 51}, 2)).toBe(false);
+    expect(table.merge({...previous, sequence: 51}, 2)).toBe(false);
     expect(table.merge(next, 2)).toBe(false);
     expect(table.get('i-1')).toMatchObject({bornAt: 2_000, state: gone});
   });
 
-  test('a leaving of an unknown id that names none does not end the next', () => {
+  test('a leave call for an unknown ID without a start time does not end a later one', () => {
     const table = new UpstreamTable();
     expect(table.remove('i-1', 0)).toBe(true);
     expect(table.merge(next, 1)).toBe(true);
     expect(table.get('i-1')?.state).toBe(ready);
   });
 
-  test('a word that names none changes nothing once one is known', () => {
-    const table = tableOf(former);
-    const untold = upstreamOf({sequence: 99, state: draining});
-    expect(table.merge(untold, 1)).toBe(false);
-    expect(table.get('i-1')).toEqual(former);
+  test('a record without a start time changes nothing once a start time is known', () => {
+    const table = createTable(previous);
+    const withoutStart = upstreamOf({sequence: 99, state: draining});
+    expect(table.merge(withoutStart, 1)).toBe(false);
+    expect(table.get('i-1')).toEqual(previous);
   });
 
-  test('one that names its start follows one that names none', () => {
-    const table = tableOf(upstreamOf({sequence: 99}));
+  test('one with a start time replaces one without', () => {
+    const table = createTable(upstreamOf({sequence: 99}));
     expect(table.merge(next, 1)).toBe(true);
     expect(table.get('i-1')).toEqual(next);
   });
 
-  test('one whose clock stepped back waits until the later one is forgotten', () => {
-    const table = tableOf(next);
-    const back = upstreamOf({bornAt: 1_500});
-    expect(table.merge(back, 1)).toBe(false);
+  test('one whose clock was set back is ignored until the later one has expired', () => {
+    const table = createTable(next);
+    const earlier = upstreamOf({bornAt: 1_500});
+    expect(table.merge(earlier, 1)).toBe(false);
     table.expire(60_001);
-    expect(table.merge(back, 60_002)).toBe(true);
+    expect(table.merge(earlier, 60_002)).toBe(true);
   });
 
-  test('the cold time of a former one does not go on', () => {
-    const table = tableOf({...former, coldMs: 5_000});
+  test('a later one does not inherit the warm-up of an earlier one', () => {
+    const table = createTable({...previous, coldMs: 5_000});
     table.merge({...next, coldMs: 1_000}, 100);
     expect(table.coldUntil('i-1')).toBe(1_100);
     table.merge({...next, bornAt: 3_000}, 200);
     expect(table.coldUntil('i-1')).toBe(-Infinity);
   });
 
-  test('a change of version is news', () => {
-    const table = tableOf(former);
+  test('a version change is published', () => {
+    const table = createTable(previous);
     const {revision} = table;
-    const other = {...former, sequence: 51, version: 'v2'};
-    expect(table.merge(other, 1)).toBe(true);
-    expect(table.changedSince(revision)).toEqual([other]);
+    const upgraded = {...previous, sequence: 51, version: 'v2'};
+    expect(table.merge(upgraded, 1)).toBe(true);
+    expect(table.changedSince(revision)).toEqual([upgraded]);
   });
 
   test.each(['__proto__', 'constructor', 'hasOwnProperty'])(
-    'the id %s is one like any other',
+    'the ID %s is handled like any other',
     (id) => {
       const table = new UpstreamTable();
       expect(table.get(id)).toBeUndefined();
@@ -229,143 +231,149 @@
   );
 });
 
-/**
- * Every upstream speaks in order, in one life after the other. Words reach any of
- * two control boxes in any order, twice or late; the boxes tell each other, and an
- * edge hears both.
- */
-describe('Words in any order over two control boxes', () => {
-  interface Word {
+// Two control boxes and an edge must converge on the same state although heartbeats
+// arrive late, repeatedly or out of order.
+describe('Replication of heartbeats over two control boxes', () => {
+  interface Heartbeat {
     readonly record: UpstreamRecord;
-    readonly leaves: boolean;
+    readonly isLeaving: boolean;
   }
 
-  const wordOf = fc
+  const heartbeatArbitrary = fc
     .record({
       bornAt: fc.constantFrom(undefined, 1_000, 2_000, 3_000),
       id: fc.constantFrom('i-1', '__proto__'),
-      leaves: fc.nat(9).map((drawn) => drawn === 0),
+      isLeaving: fc.nat(9).map((value) => value === 0),
       sequence: fc.integer({max: 6, min: 1}),
     })
-    .map(({bornAt, id, leaves, sequence}): Word => {
-      // What a life says is a function of its sequence, as it says each word once.
+    .map(({bornAt, id, isLeaving, sequence}): Heartbeat => {
+      // State is a function of the sequence, as each sequence number is used once.
       const state =
         (sequence * 7 + (bornAt ?? 0) / 1_000) % 3 === 0
           ? UPSTREAM_STATE.draining
           : UPSTREAM_STATE.ready;
       const address = `10.0.0.1:${bornAt ?? 1}`;
       return {
-        leaves,
+        isLeaving,
         record: upstreamOf({address, bornAt, id, sequence, state}),
       };
     });
-  const stepOf = fc.oneof(
-    {arbitrary: fc.record({box: fc.nat(1), word: wordOf}), weight: 3},
+  const stepArbitrary = fc.oneof(
+    {
+      arbitrary: fc.record({box: fc.nat(1), heartbeat: heartbeatArbitrary}),
+      weight: 3,
+    },
     {arbitrary: fc.record({from: fc.nat(1), to: fc.nat(2)}), weight: 2},
   );
 
-  class Spread {
+  class ReplicaNetwork {
     readonly tables = [0, 1, 2].map(() => new UpstreamTable());
-    private readonly heard = new Map<string, number>();
+    private readonly receivedRevisions = new Map<string, number>();
 
-    tell(from: number, to: number): void {
-      const [giver, taker] = [this.tables[from], this.tables[to]];
-      if (giver === undefined || taker === undefined || from === to) {
+    replicate(from: number, to: number): void {
+      const [source, target] = [this.tables[from], this.tables[to]];
+      if (source === undefined || target === undefined || from === to) {
         return;
       }
-      const since = this.heard.get(`${from} ${to}`) ?? 0;
-      this.heard.set(`${from} ${to}`, giver.revision);
-      for (const record of giver.changedSince(since)) {
-        taker.merge(record, 0);
+      const since = this.receivedRevisions.get(`${from} ${to}`) ?? 0;
+      this.receivedRevisions.set(`${from} ${to}`, source.revision);
+      for (const record of source.changedSince(since)) {
+        target.merge(record, 0);
       }
     }
 
-    settle(): void {
+    replicateAll(): void {
       for (let round = 0; round < 4; round += 1) {
         for (const from of [0, 1]) {
-          for (const to of [0, 1, 2].filter((at) => at !== from)) {
-            this.tell(from, to);
+          for (const to of [0, 1, 2].filter((index) => index !== from)) {
+            this.replicate(from, to);
           }
         }
       }
     }
   }
 
-  /** What all must end with: the newest life's end, or its last word. */
-  function expected(words: readonly Word[], id: string) {
-    const own = words.filter(({record}) => record.id === id);
-    const newest = own.reduce<number>(
+  /** Returns the final state of the latest incarnation: gone, or its last heartbeat. */
+  function expectedState(heartbeats: readonly Heartbeat[], id: string) {
+    const own = heartbeats.filter(({record}) => record.id === id);
+    const latestStart = own.reduce<number>(
       (latest, {record}) => Math.max(latest, record.bornAt ?? -Infinity),
       -Infinity,
     );
-    const said = own.filter(
-      ({record}) => (record.bornAt ?? -Infinity) === newest,
+    const latest = own.filter(
+      ({record}) => (record.bornAt ?? -Infinity) === latestStart,
     );
-    const last = said.reduce<Word | undefined>((best, word) => {
+    const last = latest.reduce<Heartbeat | undefined>((best, heartbeat) => {
       const sequence = best?.record.sequence ?? -Infinity;
-      return word.record.sequence > sequence ? word : best;
+      return heartbeat.record.sequence > sequence ? heartbeat : best;
     }, undefined);
-    const state = said.some(({leaves}) => leaves)
+    const state = latest.some(({isLeaving}) => isLeaving)
       ? UPSTREAM_STATE.gone
       : last?.record.state;
     return {bornAt: last?.record.bornAt, state};
   }
 
-  test('all end with the newest life, and with its end or its last word', () => {
+  test('all tables converge on the final state of the latest incarnation', () => {
     fc.assert(
-      fc.property(fc.array(stepOf, {maxLength: 40, size: 'max'}), (steps) => {
-        const spread = new Spread();
-        const words: Word[] = [];
-        for (const step of steps) {
-          if ('from' in step) {
-            spread.tell(step.from, step.to);
-            continue;
+      fc.property(
+        fc.array(stepArbitrary, {maxLength: 40, size: 'max'}),
+        (steps) => {
+          const network = new ReplicaNetwork();
+          const heartbeats: Heartbeat[] = [];
+          for (const step of steps) {
+            if ('from' in step) {
+              network.replicate(step.from, step.to);
+              continue;
+            }
+            const {isLeaving, record} = step.heartbeat;
+            // Without a start time, a leave call would end the known incarnation.
+            const hasStart = record.bornAt !== undefined;
+            heartbeats.push({isLeaving: isLeaving && hasStart, record});
+            network.tables[step.box]?.merge(record, 0);
+            if (isLeaving && hasStart) {
+              network.tables[step.box]?.remove(record.id, 0, record.bornAt);
+            }
           }
-          const {leaves, record} = step.word;
-          // Without a life it is the known one that leaves; see the cases above.
-          const hasLife = record.bornAt !== undefined;
-          words.push({leaves: leaves && hasLife, record});
-          spread.tables[step.box]?.merge(record, 0);
-          if (leaves && hasLife) {
-            spread.tables[step.box]?.remove(record.id, 0, record.bornAt);
+          network.replicateAll();
+          for (const id of new Set(heartbeats.map(({record}) => record.id))) {
+            const expected = expectedState(heartbeats, id);
+            const actual = network.tables.map((table) => {
+              const {bornAt, state} = table.get(id) ?? {};
+              return {bornAt, state};
+            });
+            expect(actual).toEqual([expected, expected, expected]);
           }
-        }
-        spread.settle();
-        for (const id of new Set(words.map(({record}) => record.id))) {
-          const wanted = expected(words, id);
-          const found = spread.tables.map((table) => {
-            const {bornAt, state} = table.get(id) ?? {};
-            return {bornAt, state};
-          });
-          expect(found).toEqual([wanted, wanted, wanted]);
-        }
-      }),
+        },
+      ),
       {numRuns: 2_000, seed: 11},
     );
   });
 
-  test('no step brings a former life back', () => {
+  test('no step restores an earlier incarnation', () => {
     fc.assert(
-      fc.property(fc.array(stepOf, {maxLength: 40, size: 'max'}), (steps) => {
-        const spread = new Spread();
-        const newest = new Map<string, number>();
-        for (const step of steps) {
-          if ('from' in step) {
-            spread.tell(step.from, step.to);
-          } else {
-            spread.tables[step.box]?.merge(step.word.record, 0);
-          }
-          for (const [at, table] of spread.tables.entries()) {
-            for (const {bornAt = -Infinity, id} of table.records()) {
-              const key = `${at} ${id}`;
-              expect(bornAt).toBeGreaterThanOrEqual(
-                newest.get(key) ?? -Infinity,
-              );
-              newest.set(key, bornAt);
+      fc.property(
+        fc.array(stepArbitrary, {maxLength: 40, size: 'max'}),
+        (steps) => {
+          const network = new ReplicaNetwork();
+          const latestStarts = new Map<string, number>();
+          for (const step of steps) {
+            if ('from' in step) {
+              network.replicate(step.from, step.to);
+            } else {
+              network.tables[step.box]?.merge(step.heartbeat.record, 0);
+            }
+            for (const [index, table] of network.tables.entries()) {
+              for (const {bornAt = -Infinity, id} of table.records()) {
+                const key = `${index} ${id}`;
+                expect(bornAt).toBeGreaterThanOrEqual(
+                  latestStarts.get(key) ?? -Infinity,
+                );
+                latestStarts.set(key, bornAt);
+              }
             }
           }
-        }
-      }),
+        },
+      ),
       {numRuns: 500, seed: 12},
     );
   });
