--- a/packages/puffinturn-bench/src/EdgeBench.ts
+++ b/packages/puffinturn-bench/src/EdgeBench.ts
@@ -307,7 +307,7 @@
     `POST /${service}/1?q=2 HTTP/1.1`,
     `Host: ${BENCH_HOST}`,
     `${BENCH_HEADERS.requestId}: ${id}`,
-    `${BENCH_HEADERS.key}: ${BENCH_KEY}`,
+    `${BENCH_HEADERS.credential}: ${BENCH_KEY}`,
     `${BENCH_HEADERS.deadline}: 20000`,
     ...(service === STREAM_SERVICE
       ? [`${PARTS_HEADER}: aa:600,${session}:300`, `${TOKENS_HEADER}: 900,30`]
--- a/packages/puffinturn-bench/src/EdgeProcess.ts
+++ b/packages/puffinturn-bench/src/EdgeProcess.ts
@@ -6,13 +6,13 @@
  */
 
 /**
- * One edge as a process of its own, with a dialect and a configuration for
+ * One edge as a process of its own, with a protocol and a configuration for
  * measurements. No control box exists: the configuration and the upstreams are
  * given at the start, so nothing but requests costs processor time.
  */
 import {JsonDecisionLog} from 'puffinturn-decisions';
-import type {PromptPart, TokenBounds} from 'puffinturn-edge';
-import {CallerDialect, Edge} from 'puffinturn-edge';
+import type {PromptPart, TokenCounts} from 'puffinturn-edge';
+import {CallerProtocol, Edge} from 'puffinturn-edge';
 import type {
   FleetConfiguration,
   Route,
@@ -57,11 +57,11 @@
 export const BENCH_HEADERS = {
   deadline: 'x-deadline',
   expectedUpstream: 'x-upstream',
-  key: 'x-key',
-  lastEvent: 'last-event-id',
-  leaving: 'x-leaving',
-  limit: 'x-limit',
-  notRun: 'x-not-run',
+  credential: 'x-key',
+  lastEventId: 'last-event-id',
+  draining: 'x-leaving',
+  rateLimit: 'x-limit',
+  notExecuted: 'x-not-run',
   prefixSource: 'x-prefix-source',
   priority: 'x-priority',
   requestId: 'x-request-id',
@@ -84,19 +84,21 @@
 const SUCCESS_SAMPLE = 20;
 
 /** Requests like those of a model engine: parts of a prompt, tokens in and out. */
-class BenchDialect extends CallerDialect {
+class BenchProtocol extends CallerProtocol {
   override readonly headers = BENCH_HEADERS;
 
-  override tokensOf(
+  override parseTokenCounts(
     header: (name: string) => string | undefined,
-  ): TokenBounds | undefined {
-    const [prompt, most] = (header(TOKENS_HEADER) ?? '').split(',').map(Number);
-    return prompt === undefined || most === undefined
+  ): TokenCounts | undefined {
+    const [promptTokens, maxCompletionTokens] = (header(TOKENS_HEADER) ?? '')
+      .split(',')
+      .map(Number);
+    return promptTokens === undefined || maxCompletionTokens === undefined
       ? undefined
-      : {most, prompt};
+      : {maxCompletionTokens, promptTokens};
   }
 
-  override partsOf(
+  override parsePromptParts(
     header: (name: string) => string | undefined,
   ): readonly PromptPart[] {
     const text = header(PARTS_HEADER);
@@ -109,7 +111,7 @@
     });
   }
 
-  override priorityOf(team: number, route: number): number {
+  override computePriority(team: number, route: number): number {
     return team + route;
   }
 }
@@ -120,10 +122,10 @@
   const clock = new SystemClock();
   const random = new Random(1);
   const edge = await Edge.open({
-    callers: {host: HOST, port: settings.callerPort},
+    callerAddress: {host: HOST, port: settings.callerPort},
     clock,
     coldTolerance: {extra: 1, overage: 1},
-    dialect: new BenchDialect(),
+    protocol: new BenchProtocol(),
     link: new MemoryNetwork(clock, random).connect('edge'),
     log: new JsonDecisionLog({
       box: 'edge',
@@ -131,16 +133,16 @@
       now: () => clock.now(),
       successSample: SUCCESS_SAMPLE,
     }),
-    metrics: {host: HOST, path: '/metrics', port: settings.metricsPort},
+    metricsAddress: {host: HOST, path: '/metrics', port: settings.metricsPort},
     random,
-    ready: {host: HOST, path: READY_PATH, port: settings.readyPort},
+    readinessAddress: {host: HOST, path: READY_PATH, port: settings.readyPort},
     regions: new Regions(),
-    retryBound: {extra: 50, ratio: 0.2},
+    retryLimit: {extra: 50, ratio: 0.2},
     seeds: () => [],
     self: {box: 'edge', hall: HALL, incarnation: '1', role: BOX_ROLE.edge},
   });
   invariant(edge.isOk(), 'the ports are free');
-  edge.value.configure(configuration(), 'bench');
+  edge.value.applyConfiguration(configuration(), 'bench');
   edge.value.pool.merge(settings.upstreams.map(recordOf), 'bench');
   await new Promise((resolve) => process.once('disconnect', resolve));
 }
--- a/packages/puffinturn-decisions/src/Decision.ts
+++ b/packages/puffinturn-decisions/src/Decision.ts
@@ -19,7 +19,7 @@
 }
 
 /** What one edge knew of a team's tokens; amounts in tokens. */
-export interface TokenFacts {
+export interface TokenState {
   /** Tokens here, reserved ones included. */
   readonly held: number;
   readonly reserved: number;
@@ -52,7 +52,7 @@
   /** Upstreams that had no permit left for it, the first few. */
   readonly heldBackBy?: readonly string[] | undefined;
   /** What a refusal for want of tokens rested on. */
-  readonly tokens?: TokenFacts | undefined;
+  readonly tokens?: TokenState | undefined;
 }
 
 /** One attempt at an upstream that did not end in an answer. */
--- a/packages/puffinturn-decisions/src/index.ts
+++ b/packages/puffinturn-decisions/src/index.ts
@@ -12,7 +12,7 @@
   TeamAmount,
   TeamGrants,
   TeamTokens,
-  TokenFacts,
+  TokenState,
   VersionAnswers,
 } from './Decision';
 export type {DecisionLogParts} from './DecisionLog';
--- a/packages/puffinturn-edge/src/ControlQuestions.ts
+++ b/packages/puffinturn-edge/src/ControlRequests.ts
@@ -15,13 +15,13 @@
 const MAX_ATTEMPTS = 3;
 
 /** A request to the control plane. */
-export interface ControlQuestion {
+export interface ControlRequest {
   readonly service: string;
   readonly request: unknown;
   /** Timeout for the reply of one control box, ms. */
-  readonly answerMs: number;
+  readonly timeoutMs: number;
   /** Called for each control box that fails to reply. */
-  readonly onSilent?: () => void;
+  readonly onUnanswered?: () => void;
 }
 
 /** A reply without grants means that the request can be repeated. */
@@ -30,16 +30,16 @@
 }
 
 /** Returns the first reply that `isAccepted` accepts; undefined if there is none. */
-export async function askControls<Reply>(
+export async function callControlBoxes<Reply>(
   link: Link,
   controlBoxes: readonly string[],
-  {answerMs, onSilent, request, service}: ControlQuestion,
+  {timeoutMs, onUnanswered, request, service}: ControlRequest,
   isAccepted: (reply: Reply) => boolean,
 ): Promise<Reply | undefined> {
   for (const box of controlBoxes.slice(0, MAX_ATTEMPTS)) {
-    const result = await link.call(box, service, request, answerMs);
+    const result = await link.call(box, service, request, timeoutMs);
     if (result.isErr()) {
-      onSilent?.();
+      onUnanswered?.();
       continue;
     }
     const reply = result.value as Reply;
@@ -51,12 +51,12 @@
 }
 
 /** Returns the grants of the first reply that has any; undefined if there is none. */
-export async function askForGrants<Grants>(
+export async function requestGrants<Grants>(
   link: Link,
   controlBoxes: readonly string[],
-  request: ControlQuestion,
+  request: ControlRequest,
 ): Promise<Grants | undefined> {
-  const reply = await askControls<GrantsReply<Grants>>(
+  const reply = await callControlBoxes<GrantsReply<Grants>>(
     link,
     controlBoxes,
     request,
--- a/packages/puffinturn-edge/src/Edge.ts
+++ b/packages/puffinturn-edge/src/Edge.ts
@@ -36,38 +36,41 @@
 import type {Link} from 'puffinturn-wire';
 import type {Clock, Random} from 'shared';
 
-import {BacklogLogger} from './callers/BacklogLines';
-import type {BacklogMonitor} from './callers/BacklogWatch';
-import type {CallerDialect} from './callers/CallerDialect';
+import {BacklogLogger} from './callers/BacklogLogger';
+import type {BacklogMonitor} from './callers/BacklogMonitor';
+import type {CallerProtocol} from './callers/CallerProtocol';
 import {CallerRequest} from './callers/CallerRequest';
-import type {HttpAddress, HttpListenFailure} from './callers/EdgeHttp';
-import {headerBytes, HttpListener} from './callers/EdgeHttp';
-import {OverloadWithdrawal} from './callers/StepAside';
-import {RETRY_AFTER_MISSING_S, RETRY_AFTER_STOPPING_S} from './EdgeConstants';
+import type {HttpAddress, HttpListenFailure} from './callers/HttpListener';
+import {headerBytes, HttpListener} from './callers/HttpListener';
+import {OverloadWithdrawal} from './callers/OverloadWithdrawal';
+import {
+  RETRY_AFTER_DRAINING_S,
+  RETRY_AFTER_UNAVAILABLE_S,
+} from './EdgeConstants';
 import {EdgeMetrics} from './EdgeMetrics';
-import {EdgeUpdates} from './EdgeNews';
+import {EdgeUpdates} from './EdgeUpdates';
 import {KnownBoxes} from './KnownBoxes';
-import {Neighbours} from './Neighbours';
-import {CrossingEpisodes} from './regions/CrossingEpisodes';
-import {RegionCrossing} from './regions/RegionCrossing';
-import {RegionTraffic} from './regions/RegionTraffic';
-import {WakeRefresh} from './Renewal';
-import {CrashingRequests} from './requests/CrashingRequests';
-import type {ForwardingParts} from './requests/Forwarding';
-import {Forwarding} from './requests/Forwarding';
-import type {RetryBound} from './requests/RetryBudgets';
+import {NeighbourRecovery} from './NeighbourRecovery';
+import {CrossRegionEpisodes} from './regions/CrossRegionEpisodes';
+import {RegionByteCounter} from './regions/RegionByteCounter';
+import {RegionLinkBudget} from './regions/RegionLinkBudget';
+import type {RequestForwarderParts} from './requests/RequestForwarder';
+import {RequestForwarder} from './requests/RequestForwarder';
+import {RequestQuarantine} from './requests/RequestQuarantine';
+import type {RetryLimit} from './requests/RetryBudgets';
 import {RetryBudgets} from './requests/RetryBudgets';
 import {RouteTable} from './requests/RouteTable';
-import {ExposureExchange} from './rollouts/ExposureExchange';
-import {Exposures} from './rollouts/Exposures';
+import {ResponseTotals} from './ResponseTotals';
+import {ExposureController} from './rollouts/ExposureController';
+import {ExposureReporter} from './rollouts/ExposureReporter';
 import {Allowances} from './tokens/Allowances';
-import {Totals} from './Totals';
-import {HomeProbes} from './upstreams/HomeProbes';
-import {LimitReports} from './upstreams/LimitReports';
-import {ReturnTimes} from './upstreams/ReturnTimes';
+import {LimitReporter} from './upstreams/LimitReporter';
+import {LowestLatency, PowerOfTwoChoices} from './upstreams/LoadBalancer';
+import {RecoveryProbes} from './upstreams/RecoveryProbes';
+import {RetrySchedule} from './upstreams/RetrySchedule';
 import {PermitAdmission} from './upstreams/UpstreamAdmission';
-import {ExpectedTime, ShorterWait} from './upstreams/UpstreamChoice';
 import {UpstreamPool} from './upstreams/UpstreamPool';
+import {WakeRefresh} from './WakeRefresh';
 
 /** Dependencies and addresses of an edge. */
 export interface EdgeParts {
@@ -77,12 +80,12 @@
   readonly random: Random;
   readonly link: Link;
   readonly log: DecisionLog;
-  readonly dialect: CallerDialect;
-  readonly retryBound: RetryBound;
+  readonly protocol: CallerProtocol;
+  readonly retryLimit: RetryLimit;
   readonly coldTolerance: ColdTolerance;
-  readonly callers: HttpAddress;
-  readonly ready: HttpAddress & {readonly path: string};
-  readonly metrics: HttpAddress & {readonly path: string};
+  readonly callerAddress: HttpAddress;
+  readonly readinessAddress: HttpAddress & {readonly path: string};
+  readonly metricsAddress: HttpAddress & {readonly path: string};
   /** The region of each hall; may change at run time. */
   readonly regions: Regions;
 }
@@ -116,18 +119,18 @@
   readonly metrics = new EdgeMetrics();
   readonly pool: UpstreamPool;
   /** Requests that are quarantined because they crash upstreams. */
-  readonly crashingRequests: CrashingRequests;
+  readonly quarantine: RequestQuarantine;
   private readonly allowances: Allowances;
-  private readonly exposures: Exposures;
-  private readonly exposureExchange: ExposureExchange;
-  private readonly totals: Totals;
-  private readonly crossingEpisodes: CrossingEpisodes;
+  private readonly exposureController: ExposureController;
+  private readonly exposureReporter: ExposureReporter;
+  private readonly responseTotals: ResponseTotals;
+  private readonly crossRegionEpisodes: CrossRegionEpisodes;
   private readonly fleetWatch: FleetWatch;
-  private readonly neighbourRecovery: Neighbours;
+  private readonly neighbourRecovery: NeighbourRecovery;
   private readonly withdrawal: OverloadWithdrawal;
   private readonly permits: Permits;
-  private readonly limitReports: LimitReports;
-  private readonly forwarding: ForwardingParts;
+  private readonly limitReporter: LimitReporter;
+  private readonly forwarderParts: RequestForwarderParts;
   private readonly listeners: HttpListener[] = [];
   /** Undefined until all servers listen. */
   private backlogMonitor: BacklogMonitor | undefined;
@@ -151,18 +154,18 @@
     this.lastRequestAt = this.startedAt;
     this.knownBoxes = new KnownBoxes(parts);
     this.pool = new UpstreamPool(clock, log);
-    // Must exist before the fleet watch, which reads the roll-out revision at once.
-    this.exposures = new Exposures({
+    // Must exist before the fleet watch, which reads the rollout revision at once.
+    this.exposureController = new ExposureController({
       clock,
       log,
       metrics: this.metrics,
       pool: this.pool,
       random,
     });
-    this.crashingRequests = new CrashingRequests({
+    this.quarantine = new RequestQuarantine({
       box: self.box,
       clock,
-      controls: () => this.controlBoxes(),
+      controlBoxes: () => this.controlBoxes(),
       link,
       log,
       metrics: this.metrics,
@@ -180,34 +183,36 @@
     this.allowances = new Allowances({
       box: self.box,
       clock,
-      controls: () => this.controlBoxes(),
+      controlBoxes: () => this.controlBoxes(),
       hall: self.hall,
-      life: lifeOf(self),
+      incarnationId: lifeOf(self),
       link,
       log,
       peers: () => this.knownBoxes.peers,
       regions,
     });
-    this.exposureExchange = new ExposureExchange({
+    this.exposureReporter = new ExposureReporter({
       box: self.box,
       clock,
-      controls: () => this.controlBoxes(),
-      exposures: this.exposures,
-      life: lifeOf(self),
+      controlBoxes: () => this.controlBoxes(),
+      exposureController: this.exposureController,
+      incarnationId: lifeOf(self),
       link,
     });
-    this.totals = new Totals(clock, log, () => this.allowances.status());
-    this.crossingEpisodes = new CrossingEpisodes(clock, log);
-    this.neighbourRecovery = new Neighbours({
+    this.responseTotals = new ResponseTotals(clock, log, () =>
+      this.allowances.status(),
+    );
+    this.crossRegionEpisodes = new CrossRegionEpisodes(clock, log);
+    this.neighbourRecovery = new NeighbourRecovery({
       clock,
-      edges: () => this.knownBoxes.peers,
-      inTouch: () => this.fleetWatch.inTouch,
+      otherEdges: () => this.knownBoxes.peers,
+      isControlReachable: () => this.fleetWatch.inTouch,
       link,
       needsState: () => this.needsState,
       regions,
       self,
-      state: () => this.handoverState(),
-      take: (state, source) => this.applyHandover(state, source),
+      getState: () => this.handoverState(),
+      applyState: (state, source) => this.applyHandover(state, source),
     });
     this.withdrawal = new OverloadWithdrawal({
       clock,
@@ -239,51 +244,51 @@
       self,
     });
     const admission = new PermitAdmission(this.permits);
-    this.limitReports = new LimitReports({
+    this.limitReporter = new LimitReporter({
       admission,
       box: self.box,
       clock,
-      controls: () => this.controlBoxes(),
+      controlBoxes: () => this.controlBoxes(),
       link,
       pool: this.pool,
     });
-    this.forwarding = {
+    this.forwarderParts = {
       admission,
       allowances: this.allowances,
       clock,
-      crossing: new RegionCrossing({
+      linkBudget: new RegionLinkBudget({
         clock,
-        edges: () => this.knownBoxes.regionEdgeCount,
-        episodes: this.crossingEpisodes,
+        countEdges: () => this.knownBoxes.regionEdgeCount,
+        episodes: this.crossRegionEpisodes,
         hall: self.hall,
         regions,
       }),
-      dialect: parts.dialect,
-      engineChoice: new ExpectedTime(),
-      crashing: this.crashingRequests,
-      homeProbes: new HomeProbes(clock),
-      exposures: this.exposures,
-      limitReports: this.limitReports,
+      protocol: parts.protocol,
+      engineBalancer: new LowestLatency(),
+      quarantine: this.quarantine,
+      recoveryProbes: new RecoveryProbes(clock),
+      exposureController: this.exposureController,
+      limitReporter: this.limitReporter,
       log,
       metrics: this.metrics,
-      newestRegions: (route, team) =>
-        this.routeTable?.allowedRegions(route, team),
-      plainChoice: new ShorterWait(random),
+      latestAllowedRegions: (route, team) =>
+        this.routeTable?.findAllowedRegions(route, team),
+      plainBalancer: new PowerOfTwoChoices(random),
       pool: this.pool,
       random,
-      regionTraffic: new RegionTraffic(this.metrics),
+      regionByteCounter: new RegionByteCounter(this.metrics),
       regions,
       retryBudgets: new RetryBudgets(
-        parts.retryBound,
+        parts.retryLimit,
         () => this.knownBoxes.edgeCount,
       ),
-      returnTimes: new ReturnTimes(
+      retrySchedule: new RetrySchedule(
         clock,
         random,
         () => this.knownBoxes.edgeCount,
       ),
       hall: self.hall,
-      totals: this.totals,
+      responseTotals: this.responseTotals,
     };
   }
 
@@ -292,13 +297,13 @@
     const edge = new Edge(parts);
     return safeTry(async function* () {
       edge.listeners.push(
-        yield* HttpListener.open(parts.callers, (request, response) =>
+        yield* HttpListener.open(parts.callerAddress, (request, response) =>
           edge.handleRequest(request, response),
         ),
-        yield* HttpListener.open(parts.ready, (request, response) =>
+        yield* HttpListener.open(parts.readinessAddress, (request, response) =>
           edge.answerReady(request, response),
         ),
-        yield* HttpListener.open(parts.metrics, (request, response) =>
+        yield* HttpListener.open(parts.metricsAddress, (request, response) =>
           edge.answerMetrics(request, response),
         ),
       );
@@ -336,7 +341,7 @@
   }
 
   /** Applies a configuration if it is newer than the current one. */
-  configure(configuration: FleetConfiguration, source: string): void {
+  applyConfiguration(configuration: FleetConfiguration, source: string): void {
     const previousVersion = this.routeTable?.version;
     if (
       previousVersion !== undefined &&
@@ -360,29 +365,29 @@
   applyConfigurationChange(change: ConfigurationChange, source: string): void {
     const current = this.routeTable?.configuration;
     if (current?.version === change.base) {
-      this.configure(applyChange(current, change), source);
+      this.applyConfiguration(applyChange(current, change), source);
     }
   }
 
   /** Applies evacuations if they are newer than the current ones. */
   applyEvacuations(evacuations: Evacuations, source: string): void {
-    this.pool.evacuate(evacuations, source, (service) => {
-      return this.routeTable?.service(service)?.coldStart?.durationMs ?? 0;
+    this.pool.applyEvacuations(evacuations, source, (service) => {
+      return this.routeTable?.findService(service)?.coldStart?.durationMs ?? 0;
     });
   }
 
-  /** Revision of the current roll-outs. */
+  /** Revision of the current rollouts. */
   get rolloutRevision(): number {
-    return this.exposures.rollouts.revision;
+    return this.exposureController.rollouts.revision;
   }
 
-  /** Applies roll-outs if they are newer than the current ones. */
+  /** Applies rollouts if they are newer than the current ones. */
   applyRollouts(rollouts: Rollouts, source: string): void {
-    this.exposures.adopt(rollouts, source);
+    this.exposureController.adopt(rollouts, source);
   }
 
   /** Replaces the list of boxes. */
-  learnBoxes(records: readonly BoxRecord[]): void {
+  updateBoxes(records: readonly BoxRecord[]): void {
     this.knownBoxes.update(records);
   }
 
@@ -427,13 +432,13 @@
     await Promise.all(
       this.listeners.map((listener) => listener[Symbol.asyncDispose]()),
     );
-    await this.totals[Symbol.asyncDispose]();
-    await this.crossingEpisodes[Symbol.asyncDispose]();
-    await this.crashingRequests[Symbol.asyncDispose]();
-    await this.limitReports[Symbol.asyncDispose]();
+    await this.responseTotals[Symbol.asyncDispose]();
+    await this.crossRegionEpisodes[Symbol.asyncDispose]();
+    await this.quarantine[Symbol.asyncDispose]();
+    await this.limitReporter[Symbol.asyncDispose]();
     this.permits[Symbol.dispose]();
     await this.allowances[Symbol.asyncDispose]();
-    await this.exposureExchange[Symbol.asyncDispose]();
+    await this.exposureReporter[Symbol.asyncDispose]();
     await this.neighbourRecovery[Symbol.asyncDispose]();
     await this.withdrawal[Symbol.asyncDispose]();
     await this.fleetWatch[Symbol.asyncDispose]();
@@ -458,20 +463,20 @@
           boxes: this.knownBoxes.all,
           configuration,
           evacuations: this.pool.evacuations,
-          quarantine: this.crashingRequests.quarantine,
-          rollouts: this.exposures.rollouts,
+          quarantine: this.quarantine.current,
+          rollouts: this.exposureController.rollouts,
           upstreams: this.pool.records(),
         };
   }
 
   private applyHandover(handover: HandOver, source: string): void {
-    this.learnBoxes(handover.boxes);
+    this.updateBoxes(handover.boxes);
     this.fleetWatch.learn(handover.boxes);
     this.applyRollouts(handover.rollouts ?? NO_ROLLOUTS, source);
     this.pool.merge(handover.upstreams, source);
-    this.configure(handover.configuration, source);
+    this.applyConfiguration(handover.configuration, source);
     this.applyEvacuations(handover.evacuations ?? NO_EVACUATIONS, source);
-    this.crashingRequests.adopt(handover.quarantine ?? NO_QUARANTINE, source);
+    this.quarantine.adopt(handover.quarantine ?? NO_QUARANTINE, source);
     this.hasHandover = true;
   }
 
@@ -499,7 +504,7 @@
     request: IncomingMessage,
     response: ServerResponse,
   ): void {
-    const {clock, dialect} = this.parts;
+    const {clock, protocol} = this.parts;
     const now = clock.now();
     this.lastRequestAt = now;
     const arrivedAt =
@@ -507,14 +512,14 @@
     const caller = new CallerRequest(
       request,
       response,
-      dialect.headers,
+      protocol.headers,
       arrivedAt,
     );
-    caller.closing = this.isStopping;
+    caller.closesConnection = this.isStopping;
     request.on('error', () => undefined);
     response.on('error', () => undefined);
     if (this.routeTable === undefined) {
-      this.refuse(caller, 503, 'no-configuration', RETRY_AFTER_MISSING_S);
+      this.refuse(caller, 503, 'no-configuration', RETRY_AFTER_UNAVAILABLE_S);
       return;
     }
     const {maxHeaderBytes} = this.routeTable.configuration.limits;
@@ -523,11 +528,11 @@
       return;
     }
     if (this.rejectsRequests) {
-      this.refuse(caller, 503, 'stopping', RETRY_AFTER_STOPPING_S);
+      this.refuse(caller, 503, 'stopping', RETRY_AFTER_DRAINING_S);
       return;
     }
     this.openRequests += 1;
-    void new Forwarding(this.forwarding, this.routeTable, caller)
+    void new RequestForwarder(this.forwarderParts, this.routeTable, caller)
       .run()
       .finally(() => (this.openRequests -= 1));
   }
@@ -540,16 +545,16 @@
     retryAfterS?: number,
   ): void {
     caller.incoming.resume();
-    caller.refuse(status, cause, retryAfterS);
-    this.totals.count(status, cause);
+    caller.sendError(status, cause, retryAfterS);
+    this.responseTotals.recordResponse(status, cause);
   }
 
   private answerReady(
     request: IncomingMessage,
     response: ServerResponse,
   ): void {
-    const {log, ready} = this.parts;
-    if (request.url !== ready.path) {
+    const {log, readinessAddress} = this.parts;
+    if (request.url !== readinessAddress.path) {
       response.writeHead(404).end();
       return;
     }
@@ -576,13 +581,13 @@
       openRequests,
       registry,
     } = this.metrics;
-    if (request.url !== this.parts.metrics.path) {
+    if (request.url !== this.parts.metricsAddress.path) {
       response.writeHead(404).end();
       return;
     }
     openRequests.set(this.openRequests);
     crossRegionCallBytes.set(this.knownBoxes.crossRegionBytes);
-    limitedUpstreams.set(this.pool.limitedUpstreams);
+    limitedUpstreams.set(this.pool.limitedUpstreamCount);
     backlogAge.set((this.backlogMonitor?.queueAgeMs ?? 0) / 1_000);
     controlReachable.set(this.fleetWatch.inTouch ? 1 : 0);
     for (const tokens of this.allowances.status()) {
--- a/packages/puffinturn-edge/src/EdgeMetrics.ts
+++ b/packages/puffinturn-edge/src/EdgeMetrics.ts
@@ -16,7 +16,7 @@
 /** The metrics of one edge and their registry. */
 export class EdgeMetrics {
   readonly registry = new Registry();
-  readonly answers = new Counter({
+  readonly responses = new Counter({
     help: 'Answers to callers by route, status and cause',
     labelNames: ['route', 'status', 'cause'],
     name: 'puffinturn_edge_answers_total',
--- a/packages/puffinturn-edge/src/EdgeNews.ts
+++ b/packages/puffinturn-edge/src/EdgeUpdates.ts
@@ -33,7 +33,7 @@
     configuration: FleetConfiguration,
     source: string,
   ): void {
-    this.edge.configure(configuration, source);
+    this.edge.applyConfiguration(configuration, source);
   }
 
   override configurationChange(
@@ -60,11 +60,11 @@
   }
 
   override get quarantineRevision(): number {
-    return this.edge.crashingRequests.quarantine.revision;
+    return this.edge.quarantine.current.revision;
   }
 
   override quarantine(quarantine: Quarantine, source: string): void {
-    this.edge.crashingRequests.adopt(quarantine, source);
+    this.edge.quarantine.adopt(quarantine, source);
   }
 
   override upstreams(records: readonly UpstreamRecord[], source: string): void {
@@ -72,6 +72,6 @@
   }
 
   override boxes(records: readonly BoxRecord[]): void {
-    this.edge.learnBoxes(records);
+    this.edge.updateBoxes(records);
   }
 }
--- a/packages/puffinturn-edge/src/Neighbours.ts
+++ b/packages/puffinturn-edge/src/NeighbourRecovery.ts
@@ -37,30 +37,30 @@
 const NEIGHBOUR_COUNT = 2;
 
 /** Dependencies of the neighbour recovery. */
-export interface NeighboursParts {
+export interface NeighbourRecoveryParts {
   readonly self: BoxRecord;
   readonly regions: Regions;
   readonly clock: Clock;
   readonly link: Link;
   /** Edges of all halls, without this one. */
-  readonly edges: () => readonly BoxRecord[];
+  readonly otherEdges: () => readonly BoxRecord[];
   /** Whether the control plane is reachable. */
-  readonly inTouch: () => boolean;
+  readonly isControlReachable: () => boolean;
   /** Whether this edge has no configuration and can't reach the control plane. */
   readonly needsState: () => boolean;
   /** The state to send to an edge that has none; undefined if this edge has none. */
-  readonly state: () => HandOver | undefined;
+  readonly getState: () => HandOver | undefined;
   /** Applies the state received from another edge. */
-  readonly take: (handover: HandOver, source: string) => void;
+  readonly applyState: (handover: HandOver, source: string) => void;
 }
 
 /** Probes the successors in the ring, and serves the probes of other edges. */
-export class Neighbours implements AsyncDisposable {
+export class NeighbourRecovery implements AsyncDisposable {
   private readonly tasks = new TaskGroup();
   private readonly handlers = new DisposableList();
 
-  constructor(private readonly parts: NeighboursParts) {
-    const {link, needsState, take} = parts;
+  constructor(private readonly parts: NeighbourRecoveryParts) {
+    const {link, needsState, applyState} = parts;
     this.handlers.add(
       link.register(FLEET_SERVICE.greet, async (): Promise<GreetReply> => ({
         needsState: needsState(),
@@ -69,7 +69,7 @@
     this.handlers.add(
       link.register(FLEET_SERVICE.handOver, async (body, from) => {
         if (needsState()) {
-          take(body as HandOver, from);
+          applyState(body as HandOver, from);
         }
         return null;
       }),
@@ -83,15 +83,15 @@
   }
 
   private async run(signal: AbortSignal): Promise<void> {
-    const {clock, inTouch, needsState} = this.parts;
+    const {clock, isControlReachable, needsState} = this.parts;
     let probedAt = clock.now();
     while (!signal.aborted) {
       await clock.sleep(
-        inTouch() ? CHECK_INTERVAL_MS : OUTAGE_PROBE_INTERVAL_MS,
+        isControlReachable() ? CHECK_INTERVAL_MS : OUTAGE_PROBE_INTERVAL_MS,
         signal,
       );
       const isWithinInterval =
-        inTouch() && clock.now() - probedAt < PROBE_INTERVAL_MS;
+        isControlReachable() && clock.now() - probedAt < PROBE_INTERVAL_MS;
       if (signal.aborted || isWithinInterval || needsState()) {
         continue;
       }
@@ -103,14 +103,14 @@
   }
 
   private async probeNeighbour(box: string): Promise<void> {
-    const {link, state} = this.parts;
+    const {link, getState} = this.parts;
     const reply = await link.call(
       box,
       FLEET_SERVICE.greet,
       null,
       PROBE_TIMEOUT_MS,
     );
-    const handover = state();
+    const handover = getState();
     if (reply.isErr() || handover === undefined) {
       return;
     }
@@ -126,9 +126,9 @@
 
   /** Returns the edges that follow this one in the ring. */
   private successors(): readonly string[] {
-    const {edges, regions, self} = this.parts;
+    const {otherEdges, regions, self} = this.parts;
     const boxByKey = new Map(
-      edges().map((edge) => [ringKey(edge, regions), edge.box]),
+      otherEdges().map((edge) => [ringKey(edge, regions), edge.box]),
     );
     const sortedKeys = [...boxByKey.keys()].sort();
     const ownKey = ringKey(self, regions);
--- a/packages/puffinturn-edge/src/Totals.ts
+++ b/packages/puffinturn-edge/src/ResponseTotals.ts
@@ -24,9 +24,9 @@
 const OTHER_CAUSE = 'other';
 
 /** Counts responses and writes the totals to the log. */
-export class Totals implements AsyncDisposable {
+export class ResponseTotals implements AsyncDisposable {
   private readonly tasks = new TaskGroup();
-  private answers = new Map<string, AnswerCount>();
+  private counts = new Map<string, AnswerCount>();
 
   constructor(
     private readonly clock: Clock,
@@ -35,18 +35,18 @@
   ) {}
 
   /** Counts a response; the first one after an idle period starts an interval. */
-  count(status: number, cause: string): void {
-    if (this.answers.size === 0) {
+  recordResponse(status: number, cause: string): void {
+    if (this.counts.size === 0) {
       this.tasks.start((signal) => this.logAfterInterval(signal));
     }
-    const isKnown = this.answers.has(keyOf(status, cause));
+    const isKnown = this.counts.has(keyOf(status, cause));
     const countedCause =
-      isKnown || this.answers.size < MAX_DISTINCT_RESPONSES
+      isKnown || this.counts.size < MAX_DISTINCT_RESPONSES
         ? cause
         : OTHER_CAUSE;
     const key = keyOf(status, countedCause);
-    const count = (this.answers.get(key)?.count ?? 0) + 1;
-    this.answers.set(key, {cause: countedCause, count, status});
+    const count = (this.counts.get(key)?.count ?? 0) + 1;
+    this.counts.set(key, {cause: countedCause, count, status});
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -55,8 +55,8 @@
 
   private async logAfterInterval(signal: AbortSignal): Promise<void> {
     await this.clock.sleep(TOTALS_INTERVAL_MS, signal);
-    const answers = [...this.answers.values()];
-    this.answers = new Map();
+    const answers = [...this.counts.values()];
+    this.counts = new Map();
     this.log.note({answers, event: 'answers-counted'});
     const teamTokens = this.tokensByTeam();
     if (teamTokens.length > 0) {
--- a/packages/puffinturn-edge/src/Renewal.ts
+++ b/packages/puffinturn-edge/src/WakeRefresh.ts
@@ -61,7 +61,7 @@
     onWake();
     watch.distrust();
     wakeUp(this.parts, missedMs);
-    pool.dropIdle();
+    pool.closeIdleConnections();
     this.refreshing ??= this.waitUntilCurrent().finally(
       () => (this.refreshing = undefined),
     );
--- a/packages/puffinturn-edge/src/__tests__/unit/Allowances.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/Allowances.test.ts
@@ -11,7 +11,7 @@
 import {invariant, Random} from 'shared';
 
 import type {Allowances, ReserveOutcome} from '../../index';
-import {RESERVE} from '../../index';
+import {RESERVE_OUTCOME} from '../../index';
 import {
   CORE,
   heldTokens,
@@ -64,15 +64,15 @@
     const fleet = new TokenFleet(1_000);
     const edge = await fleet.start('e', []);
     expect(await fleet.advanceUntilSettled(edge.reserve('t', 400))).toBe(
-      RESERVE.held,
+      RESERVE_OUTCOME.reserved,
     );
     edge.settle('t', 400, 100);
     expect(await fleet.advanceUntilSettled(edge.reserve('t', 900))).toBe(
-      RESERVE.held,
+      RESERVE_OUTCOME.reserved,
     );
     edge.settle('t', 900, 900);
     expect(await fleet.advanceUntilSettled(edge.reserve('t', 1))).toBe(
-      RESERVE.exhausted,
+      RESERVE_OUTCOME.exhausted,
     );
   });
 
@@ -81,7 +81,7 @@
     const edge = await fleet.start('e', []);
     for (let turn = 0; turn < 20; turn += 1) {
       expect(await fleet.advanceUntilSettled(edge.reserve('t', 50))).toBe(
-        RESERVE.held,
+        RESERVE_OUTCOME.reserved,
       );
       edge.settle('t', 50, 50);
       await fleet.clock.advance(100);
@@ -89,10 +89,10 @@
     fleet.network.partition(['e'], [CORE]);
     await fleet.clock.advance(2_000);
     expect(await fleet.advanceUntilSettled(edge.reserve('t', 50))).toBe(
-      RESERVE.held,
+      RESERVE_OUTCOME.reserved,
     );
     expect(await fleet.advanceUntilSettled(edge.reserve('t', 9_000))).toBe(
-      RESERVE.unavailable,
+      RESERVE_OUTCOME.unavailable,
     );
   });
 
@@ -105,7 +105,7 @@
     const need = heldTokens(edge) + 100;
     expect(need).toBeLessThan(totalHeld);
     expect(await fleet.advanceUntilSettled(edge.reserve('t', need))).toBe(
-      RESERVE.held,
+      RESERVE_OUTCOME.reserved,
     );
     expect(heldTokens(edge) + heldTokens(other)).toBe(totalHeld);
   });
@@ -115,15 +115,15 @@
     const edge = await fleet.start('e', ['f']);
     const other = await fleet.start('f', ['e']);
     expect(await fleet.advanceUntilSettled(other.reserve('t', 900))).toBe(
-      RESERVE.held,
+      RESERVE_OUTCOME.reserved,
     );
     expect(await fleet.advanceUntilSettled(edge.reserve('t', 500))).toBe(
-      RESERVE.exhausted,
+      RESERVE_OUTCOME.exhausted,
     );
     await fleet.clock.advance(2_000);
     fleet.network.partition(['e'], ['f']);
     expect(await fleet.advanceUntilSettled(edge.reserve('t', 500))).toBe(
-      RESERVE.unavailable,
+      RESERVE_OUTCOME.unavailable,
     );
   });
 
@@ -131,7 +131,7 @@
     const fleet = new TokenFleet(1_000);
     const edge = await fleet.start('e', []);
     expect(await fleet.advanceUntilSettled(edge.reserve('t', 5_000))).toBe(
-      RESERVE.exhausted,
+      RESERVE_OUTCOME.exhausted,
     );
     // Lets the pending exchange complete.
     await fleet.clock.advance(20);
@@ -147,11 +147,11 @@
     const fleet = new TokenFleet(100);
     const edge = await fleet.start('e', []);
     expect(await fleet.advanceUntilSettled(edge.reserve('t', 500))).toBe(
-      RESERVE.exhausted,
+      RESERVE_OUTCOME.exhausted,
     );
     fleet.topUp(2_000);
     expect(await fleet.advanceUntilSettled(edge.reserve('t', 500))).toBe(
-      RESERVE.held,
+      RESERVE_OUTCOME.reserved,
     );
   });
 
@@ -159,7 +159,7 @@
     const fleet = new TokenFleet(1_000);
     const edge = await fleet.start('e', []);
     expect(await fleet.advanceUntilSettled(edge.reserve('t', 300))).toBe(
-      RESERVE.held,
+      RESERVE_OUTCOME.reserved,
     );
     edge.settle('t', 300, 200);
     await fleet.advanceUntilSettled(edge.close());
@@ -198,7 +198,7 @@
     expect(heldTokens(receiver)).toBe(totalHeld);
     expect(
       await fleet.advanceUntilSettled(receiver.reserve('t', totalHeld)),
-    ).toBe(RESERVE.held);
+    ).toBe(RESERVE_OUTCOME.reserved);
     receiver.settle('t', totalHeld, totalHeld);
     fleet.kill('f');
     fleet.network.heal();
@@ -234,7 +234,7 @@
     const others = edges.filter((edge) => !holders.includes(edge));
     for (const edge of others) {
       expect(await fleet.advanceUntilSettled(edge.reserve('t', 500))).toBe(
-        RESERVE.held,
+        RESERVE_OUTCOME.reserved,
       );
       edge.settle('t', 500, 100);
     }
@@ -257,7 +257,7 @@
     fleet.network.partition([unreachable], [...rest, CORE]);
     for (const edge of edges.filter((_, index) => index !== holderIndex)) {
       expect(await fleet.advanceUntilSettled(edge.reserve('t', 2_000))).toBe(
-        RESERVE.held,
+        RESERVE_OUTCOME.reserved,
       );
     }
   });
@@ -277,7 +277,7 @@
       let outcome: ReserveOutcome | undefined;
       void edge.reserve('t', 400).then((found) => (outcome = found));
       await fleet.clock.advance(1_400);
-      expect(outcome).toBe(RESERVE.held);
+      expect(outcome).toBe(RESERVE_OUTCOME.reserved);
     }
   });
 
@@ -288,7 +288,9 @@
       edge.reserve('t', 7_000),
     );
     const outcomes = await fleet.advanceUntilSettled(Promise.all(reservations));
-    expect(outcomes).toEqual(Array.from({length: 12}, () => RESERVE.held));
+    expect(outcomes).toEqual(
+      Array.from({length: 12}, () => RESERVE_OUTCOME.reserved),
+    );
   });
 
   test('lend no tokens that their own requests wait for', async () => {
@@ -347,7 +349,7 @@
     await fleet.clock.advance(2);
     fleet.network.partition(['e'], ['f']);
     expect(await fleet.advanceUntilSettled(reservation)).toBe(
-      RESERVE.unavailable,
+      RESERVE_OUTCOME.unavailable,
     );
     fleet.network.heal();
     await fleet.clock.advance(6_000);
@@ -371,7 +373,7 @@
       let spent = 0;
       const serve = async (edge: Allowances): Promise<void> => {
         const maxTokens = 100 + randomBelow(3_000);
-        if ((await edge.reserve('t', maxTokens)) === RESERVE.held) {
+        if ((await edge.reserve('t', maxTokens)) === RESERVE_OUTCOME.reserved) {
           await fleet.clock.sleep(randomBelow(900));
           const cost = randomBelow(maxTokens);
           spent += cost;
--- a/packages/puffinturn-edge/src/__tests__/unit/AllowedRegions.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/AllowedRegions.test.ts
@@ -36,9 +36,9 @@
 
   test('apply even if the allowed upstreams are busy or have failed', () => {
     const edge = edgeWith(ALL_UPSTREAMS);
-    edge.upstream('e1-a').answerTime.measured(5_000);
-    edge.upstream('e2-a').unreachable();
-    edge.upstream('e2-b').unreachable();
+    edge.upstream('e1-a').responseTime.recordDuration(5_000);
+    edge.upstream('e2-a').recordConnectFailure();
+    edge.upstream('e2-b').recordConnectFailure();
     const plan = edge.createPlan({allowedRegions: ['east']});
     expect(edge.selectedIds(plan, 60)).toEqual(new Set(['e1-a']));
   });
@@ -55,7 +55,7 @@
   test('apply to the source of a prompt copy', () => {
     const edge = edgeWith(ALL_UPSTREAMS);
     for (const id of ['e1-a', 'e2-a', 'e2-b']) {
-      edge.upstream(id).prefixes.sent(PROMPT);
+      edge.upstream(id).cachedPrefixes.recordPrompt(PROMPT);
       edge.upstream(id).pendingTokens = 50_000;
     }
     const plan = edge.createEnginePlan(PROMPT, {allowedRegions: ['west']});
--- a/packages/puffinturn-edge/src/__tests__/unit/BacklogLines.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/BacklogLogger.test.ts
@@ -8,9 +8,9 @@
 /** Guards against a log line for every change of the queue age. */
 import {KeptDecisionLog} from 'puffinturn-decisions';
 
-import {BacklogLogger} from '../../callers/BacklogLines';
+import {BacklogLogger} from '../../callers/BacklogLogger';
 
-describe('BacklogLines', () => {
+describe('BacklogLogger', () => {
   test('logs one line for an overload and one for the recovery', () => {
     const log = new KeptDecisionLog();
     const logger = new BacklogLogger(log);
--- a/packages/puffinturn-edge/src/__tests__/unit/BacklogWatch.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/BacklogMonitor.test.ts
@@ -14,9 +14,9 @@
 import {SystemClock} from 'shared';
 
 import {NEGLIGIBLE_AGE_MS} from '../../callers/AcceptBacklog';
-import type {BacklogMonitor} from '../../callers/BacklogWatch';
-import {HttpListener} from '../../callers/EdgeHttp';
-import {waitForLoopIterations} from '../../callers/EventLoopTurns';
+import type {BacklogMonitor} from '../../callers/BacklogMonitor';
+import {waitForLoopIterations} from '../../callers/EventLoopIterations';
+import {HttpListener} from '../../callers/HttpListener';
 
 const HOST = '127.0.0.1';
 
@@ -99,7 +99,7 @@
   }
 }
 
-describe('BacklogWatch', () => {
+describe('BacklogMonitor', () => {
   test('dates requests on new connections to a blocked iteration', async () => {
     await using server = new ObservedServer();
     await server.open();
--- a/packages/puffinturn-edge/src/__tests__/unit/CallerRequest.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/CallerRequest.test.ts
@@ -17,11 +17,11 @@
 const HEADER_NAMES = {
   deadline: 'x-deadline',
   expectedUpstream: 'x-upstream',
-  key: 'x-key',
-  lastEvent: 'last-event-id',
-  leaving: 'x-leaving',
-  limit: 'x-limit',
-  notRun: 'x-not-run',
+  credential: 'x-key',
+  lastEventId: 'last-event-id',
+  draining: 'x-leaving',
+  rateLimit: 'x-limit',
+  notExecuted: 'x-not-run',
   prefixSource: 'x-source',
   priority: 'x-priority',
   requestId: 'x-id',
@@ -48,8 +48,8 @@
     void caller.readBody(MAX_BYTES).then((body) => {
       const outcome = body.isOk() ? `body ${body.value}` : body.error.kind;
       resolveRead(outcome);
-      caller.closing = true;
-      caller.refuse(body.isOk() ? 200 : 413, outcome);
+      caller.closesConnection = true;
+      caller.sendError(body.isOk() ? 200 : 413, outcome);
     });
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
--- a/packages/puffinturn-edge/src/__tests__/unit/ColdStarts.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ColdStarts.test.ts
@@ -14,18 +14,18 @@
 import {MemoryNetwork} from 'puffinturn-wire';
 import {drawByWeight, ManualClock, Random} from 'shared';
 
-import type {PromptPart} from '../../callers/CallerDialect';
+import type {PromptPart} from '../../callers/CallerProtocol';
 import {EdgeUpstream} from '../../upstreams/EdgeUpstream';
+import {LowestLatency} from '../../upstreams/LoadBalancer';
 import type {UpstreamAdmission} from '../../upstreams/UpstreamAdmission';
-import {ExpectedTime} from '../../upstreams/UpstreamChoice';
-import type {AdmissionFactory} from '../utils/AdmittingEdge';
+import type {AdmissionFactory} from '../utils/Admissions';
 import {
   createPacedAdmission,
   createPermitAdmission,
   createUnboundedAdmission,
   edgeRecord,
-} from '../utils/AdmittingEdge';
-import {upstreamOf} from '../utils/EdgeFixture';
+} from '../utils/Admissions';
+import {makeUpstream} from '../utils/EdgeFixture';
 
 const EDGES = 87;
 const JOINING_EDGES = 12;
@@ -75,7 +75,7 @@
   readonly edges: SimulatedEdge[];
   sent = 0;
   refused = 0;
-  private readonly loadBalancer = new ExpectedTime();
+  private readonly loadBalancer = new LowestLatency();
   private readonly hotPrompt: number;
   private readonly random: Random;
   private readonly network: MemoryNetwork;
@@ -183,9 +183,9 @@
   private send(upstream: EdgeUpstream, parts: PromptPart[]): void {
     this.sent += 1;
     upstream.inFlight += 1;
-    upstream.prefixes.sent(parts);
+    upstream.cachedPrefixes.recordPrompt(parts);
     void this.clock.sleep(REQUEST_MS).then(() => (upstream.inFlight -= 1));
-    if (upstream.cold) {
+    if (upstream.isCold) {
       const times = this.arrivals.get(upstream.id) ?? [];
       this.arrivals.set(upstream.id, [...times, this.clock.now()]);
     }
@@ -202,7 +202,7 @@
   private turnCold({upstreams}: SimulatedEdge, coldUntil: number): void {
     for (const upstream of upstreams) {
       if (upstream.record.hall === 'h0') {
-        upstream.turnsCold(coldUntil);
+        upstream.markCold(coldUntil);
       }
     }
   }
@@ -211,7 +211,7 @@
     const log = new SilentDecisionLog();
     const upstreams = Array.from({length: UPSTREAMS}, (_, at) => {
       const hall = `h${at % HALLS}`;
-      return new EdgeUpstream(upstreamOf(`i-${at}`, {hall}), this.clock, log);
+      return new EdgeUpstream(makeUpstream(`i-${at}`, {hall}), this.clock, log);
     });
     const admission = this.createAdmission({
       box,
@@ -219,7 +219,7 @@
       network: this.network,
       peers: () => edge.peers,
       tolerance: TOLERANCE,
-      upstreamOf: (id) => upstreams.find((upstream) => upstream.id === id),
+      findUpstream: (id) => upstreams.find((upstream) => upstream.id === id),
     });
     const weight = this.random.integer(1, 6);
     const edge: SimulatedEdge = {admission, box, peers: [], upstreams, weight};
--- a/packages/puffinturn-edge/src/__tests__/unit/ConnectionPool.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ConnectionPool.test.ts
@@ -14,10 +14,10 @@
 
 import {ManualClock} from 'shared';
 
-import {requestHead} from '../../callers/RequestHead';
+import {formatRequestHead} from '../../callers/RequestHead';
 import {ConnectionPool} from '../../connections/ConnectionPool';
 import type {HttpConnection} from '../../connections/HttpConnection';
-import type {UpstreamAnswer} from '../../connections/UpstreamAnswer';
+import type {UpstreamResponse} from '../../connections/UpstreamResponse';
 
 /** Result of one request. */
 interface Outcome {
@@ -26,7 +26,7 @@
   readonly status: number;
   readonly body: string;
   readonly isComplete: boolean;
-  readonly headers: UpstreamAnswer['headers'];
+  readonly headers: UpstreamResponse['headers'];
 }
 
 const HEAD_OF_2_BYTES = 'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n';
@@ -91,15 +91,15 @@
   body = '',
 ): Promise<Outcome> {
   let isConnected = false;
-  const head = requestHead(method, '/x', ['Host', 'h']) ?? '';
+  const head = formatRequestHead(method, '/x', ['Host', 'h']) ?? '';
   return new Promise((resolve) =>
     connection.send(
       {body: Buffer.from(body), head, method},
       {
         onResponse: (response) => {
           let text = '';
-          response.read({
-            ended: (isComplete) =>
+          response.setReader({
+            onEnd: (isComplete) =>
               resolve({
                 body: text,
                 isConnected,
@@ -108,7 +108,7 @@
                 status: response.statusCode,
                 isComplete,
               }),
-            take: (chunk) => (text += chunk.toString('latin1')),
+            onData: (chunk) => (text += chunk.toString('latin1')),
           });
         },
         onConnected: () => (isConnected = true),
@@ -238,7 +238,7 @@
     expect(upstream.sockets).toHaveLength(3 + 3 - MAX_IDLE);
   });
 
-  test('a retired pool closes idle connections and lets open requests finish', async () => {
+  test('a draining pool closes idle connections and lets open requests finish', async () => {
     await using upstream = await ScriptedUpstream.open(
       `${HEAD_OF_2_BYTES}ab`,
       (socket) => {
@@ -250,7 +250,7 @@
     await sendRequest(idle);
     const open = sendRequest(busy);
     await delay(5);
-    pool.retire();
+    pool.drain();
     expect(idle.isUsable).toBe(false);
     expect((await open).body).toBe('cd');
     expect(busy.isUsable).toBe(false);
@@ -341,21 +341,21 @@
       socket.write(Buffer.alloc(size));
     }, `${HEAD_OF_2_BYTES}ab`);
     using pool = createPool(upstream.port);
-    let response: UpstreamAnswer | undefined;
+    let response: UpstreamResponse | undefined;
     let length = 0;
     const ended = new Promise<boolean>((resolve) => {
       pool.acquire().send(
         {
           body: Buffer.alloc(0),
-          head: requestHead('GET', '/x', []) ?? '',
+          head: formatRequestHead('GET', '/x', []) ?? '',
           method: 'GET',
         },
         {
           onResponse: (received) => {
             response = received;
-            received.read({
-              ended: resolve,
-              take: (chunk) => {
+            received.setReader({
+              onEnd: resolve,
+              onData: (chunk) => {
                 length += chunk.length;
                 received.pause();
               },
@@ -381,8 +381,8 @@
 });
 
 test('a header with a line break is rejected', () => {
-  expect(requestHead('GET', '/', ['A', 'b\r\nC: d'])).toBeUndefined();
-  expect(requestHead('GET', '/', ['A', 'b'])).toBe(
+  expect(formatRequestHead('GET', '/', ['A', 'b\r\nC: d'])).toBeUndefined();
+  expect(formatRequestHead('GET', '/', ['A', 'b'])).toBe(
     'GET / HTTP/1.1\r\nA: b\r\n\r\n',
   );
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamConnection.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ConnectionState.test.ts
@@ -8,7 +8,7 @@
 /** Guards against undetected resets and against listeners added for each request. */
 import {Socket} from 'node:net';
 
-import {getConnectionState} from '../../connections/UpstreamConnection';
+import {getConnectionState} from '../../connections/ConnectionState';
 
 describe('getConnectionState', () => {
   test('adds its listeners once per socket', () => {
--- a/packages/puffinturn-edge/src/__tests__/unit/CrossingEpisodes.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/CrossRegionEpisodes.test.ts
@@ -8,14 +8,14 @@
 import {KeptDecisionLog} from 'puffinturn-decisions';
 import {ManualClock} from 'shared';
 
-import {CrossingEpisodes} from '../../regions/CrossingEpisodes';
+import {CrossRegionEpisodes} from '../../regions/CrossRegionEpisodes';
 
 // Guards against a log line for each request to another region.
-describe('CrossingEpisodes', () => {
+describe('CrossRegionEpisodes', () => {
   test('logs only the start and the end of an episode', async () => {
     const clock = new ManualClock();
     const log = new KeptDecisionLog();
-    await using episodes = new CrossingEpisodes(clock, log);
+    await using episodes = new CrossRegionEpisodes(clock, log);
     for (let count = 0; count < 200; count += 1) {
       episodes.recordRequest('s');
       await clock.advance(100);
--- a/packages/puffinturn-edge/src/__tests__/unit/EdgeRollouts.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/EdgeRollouts.test.ts
@@ -17,8 +17,8 @@
 import {invariant, ManualClock, Random} from 'shared';
 
 import {Edge} from '../../Edge';
-import {configurationOf} from '../utils/EdgeFixture';
-import {TestDialect} from '../utils/ServingFixture';
+import {makeConfiguration} from '../utils/EdgeFixture';
+import {TestProtocol} from '../utils/ForwardingFixture';
 
 const ROLLOUTS: Rollouts = {
   revision: 4,
@@ -49,7 +49,7 @@
     const reply: WatchReply = {
       boxes: undefined,
       boxesRevision: 0,
-      configuration: configurationOf(1),
+      configuration: makeConfiguration(1),
       configurationChange: undefined,
       current: true,
       evacuations: undefined,
@@ -73,17 +73,17 @@
   const log = new KeptDecisionLog();
   const address = {host: '127.0.0.1', port: 0};
   const edge = await Edge.open({
-    callers: address,
+    callerAddress: address,
     clock,
     coldTolerance: {extra: 0, overage: 1},
-    dialect: new TestDialect(),
+    protocol: new TestProtocol(),
     link: network.connect('e1'),
     log,
-    metrics: {...address, path: '/metrics'},
+    metricsAddress: {...address, path: '/metrics'},
     random: new Random(1),
-    ready: {...address, path: '/ready'},
+    readinessAddress: {...address, path: '/ready'},
     regions: new Regions(),
-    retryBound: {extra: 10, ratio: 0.1},
+    retryLimit: {extra: 10, ratio: 0.1},
     seeds: () => ['c1'],
     self: {box: 'e1', hall: 'a', incarnation: '7', role: BOX_ROLE.edge},
   });
@@ -168,7 +168,7 @@
     });
     await clock.advance(500);
     const record = {hall: 'a', incarnation: '1', role: BOX_ROLE.edge};
-    edge.learnBoxes([{...record, box: 'e2'}]);
+    edge.updateBoxes([{...record, box: 'e2'}]);
     await clock.advance(5_000);
     expect(handOvers[0]).toMatchObject({rollouts: {revision: 4}});
   });
--- a/packages/puffinturn-edge/src/__tests__/unit/EventStream.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/EventStreamSplitter.test.ts
@@ -8,13 +8,13 @@
 /** Guards against lost bytes and against resuming a stream after an incomplete event. */
 import fc from 'fast-check';
 
-import {EventCutter} from '../../index';
+import {EventStreamSplitter} from '../../index';
 
 function eventText(id: number, size: number): string {
   return `id: ${id}\ndata: ${'x'.repeat(size)}\n\n`;
 }
 
-describe('EventCutter', () => {
+describe('EventStreamSplitter', () => {
   test('preserves all bytes and splits only after complete events', () => {
     fc.assert(
       fc.property(
@@ -26,26 +26,26 @@
             sizes.map((size, at) => eventText(at + 1, size)).join('') +
             'id: 99'.slice(0, tail);
           const bytes = Buffer.from(text);
-          const cutter = new EventCutter();
+          const splitter = new EventStreamSplitter();
           const batches: Buffer[] = [];
           let events = 0;
           let at = 0;
           const lengths = [...cuts, bytes.length];
           for (const length of lengths) {
-            const batch = cutter.push(bytes.subarray(at, at + length));
+            const batch = splitter.push(bytes.subarray(at, at + length));
             at += length;
             batches.push(Buffer.from(batch.bytes));
-            events += batch.events;
+            events += batch.eventCount;
             const outputSoFar = Buffer.concat(batches).toString();
             expect(outputSoFar === '' || outputSoFar.endsWith('\n\n')).toBe(
               true,
             );
           }
-          const output = Buffer.concat([...batches, cutter.takeRest()]);
+          const output = Buffer.concat([...batches, splitter.takeRemainder()]);
           expect(output.toString()).toBe(text);
           expect(events).toBe(sizes.length);
           const last = sizes.length === 0 ? undefined : String(sizes.length);
-          expect(cutter.lastId).toBe(last);
+          expect(splitter.lastEventId).toBe(last);
         },
       ),
       {seed: 5},
@@ -53,14 +53,16 @@
   });
 
   test('does not report the ID of an incomplete event', () => {
-    const cutter = new EventCutter();
-    cutter.push(Buffer.from('id: 1\ndata: a\n\nid: 2\ndata'));
-    expect(cutter.lastId).toBe('1');
+    const splitter = new EventStreamSplitter();
+    splitter.push(Buffer.from('id: 1\ndata: a\n\nid: 2\ndata'));
+    expect(splitter.lastEventId).toBe('1');
   });
 
   test('accepts CRLF line endings', () => {
-    const cutter = new EventCutter();
-    expect(cutter.push(Buffer.from('id: 1\r\ndata: a\r\n\r\n')).events).toBe(1);
-    expect(cutter.lastId).toBe('1');
+    const splitter = new EventStreamSplitter();
+    expect(
+      splitter.push(Buffer.from('id: 1\r\ndata: a\r\n\r\n')).eventCount,
+    ).toBe(1);
+    expect(splitter.lastEventId).toBe('1');
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/Exposures.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ExposureController.test.ts
@@ -17,24 +17,24 @@
 import {ManualClock, Random} from 'shared';
 
 import {EdgeMetrics} from '../../EdgeMetrics';
-import {CrossingEpisodes} from '../../regions/CrossingEpisodes';
-import {RegionCrossing} from '../../regions/RegionCrossing';
-import type {Plan} from '../../requests/RequestPlan';
-import {Exposures} from '../../rollouts/Exposures';
-import {HomeProbes} from '../../upstreams/HomeProbes';
-import {ReturnTimes} from '../../upstreams/ReturnTimes';
-import {LeastInFlight} from '../../upstreams/UpstreamChoice';
+import {CrossRegionEpisodes} from '../../regions/CrossRegionEpisodes';
+import {RegionLinkBudget} from '../../regions/RegionLinkBudget';
+import type {RequestPlan} from '../../requests/RequestPlan';
+import {ExposureController} from '../../rollouts/ExposureController';
+import {LeastRequests} from '../../upstreams/LoadBalancer';
+import {RecoveryProbes} from '../../upstreams/RecoveryProbes';
+import {RetrySchedule} from '../../upstreams/RetrySchedule';
 import {UpstreamPool} from '../../upstreams/UpstreamPool';
-import type {RequestSize} from '../../upstreams/UpstreamSelection';
+import type {RequestTraits} from '../../upstreams/UpstreamSelection';
 import {selectUpstream} from '../../upstreams/UpstreamSelection';
-import {upstreamOf} from '../utils/EdgeFixture';
-import {PacedAdmission} from '../utils/PacedAdmission';
+import {makeUpstream} from '../utils/EdgeFixture';
 import {
-  ServingFixture,
-  servingRoute,
+  createRoute,
+  ForwardingFixture,
   TestUpstream,
-  until,
-} from '../utils/ServingFixture';
+  waitUntil,
+} from '../utils/ForwardingFixture';
+import {PacedAdmission} from '../utils/PacedAdmission';
 
 function rolloutsOf(
   revision: number,
@@ -54,13 +54,13 @@
 function createUpstreams(count: number, version: string): UpstreamRecord[] {
   return Array.from({length: count}, (_, at) => {
     const address = `10.0.${version.length + Number(version.slice(1))}.${at}:80`;
-    return upstreamOf(`${version}-${at}`, {address, version});
+    return makeUpstream(`${version}-${at}`, {address, version});
   });
 }
 
-const PLAN: Plan = {
-  parts: [],
-  route: servingRoute('r'),
+const PLAN: RequestPlan = {
+  promptParts: [],
+  route: createRoute('r'),
   service: {
     coldStart: {durationMs: 3_000, requestsPerSecond: 10},
     engine: undefined,
@@ -68,12 +68,12 @@
     name: 's',
   },
   team: undefined,
-  tokens: undefined,
+  tokenCounts: undefined,
 };
 
-const REQUEST_SIZE: RequestSize = {
+const REQUEST_TRAITS: RequestTraits = {
   bodyBytes: 0,
-  heldBack: new Set(),
+  deniedUpstreams: new Set(),
   isLeastUrgent: false,
 };
 
@@ -85,8 +85,14 @@
   const pool = new UpstreamPool(clock, log);
   const random = new Random(1);
   const metrics = new EdgeMetrics();
-  const exposures = new Exposures({clock, log, metrics, pool, random});
-  const choice = new LeastInFlight(random);
+  const exposureController = new ExposureController({
+    clock,
+    log,
+    metrics,
+    pool,
+    random,
+  });
+  const choice = new LeastRequests(random);
   const admission = new PacedAdmission({
     box: 'e',
     clock,
@@ -96,23 +102,23 @@
   const regions = new Regions();
   const parts = {
     admission,
-    crossing: new RegionCrossing({
+    linkBudget: new RegionLinkBudget({
       clock,
-      edges: () => 1,
-      episodes: new CrossingEpisodes(clock, log),
+      countEdges: () => 1,
+      episodes: new CrossRegionEpisodes(clock, log),
       hall: 'a',
       regions,
     }),
-    engineChoice: choice,
-    exposures,
+    engineBalancer: choice,
+    exposureController,
     hall: 'a',
-    homeProbes: new HomeProbes(clock),
-    newestRegions: () => undefined,
-    plainChoice: choice,
+    recoveryProbes: new RecoveryProbes(clock),
+    latestAllowedRegions: () => undefined,
+    plainBalancer: choice,
     pool,
     random,
     regions,
-    returnTimes: new ReturnTimes(clock, random, () => 1),
+    retrySchedule: new RetrySchedule(clock, random, () => 1),
   };
   pool.merge(records, 'c1');
   /** Sends requests; returns their number by upstream id, undefined if rejected. */
@@ -124,10 +130,10 @@
         parts,
         PLAN,
         new Set(),
-        REQUEST_SIZE,
+        REQUEST_TRAITS,
       )?.upstream;
       if (upstream !== undefined) {
-        exposures.sent(PLAN, upstream, 0);
+        exposureController.recordSent(PLAN, upstream, 0);
         admission.admit(upstream);
       }
       sent.set(upstream?.id, (sent.get(upstream?.id) ?? 0) + 1);
@@ -140,10 +146,10 @@
     return [...new Set(sent)].sort();
   };
   const applyGrant = (granted: number, number = 1) =>
-    exposures.applyGrants([{granted, number, service: 's'}]);
+    exposureController.applyGrants([{granted, number, service: 's'}]);
   return {
     clock,
-    exposures,
+    exposureController,
     applyGrant,
     log,
     pool,
@@ -161,39 +167,40 @@
 // requests lost during a rollout.
 describe('Upstream selection during a rollout', () => {
   test('uses any version if none is known for the service', async () => {
-    const {exposures, servedVersions} = startEdge(BOTH_VERSIONS);
+    const {exposureController, servedVersions} = startEdge(BOTH_VERSIONS);
     expect(await servedVersions(400)).toEqual(['v1', 'v2']);
-    exposures.adopt({revision: 1, services: []}, 'c1');
+    exposureController.adopt({revision: 1, services: []}, 'c1');
     expect(await servedVersions(400)).toEqual(['v1', 'v2']);
   });
 
   test('uses upstreams without a version if the stable version is unnamed', async () => {
     const unnamed = Array.from({length: 3}, (_, at) =>
-      upstreamOf(`old-${at}`, {address: `10.0.9.${at}:80`}),
+      makeUpstream(`old-${at}`, {address: `10.0.9.${at}:80`}),
     );
-    const {exposures, sendRequests} = startEdge(unnamed);
+    const {exposureController, sendRequests} = startEdge(unnamed);
     const services = [
       {rollout: undefined, service: 's', stableVersion: UNNAMED_VERSION},
     ];
-    exposures.adopt({revision: 1, services}, 'c1');
+    exposureController.adopt({revision: 1, services}, 'c1');
     expect([...(await sendRequests(30)).keys()]).not.toContain(undefined);
   });
 
   test('sends no requests to a version that is not part of the rollout', async () => {
-    const {exposures, applyGrant, servedVersions} = startEdge(
+    const {exposureController, applyGrant, servedVersions} = startEdge(
       createUpstreams(5, 'v3'),
     );
-    exposures.adopt(rolloutsOf(1, undefined), 'c1');
+    exposureController.adopt(rolloutsOf(1, undefined), 'c1');
     applyGrant(100);
     expect(await servedVersions(100)).toEqual([undefined]);
-    exposures.adopt(rolloutsOf(2, 'exposing'), 'c1');
+    exposureController.adopt(rolloutsOf(2, 'exposing'), 'c1');
     applyGrant(100);
     expect(await servedVersions(100)).toEqual([undefined]);
   });
 
   test('exposes no request without a grant for the active rollout', async () => {
-    const {exposures, applyGrant, servedVersions} = startEdge(BOTH_VERSIONS);
-    exposures.adopt(rolloutsOf(1, 'exposing'), 'c1');
+    const {exposureController, applyGrant, servedVersions} =
+      startEdge(BOTH_VERSIONS);
+    exposureController.adopt(rolloutsOf(1, 'exposing'), 'c1');
     expect(await servedVersions(400)).toEqual(['v1']);
     applyGrant(50, 7);
     expect(await servedVersions(400)).toEqual(['v1']);
@@ -202,8 +209,9 @@
   test('concentrates exposed requests on the same few upstreams on every edge', async () => {
     const selectedByEdge: unknown[][] = [];
     for (const boxes of [1, 2]) {
-      const {exposures, applyGrant, sendRequests} = startEdge(BOTH_VERSIONS);
-      exposures.adopt(rolloutsOf(1, 'exposing'), 'c1');
+      const {exposureController, applyGrant, sendRequests} =
+        startEdge(BOTH_VERSIONS);
+      exposureController.adopt(rolloutsOf(1, 'exposing'), 'c1');
       applyGrant(40);
       const sent = await sendRequests(400);
       const targets = [...sent].filter(([id]) => id?.startsWith('v2'));
@@ -216,16 +224,16 @@
   });
 
   test('replaces unreachable upstreams of the new version by others', async () => {
-    const {exposures, applyGrant, pool, sendRequests} =
+    const {exposureController, applyGrant, pool, sendRequests} =
       startEdge(BOTH_VERSIONS);
-    exposures.adopt(rolloutsOf(1, 'exposing'), 'c1');
+    exposureController.adopt(rolloutsOf(1, 'exposing'), 'c1');
     applyGrant(10);
     const first = [...(await sendRequests(200)).keys()].filter((id) =>
       id?.startsWith('v2'),
     );
     for (const upstream of pool.all()) {
       if (first.includes(upstream.id)) {
-        upstream.unreachable();
+        upstream.recordConnectFailure();
       }
     }
     applyGrant(60);
@@ -238,31 +246,31 @@
   });
 
   test('keeps a grant while no upstream of the new version is available', async () => {
-    const {exposures, applyGrant, pool, servedVersions} = startEdge(
+    const {exposureController, applyGrant, pool, servedVersions} = startEdge(
       createUpstreams(5, 'v1'),
     );
-    exposures.adopt(rolloutsOf(1, 'exposing'), 'c1');
+    exposureController.adopt(rolloutsOf(1, 'exposing'), 'c1');
     applyGrant(10);
     expect(await servedVersions(200)).toEqual(['v1']);
-    expect(exposures.reports()[0]?.exposed).toBe(0);
+    expect(exposureController.reports()[0]?.exposed).toBe(0);
     pool.merge(createUpstreams(5, 'v2'), 'c1');
     expect(await servedVersions(200)).toEqual(['v1', 'v2']);
-    expect(exposures.reports()[0]?.exposed).toBeGreaterThan(7);
+    expect(exposureController.reports()[0]?.exposed).toBeGreaterThan(7);
   });
 
   test('exposes no request to upstreams that are gone or in an evacuated hall', async () => {
     const records = createUpstreams(3, 'v2').map((record) => {
       return {...record, hall: 'b'};
     });
-    const {exposures, applyGrant, pool, servedVersions} = startEdge([
+    const {exposureController, applyGrant, pool, servedVersions} = startEdge([
       ...createUpstreams(5, 'v1'),
       ...records,
     ]);
-    exposures.adopt(rolloutsOf(1, 'exposing'), 'c1');
+    exposureController.adopt(rolloutsOf(1, 'exposing'), 'c1');
     applyGrant(50);
-    pool.evacuate({halls: ['b'], revision: 1}, 'c1', () => 0);
+    pool.applyEvacuations({halls: ['b'], revision: 1}, 'c1', () => 0);
     expect(await servedVersions(200)).toEqual(['v1']);
-    pool.evacuate({halls: [], revision: 2}, 'c1', () => 0);
+    pool.applyEvacuations({halls: [], revision: 2}, 'c1', () => 0);
     expect(await servedVersions(50)).toEqual(['v1', 'v2']);
     pool.merge(
       records.map((record) => ({...record, state: UPSTREAM_STATE.gone})),
@@ -275,11 +283,11 @@
     const records = createUpstreams(1, 'v2').map((record) => {
       return {...record, coldMs: 3_000};
     });
-    const {exposures, applyGrant, sendRequests} = startEdge([
+    const {exposureController, applyGrant, sendRequests} = startEdge([
       ...createUpstreams(5, 'v1'),
       ...records,
     ]);
-    exposures.adopt(rolloutsOf(1, 'exposing'), 'c1');
+    exposureController.adopt(rolloutsOf(1, 'exposing'), 'c1');
     applyGrant(50);
     const sent = await sendRequests(300);
     // 10 requests per second for 1.5 s, plus one at the start.
@@ -289,22 +297,23 @@
   });
 
   test('stops exposure at once on rollback', async () => {
-    const {exposures, applyGrant, servedVersions} = startEdge(BOTH_VERSIONS);
-    exposures.adopt(rolloutsOf(1, 'exposing'), 'c1');
+    const {exposureController, applyGrant, servedVersions} =
+      startEdge(BOTH_VERSIONS);
+    exposureController.adopt(rolloutsOf(1, 'exposing'), 'c1');
     applyGrant(50);
-    exposures.adopt(rolloutsOf(2, 'rolled-back'), 'c1');
+    exposureController.adopt(rolloutsOf(2, 'rolled-back'), 'c1');
     applyGrant(80);
     expect(await servedVersions(400)).toEqual(['v1']);
-    expect(exposures.hasActiveRollout).toBe(false);
-    expect(exposures.reports()).toEqual([]);
+    expect(exposureController.hasActiveRollout).toBe(false);
+    expect(exposureController.reports()).toEqual([]);
   });
 
   test('ignores older revisions after a rollback', async () => {
-    const {exposures, applyGrant, log, servedVersions} =
+    const {exposureController, applyGrant, log, servedVersions} =
       startEdge(BOTH_VERSIONS);
-    exposures.adopt(rolloutsOf(5, 'rolled-back'), 'c1');
-    exposures.adopt(rolloutsOf(4, 'exposing'), 'c2');
-    exposures.adopt(NO_ROLLOUTS, 'e2');
+    exposureController.adopt(rolloutsOf(5, 'rolled-back'), 'c1');
+    exposureController.adopt(rolloutsOf(4, 'exposing'), 'c2');
+    exposureController.adopt(NO_ROLLOUTS, 'e2');
     applyGrant(50);
     expect(await servedVersions(400)).toEqual(['v1']);
     const adopted = log.lines.filter(({event}) => event === 'rollouts-adopted');
@@ -314,40 +323,40 @@
   });
 
   test('reports a shift once the new version serves all requests', async () => {
-    const {exposures, pool, servedVersions} = startEdge(
+    const {exposureController, pool, servedVersions} = startEdge(
       createUpstreams(5, 'v1'),
     );
-    exposures.adopt(rolloutsOf(2, 'shifting'), 'c1');
+    exposureController.adopt(rolloutsOf(2, 'shifting'), 'c1');
     expect(await servedVersions(50)).toEqual(['v1']);
-    expect(exposures.reports()[0]).toMatchObject({shifted: false});
+    expect(exposureController.reports()[0]).toMatchObject({shifted: false});
     pool.merge(createUpstreams(5, 'v2'), 'c1');
     expect(await servedVersions(50)).toEqual(['v2']);
     // The previous version was used within the last 500 ms.
-    expect(exposures.reports()[0]).toMatchObject({shifted: false});
+    expect(exposureController.reports()[0]).toMatchObject({shifted: false});
     expect(await servedVersions(60)).toEqual(['v2']);
-    const [previous] = pool.serving('s');
+    const [previous] = pool.servingUpstreams('s');
     if (previous !== undefined) {
       previous.inFlight += 2;
     }
-    expect(exposures.reports()[0]).toMatchObject({
+    expect(exposureController.reports()[0]).toMatchObject({
       openAtFormer: 2,
       shifted: true,
     });
-    exposures.adopt(rolloutsOf(3, 'completed'), 'c1');
+    exposureController.adopt(rolloutsOf(3, 'completed'), 'c1');
     expect(await servedVersions(50)).toEqual(['v2']);
-    expect(exposures.hasActiveRollout).toBe(false);
+    expect(exposureController.hasActiveRollout).toBe(false);
   });
 
   test('falls back to the previous version while new upstreams are cold', async () => {
     const cold = createUpstreams(1, 'v2').map((record) => {
       return {...record, coldMs: 3_000};
     });
-    const {clock, exposures, pool, servedVersions} = startEdge([
+    const {clock, exposureController, pool, servedVersions} = startEdge([
       ...createUpstreams(5, 'v1'),
       ...cold,
     ]);
-    const shifted = () => exposures.reports()[0]?.shifted;
-    exposures.adopt(rolloutsOf(2, 'shifting'), 'c1');
+    const shifted = () => exposureController.reports()[0]?.shifted;
+    exposureController.adopt(rolloutsOf(2, 'shifting'), 'c1');
     expect(await servedVersions(200)).toEqual(['v1', 'v2']);
     expect(shifted()).toBe(false);
     await clock.advance(3_000);
@@ -360,8 +369,8 @@
   });
 
   test('counts open requests at an upstream of the previous version that is gone', async () => {
-    const {exposures, pool} = startEdge(BOTH_VERSIONS);
-    exposures.adopt(rolloutsOf(2, 'shifting'), 'c1');
+    const {exposureController, pool} = startEdge(BOTH_VERSIONS);
+    exposureController.adopt(rolloutsOf(2, 'shifting'), 'c1');
     const previous = pool.all().find(({id}) => id === 'v1-0');
     if (previous === undefined) {
       throw new Error('upstream v1-0 is not in the pool');
@@ -369,13 +378,13 @@
     previous.inFlight = 1;
     const gone = {...previous.record, state: UPSTREAM_STATE.gone};
     pool.merge([gone], 'c1');
-    expect(exposures.reports()[0]).toMatchObject({openAtFormer: 1});
+    expect(exposureController.reports()[0]).toMatchObject({openAtFormer: 1});
   });
 
   test('uses the stable version once an isolated edge has used its grant', async () => {
-    const {exposures, applyGrant, log, sendRequests, servedVersions} =
+    const {exposureController, applyGrant, log, sendRequests, servedVersions} =
       startEdge(BOTH_VERSIONS);
-    exposures.adopt(rolloutsOf(1, 'exposing'), 'c1');
+    exposureController.adopt(rolloutsOf(1, 'exposing'), 'c1');
     applyGrant(10);
     const sent = await sendRequests(3_000);
     const targets = [...sent].filter(([id]) => id?.startsWith('v2'));
@@ -388,31 +397,38 @@
 
   test('starts without a grant after a restart', async () => {
     const previous = startEdge(BOTH_VERSIONS);
-    previous.exposures.adopt(rolloutsOf(1, 'exposing'), 'c1');
+    previous.exposureController.adopt(rolloutsOf(1, 'exposing'), 'c1');
     previous.applyGrant(10);
-    const {exposures, servedVersions} = startEdge(BOTH_VERSIONS);
-    exposures.adopt(previous.exposures.rollouts, 'e2');
+    const {exposureController, servedVersions} = startEdge(BOTH_VERSIONS);
+    exposureController.adopt(previous.exposureController.rollouts, 'e2');
     expect(await servedVersions(400)).toEqual(['v1']);
-    expect(exposures.reports()[0]).toMatchObject({exposed: 0, granted: 0});
+    expect(exposureController.reports()[0]).toMatchObject({
+      exposed: 0,
+      granted: 0,
+    });
   });
 
   test('starts a new rollout without a grant', async () => {
-    const {exposures, applyGrant, servedVersions} = startEdge(BOTH_VERSIONS);
-    exposures.adopt(rolloutsOf(1, 'exposing', 1), 'c1');
+    const {exposureController, applyGrant, servedVersions} =
+      startEdge(BOTH_VERSIONS);
+    exposureController.adopt(rolloutsOf(1, 'exposing', 1), 'c1');
     applyGrant(50, 1);
-    exposures.adopt(rolloutsOf(2, 'rolled-back', 1), 'c1');
-    exposures.adopt(rolloutsOf(3, 'exposing', 2), 'c1');
+    exposureController.adopt(rolloutsOf(2, 'rolled-back', 1), 'c1');
+    exposureController.adopt(rolloutsOf(3, 'exposing', 2), 'c1');
     applyGrant(90, 1);
     expect(await servedVersions(400)).toEqual(['v1']);
-    expect(exposures.reports()[0]).toMatchObject({granted: 0, number: 2});
+    expect(exposureController.reports()[0]).toMatchObject({
+      granted: 0,
+      number: 2,
+    });
   });
 });
 
 // Guards against lost or repeated requests, and against wrong counts in reports.
 describe('Requests during a rollout', () => {
   const ROUTES = [
-    servingRoute('look'),
-    servingRoute('order', {repetition: REPETITION.never}),
+    createRoute('look'),
+    createRoute('order', {repetition: REPETITION.never}),
   ];
 
   /** An edge with one upstream of each version. */
@@ -420,11 +436,11 @@
     constructor(
       readonly stable: TestUpstream,
       readonly target: TestUpstream,
-      readonly edge: ServingFixture,
+      readonly edge: ForwardingFixture,
     ) {}
 
     report() {
-      return this.edge.exposures.reports()[0];
+      return this.edge.exposureController.reports()[0];
     }
 
     async [Symbol.asyncDispose](): Promise<void> {
@@ -437,29 +453,31 @@
   async function startRollout(state: RolloutState): Promise<RolloutFixture> {
     const stable = await TestUpstream.start('old');
     const target = await TestUpstream.start('new');
-    const edge = await ServingFixture.start(ROUTES);
+    const edge = await ForwardingFixture.start(ROUTES);
     edge.pool.merge(
       [stable.record({version: 'v1'}), target.record({version: 'v2'})],
       'c1',
     );
-    edge.exposures.adopt(rolloutsOf(1, state), 'c1');
-    edge.exposures.applyGrants([{granted: 1_000, number: 1, service: 's'}]);
+    edge.exposureController.adopt(rolloutsOf(1, state), 'c1');
+    edge.exposureController.applyGrants([
+      {granted: 1_000, number: 1, service: 's'},
+    ]);
     return new RolloutFixture(stable, target, edge);
   }
 
   test('retries a request that failed at the new version at the stable one', async () => {
     await using setup = await startRollout('exposing');
     const {target, edge} = setup;
-    target.answer = (_, response) => void response.destroy();
+    target.handler = (_, response) => void response.destroy();
     for (let count = 0; count < 3; count += 1) {
-      expect((await edge.ask('look')).body).toBe('old');
+      expect((await edge.sendRequest('look')).body).toBe('old');
     }
-    expect(target.seen.length).toBeGreaterThan(0);
-    expect(setup.report()?.exposed).toBe(target.seen.length);
+    expect(target.requestPaths.length).toBeGreaterThan(0);
+    expect(setup.report()?.exposed).toBe(target.requestPaths.length);
     expect(setup.report()?.tallies).toContainEqual(
       expect.objectContaining({
-        answers: target.seen.length,
-        failures: target.seen.length,
+        answers: target.requestPaths.length,
+        failures: target.requestPaths.length,
         version: 'v2',
       }),
     );
@@ -468,32 +486,35 @@
   test('does not retry a request that must not be repeated', async () => {
     await using setup = await startRollout('exposing');
     const {stable, target, edge} = setup;
-    target.answer = (_, response) => void response.destroy();
-    const answers = [await edge.ask('order'), await edge.ask('order')];
-    const failed = answers.filter(({status}) => status === 502);
-    expect(failed).toHaveLength(target.seen.length);
-    expect(stable.seen).toHaveLength(2 - target.seen.length);
+    target.handler = (_, response) => void response.destroy();
+    const responses = [
+      await edge.sendRequest('order'),
+      await edge.sendRequest('order'),
+    ];
+    const failed = responses.filter(({status}) => status === 502);
+    expect(failed).toHaveLength(target.requestPaths.length);
+    expect(stable.requestPaths).toHaveLength(2 - target.requestPaths.length);
   });
 
-  test('reports successful answers and errors of both versions', async () => {
+  test('reports successful responses and errors of both versions', async () => {
     await using setup = await startRollout('exposing');
     const {stable, target, edge} = setup;
-    target.answer = (_, response) => {
+    target.handler = (_, response) => {
       response.statusCode = 500;
       response.end('no');
     };
-    const answers = await Promise.all(
-      Array.from({length: 12}, () => edge.ask('look')),
+    const responses = await Promise.all(
+      Array.from({length: 12}, () => edge.sendRequest('look')),
     );
-    const failures = answers.filter(({status}) => status === 500).length;
+    const failures = responses.filter(({status}) => status === 500).length;
     const tallies = setup.report()?.tallies ?? [];
     const tallyOf = (version: string) =>
       tallies.find((tally) => tally.version === version);
-    expect(tallyOf('v2')).toMatchObject({answers: target.seen.length});
-    expect(tallyOf('v2')?.failures).toBe(target.seen.length);
+    expect(tallyOf('v2')).toMatchObject({answers: target.requestPaths.length});
+    expect(tallyOf('v2')?.failures).toBe(target.requestPaths.length);
     expect(tallyOf('v1')).toMatchObject({answers: 12 - failures, failures: 0});
     expect(setup.report()?.requests).toBe(
-      stable.seen.length + target.seen.length,
+      stable.requestPaths.length + target.requestPaths.length,
     );
   });
 
@@ -501,37 +522,37 @@
     await using setup = await startRollout('exposing');
     const {target, edge} = setup;
     const open: (() => void)[] = [];
-    target.answer = (_, response) => {
+    target.handler = (_, response) => {
       open.push(() => response.end('late'));
     };
-    const answers = [edge.ask('order'), edge.ask('order')];
-    await until(() => open.length === 2);
-    edge.exposures.adopt(rolloutsOf(2, 'rolled-back'), 'c1');
-    expect((await edge.ask('order')).body).toBe('old');
+    const responses = [edge.sendRequest('order'), edge.sendRequest('order')];
+    await waitUntil(() => open.length === 2);
+    edge.exposureController.adopt(rolloutsOf(2, 'rolled-back'), 'c1');
+    expect((await edge.sendRequest('order')).body).toBe('old');
     open.forEach((finish) => finish());
-    const bodies = (await Promise.all(answers)).map(({body}) => body);
+    const bodies = (await Promise.all(responses)).map(({body}) => body);
     expect(bodies).toEqual(['late', 'late']);
-    expect(target.seen).toHaveLength(2);
+    expect(target.requestPaths).toHaveLength(2);
   });
 
   test('completes requests open at the previous version during a shift', async () => {
     await using setup = await startRollout('rolled-back');
     const {stable, target, edge} = setup;
     let finish = (): void => undefined;
-    stable.answer = (_, response) => {
+    stable.handler = (_, response) => {
       finish = () => void response.end('old');
     };
-    const open = edge.ask('order');
-    await until(() => stable.seen.length === 1);
-    edge.exposures.adopt(rolloutsOf(2, 'shifting', 2), 'c1');
+    const open = edge.sendRequest('order');
+    await waitUntil(() => stable.requestPaths.length === 1);
+    edge.exposureController.adopt(rolloutsOf(2, 'shifting', 2), 'c1');
     expect(setup.report()).toMatchObject({openAtFormer: 1, shifted: false});
-    await until(() => setup.report()?.shifted === true);
+    await waitUntil(() => setup.report()?.shifted === true);
     expect(setup.report()).toMatchObject({openAtFormer: 1, shifted: true});
-    expect((await edge.ask('order')).body).toBe('new');
+    expect((await edge.sendRequest('order')).body).toBe('new');
     finish();
     expect((await open).body).toBe('old');
     expect(setup.report()).toMatchObject({openAtFormer: 0, shifted: true});
-    expect(target.seen).toHaveLength(1);
+    expect(target.requestPaths).toHaveLength(1);
   });
 
   test('falls back during a shift if no upstream of the new version is available', async () => {
@@ -539,7 +560,7 @@
     const {stable, target, edge} = setup;
     const gone = {state: UPSTREAM_STATE.gone, version: 'v2'};
     edge.pool.merge([target.record(gone)], 'c1');
-    expect((await edge.ask('order')).body).toBe('old');
-    expect(stable.seen).toHaveLength(1);
+    expect((await edge.sendRequest('order')).body).toBe('old');
+    expect(stable.requestPaths).toHaveLength(1);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/ExposureExchange.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ExposureReporter.test.ts
@@ -16,17 +16,17 @@
 import {ManualClock, Random} from 'shared';
 
 import {EdgeMetrics} from '../../EdgeMetrics';
-import {ExposureExchange} from '../../rollouts/ExposureExchange';
-import {Exposures} from '../../rollouts/Exposures';
+import {ExposureController} from '../../rollouts/ExposureController';
+import {ExposureReporter} from '../../rollouts/ExposureReporter';
 import {UpstreamPool} from '../../upstreams/UpstreamPool';
 
-/** Starts an exchange with two control boxes; `c1` is preferred. */
-function startExchange(life = 'e 1') {
+/** Starts a reporter with two control boxes; `c1` is preferred. */
+function startReporter(incarnationId = 'e 1') {
   const clock = new ManualClock();
   const network = new MemoryNetwork(clock, new Random(2));
   const log = new SilentDecisionLog();
   const pool = new UpstreamPool(clock, log);
-  const exposures = new Exposures({
+  const exposureController = new ExposureController({
     clock,
     log,
     metrics: new EdgeMetrics(),
@@ -43,16 +43,16 @@
       return reply;
     });
   }
-  const exchange = new ExposureExchange({
+  const reporter = new ExposureReporter({
     box: 'e',
     clock,
-    controls: () => ['c1', 'c2'],
-    exposures,
-    life,
+    controlBoxes: () => ['c1', 'c2'],
+    exposureController,
+    incarnationId,
     link: network.connect('e'),
   });
   const adoptRollout = (revision: number, state: RolloutState) =>
-    exposures.adopt(
+    exposureController.adopt(
       {
         revision,
         services: [
@@ -71,22 +71,30 @@
       'c1',
     );
   const requestsTo = (box: string) => received.get(box) ?? [];
-  return {clock, exchange, exposures, requestsTo, network, adoptRollout, reply};
+  return {
+    clock,
+    reporter,
+    exposureController,
+    requestsTo,
+    network,
+    adoptRollout,
+    reply,
+  };
 }
 
 // Guards against lost or stale reports and grants between an edge and the leader.
-describe('ExposureExchange', () => {
+describe('ExposureReporter', () => {
   test('sends no report without an active rollout', async () => {
-    const {clock, exchange, requestsTo} = startExchange();
-    await using owned = exchange;
+    const {clock, reporter, requestsTo} = startReporter();
+    await using owned = reporter;
     await clock.advance(5_000);
     expect(requestsTo('c1')).toEqual([]);
-    expect(owned).toBe(exchange);
+    expect(owned).toBe(reporter);
   });
 
   test('reports at once and repeats unchanged reports every second', async () => {
-    const {clock, exchange, requestsTo, adoptRollout} = startExchange();
-    await using owned = exchange;
+    const {clock, reporter, requestsTo, adoptRollout} = startReporter();
+    await using owned = reporter;
     await clock.advance(1_000);
     adoptRollout(1, 'exposing');
     await clock.advance(50);
@@ -100,30 +108,31 @@
     const {length} = requestsTo('c1');
     await clock.advance(5_000);
     expect(requestsTo('c1')).toHaveLength(length);
-    expect(owned).toBe(exchange);
+    expect(owned).toBe(reporter);
   });
 
   test('applies grants and ignores late or unknown ones', async () => {
-    const {clock, exchange, exposures, adoptRollout, reply} = startExchange();
-    await using owned = exchange;
+    const {clock, reporter, exposureController, adoptRollout, reply} =
+      startReporter();
+    await using owned = reporter;
     reply.grants = [{granted: 9, number: 1, service: 's'}];
     adoptRollout(1, 'exposing');
     await clock.advance(100);
-    expect(exposures.reports()[0]?.granted).toBe(9);
+    expect(exposureController.reports()[0]?.granted).toBe(9);
     reply.grants = [
       {granted: 4, number: 1, service: 's'},
       {granted: 99, number: 2, service: 's'},
       {granted: 99, number: 1, service: '__proto__'},
     ];
     await clock.advance(3_000);
-    expect(exposures.reports()[0]?.granted).toBe(9);
-    expect(owned).toBe(exchange);
+    expect(exposureController.reports()[0]?.granted).toBe(9);
+    expect(owned).toBe(reporter);
   });
 
   test('asks the next control box if one is unreachable, and repeats the report', async () => {
-    const {clock, exchange, requestsTo, network, adoptRollout, reply} =
-      startExchange();
-    await using owned = exchange;
+    const {clock, reporter, requestsTo, network, adoptRollout, reply} =
+      startReporter();
+    await using owned = reporter;
     network.disconnect('c1');
     reply.grants = undefined;
     adoptRollout(1, 'exposing');
@@ -131,6 +140,6 @@
     expect(requestsTo('c1')).toEqual([]);
     // A reply without grants does not acknowledge the report, so it is sent again.
     expect(requestsTo('c2').length).toBeGreaterThanOrEqual(2);
-    expect(owned).toBe(exchange);
+    expect(owned).toBe(reporter);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/ExposureAccount.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ExposureTracker.test.ts
@@ -7,11 +7,11 @@
 
 import {ManualClock, Random} from 'shared';
 
-import type {AnswerOutcome} from '../../rollouts/ExposureAccount';
+import type {ObservedResponse} from '../../rollouts/ExposureTracker';
 import {
   EXPOSURE_STOP_CAUSE,
   ExposureTracker,
-} from '../../rollouts/ExposureAccount';
+} from '../../rollouts/ExposureTracker';
 
 const ROLLOUT = {
   durationMs: 12_000,
@@ -25,8 +25,8 @@
 function createTracker(seed = 1) {
   const clock = new ManualClock();
   const tracker = new ExposureTracker('s', ROLLOUT, clock, new Random(seed));
-  const recordAnswer = (fields: Partial<AnswerOutcome> = {}) =>
-    tracker.recordAnswer({
+  const recordResponse = (fields: Partial<ObservedResponse> = {}) =>
+    tracker.recordResponse({
       failed: false,
       latencyRatio: 1,
       route: 'r',
@@ -56,7 +56,7 @@
     }
     return exposed;
   };
-  return {tracker, recordAnswer, clock, serve};
+  return {tracker, recordAnswer: recordResponse, clock, serve};
 }
 
 // Guards against exposing more requests than granted, and against sending further
@@ -123,7 +123,7 @@
     },
   );
 
-  test('counts answers by route, version and latency bucket', () => {
+  test('counts responses by route, version and latency bucket', () => {
     const {tracker, recordAnswer} = createTracker();
     recordAnswer({latencyRatio: 0.4});
     recordAnswer({latencyRatio: 0.7});
@@ -151,7 +151,7 @@
 
   test.each([
     ['failures', {failed: true, latencyRatio: undefined}],
-    ['slow answers', {latencyRatio: 6}],
+    ['slow responses', {latencyRatio: 6}],
   ])('stops after consecutive %s', (_, bad) => {
     const {tracker, recordAnswer} = createTracker();
     tracker.applyGrant(100);
@@ -159,17 +159,17 @@
     expect(stops).toEqual([false, false, false, false, false, true]);
     expect(tracker.remaining).toBe(0);
     expect(tracker.lastStopCause).toBe(
-      EXPOSURE_STOP_CAUSE.consecutiveBadAnswers,
+      EXPOSURE_STOP_CAUSE.consecutiveBadResponses,
     );
   });
 
-  test('stops if the ratio of bad answers is far above that of the stable version', () => {
+  test('stops if the ratio of bad responses is far above that of the stable version', () => {
     const {tracker, recordAnswer} = createTracker();
     tracker.applyGrant(100);
     for (let count = 0; count < 30 && tracker.remaining > 0; count += 1) {
       recordAnswer({failed: count % 2 === 0});
     }
-    expect(tracker.lastStopCause).toBe(EXPOSURE_STOP_CAUSE.badAnswerRatio);
+    expect(tracker.lastStopCause).toBe(EXPOSURE_STOP_CAUSE.badResponseRatio);
   });
 
   test('continues if the stable version fails at the same rate', () => {
@@ -182,7 +182,7 @@
     expect(tracker.lastStopCause).toBeUndefined();
   });
 
-  test('continues if only a few answers fail', () => {
+  test('continues if only a few responses fail', () => {
     const {tracker, recordAnswer} = createTracker();
     tracker.applyGrant(1_000);
     const random = new Random(4);
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamChoice.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/LoadBalancer.test.ts
@@ -13,13 +13,13 @@
 import {ManualClock, Random} from 'shared';
 
 import {EdgeUpstream} from '../../upstreams/EdgeUpstream';
-import type {BalancingContext} from '../../upstreams/UpstreamChoice';
+import type {BalancingContext} from '../../upstreams/LoadBalancer';
 import {
-  ExpectedTime,
   LeastUtilization,
+  LowestLatency,
   PrefixRendezvous,
-} from '../../upstreams/UpstreamChoice';
-import {upstreamOf} from '../utils/EdgeFixture';
+} from '../../upstreams/LoadBalancer';
+import {makeUpstream} from '../utils/EdgeFixture';
 
 const PARTS = [
   {id: 'aa', tokens: 5_000},
@@ -31,7 +31,7 @@
   clock = new ManualClock(),
 ): EdgeUpstream[] {
   return Array.from({length: count}, (_, at) => {
-    const record = upstreamOf(`i-${at}`, {
+    const record = makeUpstream(`i-${at}`, {
       address: `10.0.0.${at}:80`,
       hall: at === 0 ? 'here' : 'there',
       slots: 6,
@@ -46,7 +46,7 @@
 }
 
 describe('Lowest expected latency', () => {
-  const balancer = new ExpectedTime();
+  const balancer = new LowestLatency();
 
   test('chooses the same upstream for a prompt at every edge', () => {
     const chosen = balancer.choose(createUpstreams(5), createContext());
@@ -71,7 +71,7 @@
     const upstreams = createUpstreams(5, clock);
     const preferred = balancer.choose(upstreams, createContext());
     for (let count = 0; count < 10; count += 1) {
-      preferred!.speed.measured(6_000, 3_000);
+      preferred!.prefillSpeed.recordPrefill(6_000, 3_000);
     }
     expect(balancer.choose(upstreams, createContext())).not.toBe(preferred);
     await clock.advance(20_000);
@@ -80,15 +80,15 @@
 
   test('counts a cached part only after the same preceding parts', () => {
     const [upstream] = createUpstreams(1);
-    upstream?.prefixes.sent(PARTS);
-    expect(upstream?.prefixes.keptOf(PARTS)).toBe(6_000);
+    upstream?.cachedPrefixes.recordPrompt(PARTS);
+    expect(upstream?.cachedPrefixes.cachedTokens(PARTS)).toBe(6_000);
     const other = [{id: 'xx', tokens: 1}, ...PARTS];
-    expect(upstream?.prefixes.keptOf(other)).toBe(0);
+    expect(upstream?.cachedPrefixes.cachedTokens(other)).toBe(0);
   });
 });
 
 describe('Lowest expected latency with engines that can copy prefixes', () => {
-  const balancer = new ExpectedTime();
+  const balancer = new LowestLatency();
   const service = {
     engine: {
       copyMsPerToken: 0.001,
@@ -102,11 +102,17 @@
 
   test('copies a cached prefix if the upstream that holds it is busy', () => {
     const upstreams = createUpstreams(5);
-    const first = balancer.place(upstreams, {...createContext(), service});
+    const first = balancer.choosePlacement(upstreams, {
+      ...createContext(),
+      service,
+    });
     expect(first?.prefixSource).toBeUndefined();
-    first!.upstream.prefixes.sent(PARTS);
+    first!.upstream.cachedPrefixes.recordPrompt(PARTS);
     first!.upstream.pendingTokens = 20_000;
-    const second = balancer.place(upstreams, {...createContext(), service});
+    const second = balancer.choosePlacement(upstreams, {
+      ...createContext(),
+      service,
+    });
     expect(second?.upstream).not.toBe(first?.upstream);
     expect(second?.prefixSource).toBe(first?.upstream);
     expect(second?.copiedTokens).toBe(6_000);
@@ -118,10 +124,13 @@
       {id: 'cc', tokens: 100},
       {id: 'dd', tokens: 100},
     ];
-    const first = balancer.place(upstreams, {...createContext(parts), service});
-    first!.upstream.prefixes.sent(parts);
+    const first = balancer.choosePlacement(upstreams, {
+      ...createContext(parts),
+      service,
+    });
+    first!.upstream.cachedPrefixes.recordPrompt(parts);
     first!.upstream.pendingTokens = 20_000;
-    const second = balancer.place(upstreams, {
+    const second = balancer.choosePlacement(upstreams, {
       ...createContext(parts),
       service,
     });
--- a/packages/puffinturn-edge/src/__tests__/unit/Neighbours.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/NeighbourRecovery.test.ts
@@ -11,8 +11,8 @@
 import {MemoryNetwork} from 'puffinturn-wire';
 import {ManualClock, Random} from 'shared';
 
-import {Neighbours} from '../../Neighbours';
-import {configurationOf} from '../utils/EdgeFixture';
+import {NeighbourRecovery} from '../../NeighbourRecovery';
+import {makeConfiguration} from '../utils/EdgeFixture';
 
 function edgeRecord(box: string): BoxRecord {
   return {box, hall: 'z', incarnation: '1', role: BOX_ROLE.edge};
@@ -20,7 +20,7 @@
 
 const STATE: HandOver = {
   boxes: ['a', 'b', 'c', 'd'].map(edgeRecord),
-  configuration: configurationOf(4),
+  configuration: makeConfiguration(4),
   evacuations: NO_EVACUATIONS,
   upstreams: [],
 };
@@ -34,16 +34,16 @@
   start(box: string, state: HandOver | undefined): void {
     let current = state;
     const others = STATE.boxes.filter((other) => other.box !== box);
-    new Neighbours({
+    new NeighbourRecovery({
       clock: this.clock,
-      edges: () => (current === undefined ? [] : others),
-      inTouch: () => false,
+      otherEdges: () => (current === undefined ? [] : others),
+      isControlReachable: () => false,
       link: this.network.connect(box),
       needsState: () => current === undefined,
       regions: new Regions(),
       self: edgeRecord(box),
-      state: () => current,
-      take: (received, source) => {
+      getState: () => current,
+      applyState: (received, source) => {
         current = received;
         this.handovers.push(`${box} from ${source}`);
       },
@@ -51,7 +51,7 @@
   }
 }
 
-describe('Neighbours', () => {
+describe('NeighbourRecovery', () => {
   test('sends the state to a restarted edge', async () => {
     const ring = new SimulatedRing();
     ring.start('a', STATE);
--- a/packages/puffinturn-edge/src/__tests__/unit/NeighboursInRegions.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/NeighbourRecoveryInRegions.test.ts
@@ -17,8 +17,8 @@
 import {MemoryNetwork} from 'puffinturn-wire';
 import {ManualClock, Random} from 'shared';
 
-import {Neighbours} from '../../Neighbours';
-import {configurationOf} from '../utils/EdgeFixture';
+import {NeighbourRecovery} from '../../NeighbourRecovery';
+import {makeConfiguration} from '../utils/EdgeFixture';
 
 const HALLS = {a: 'west', b: 'east', c: 'west', d: 'east'} as const;
 const EDGES = Object.keys(HALLS).flatMap((hall) =>
@@ -31,7 +31,7 @@
 );
 const STATE: HandOver = {
   boxes: EDGES,
-  configuration: configurationOf(4),
+  configuration: makeConfiguration(4),
   evacuations: NO_EVACUATIONS,
   upstreams: [],
 };
@@ -51,16 +51,16 @@
     if (state !== undefined) {
       this.states.set(box, state);
     }
-    new Neighbours({
+    new NeighbourRecovery({
       clock: this.clock,
-      edges: () => (this.hasState(box) ? others : []),
-      inTouch: () => false,
+      otherEdges: () => (this.hasState(box) ? others : []),
+      isControlReachable: () => false,
       link,
       needsState: () => !this.hasState(box),
       regions: this.regions,
       self,
-      state: () => this.states.get(box),
-      take: (handOver) => void this.states.set(box, handOver),
+      getState: () => this.states.get(box),
+      applyState: (handOver) => void this.states.set(box, handOver),
     });
     link.register(FLEET_SERVICE.greet, async (_, from) => {
       this.greetings.add(`${from}>${box}`);
@@ -82,7 +82,7 @@
   }
 }
 
-describe('Neighbours in two regions', () => {
+describe('NeighbourRecovery in two regions', () => {
   test('greet across regions only where the ring changes region', async () => {
     const ring = new RegionRing();
     for (const edge of EDGES) {
--- a/packages/puffinturn-edge/src/__tests__/unit/StepAside.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/OverloadWithdrawal.test.ts
@@ -12,7 +12,7 @@
 import {MemoryNetwork} from 'puffinturn-wire';
 import {ManualClock, Random} from 'shared';
 
-import {OverloadWithdrawal} from '../../callers/StepAside';
+import {OverloadWithdrawal} from '../../callers/OverloadWithdrawal';
 
 /** A hall of edges whose queue ages are set by the test. */
 class Hall {
@@ -68,7 +68,7 @@
 
 const HALL_SIZE = 8;
 
-describe('StepAside', () => {
+describe('OverloadWithdrawal', () => {
   test('withdraws an overloaded edge if the others approve', async () => {
     const hall = new Hall(HALL_SIZE);
     await hall.clock.advance(1_000);
--- a/packages/puffinturn-edge/src/__tests__/unit/PlainRegionLoad.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/PlainRegionLoad.test.ts
@@ -5,21 +5,21 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-// Guards against late answers when upstreams of one region fail or slow down: the other
+// Guards against late responses when upstreams of one region fail or slow down: the other
 // region must take over. Load: 120 requests per second and region over 20 edges each.
 import {ManualClock, Random} from 'shared';
 
 import type {EdgeUpstream} from '../../upstreams/EdgeUpstream';
 import {PlainUpstream} from '../utils/PlainUpstream';
-import {RegionEdge, TWO_REGIONS} from '../utils/RegionEdge';
+import {REGION_BY_HALL, RegionEdge} from '../utils/RegionEdge';
 
-const HALLS = Object.keys(TWO_REGIONS);
+const HALLS = Object.keys(REGION_BY_HALL);
 const EDGES_PER_HALL = 10;
 const UPSTREAM_IDS = ['e1-a', 'e1-b', 'e2-a', 'w1-a', 'w1-b', 'w2-a'];
 const WORK_MS = 43;
 const OBJECTIVE_MS = 200;
 const ARRIVALS_PER_S = 240;
-const CONNECT_MS = 400;
+const CONNECT_TIMEOUT_MS = 400;
 const MAX_ATTEMPTS = 4;
 const STEP_MS = 4;
 const FAULT_START_MS = 5_000;
@@ -87,20 +87,20 @@
     const sentAt = clock.now();
     upstream.inFlight += 1;
     using _done = {[Symbol.dispose]: () => void (upstream.inFlight -= 1)};
-    if (server.isDark) {
-      await clock.sleep(CONNECT_MS);
-      upstream.unreachable();
+    if (server.isUnresponsive) {
+      await clock.sleep(CONNECT_TIMEOUT_MS);
+      upstream.recordConnectFailure();
       return false;
     }
     await clock.sleep(isRemote ? 12 : 1);
     const isServed = await server.serve(WORK_MS * (0.5 + random.fraction()));
     await clock.sleep(isRemote ? 12 : 1);
     if (!isServed) {
-      upstream.full();
+      upstream.recordFull();
       return false;
     }
-    upstream.answerTime.measured(clock.now() - sentAt);
-    upstream.succeeded();
+    upstream.responseTime.recordDuration(clock.now() - sentAt);
+    upstream.recordSuccess();
     return true;
   };
   const sendRequest = async (): Promise<void> => {
@@ -116,20 +116,20 @@
         return;
       }
       const {upstream} = placement;
-      const {doubtful} = upstream;
+      const {isFailing} = upstream;
       const isRemote = isWest(hall) !== isWest(upstream.id);
       tried.push(upstream);
       tally.crossRegion += isRemote ? 1 : 0;
       if (isRemote) {
-        edge.crossing.sent(plan, 600);
+        edge.linkBudget.recordSent(plan, 600);
       }
-      if (doubtful) {
-        edge.homeProbes.sent();
+      if (isFailing) {
+        edge.recoveryProbes.recordProbe();
       }
       if (await serve(upstream, isRemote)) {
         tally.onTime += clock.now() - startedAt <= OBJECTIVE_MS ? 1 : 0;
-        if (doubtful) {
-          edge.homeProbes.answered();
+        if (isFailing) {
+          edge.recoveryProbes.recordSuccess();
         }
         return;
       }
@@ -141,8 +141,8 @@
     }
     if (at === FAULT_END_MS) {
       west.forEach((server) => {
-        server.isDark = false;
-        server.slowTimes = 1;
+        server.isUnresponsive = false;
+        server.slowdownFactor = 1;
       });
     }
     // Requests arrive in batches of three.
@@ -171,13 +171,13 @@
 
 const NO_FAULT: Fault = () => undefined;
 const ALL_DOWN: Fault = (west) => {
-  west.forEach((server) => (server.isDark = true));
+  west.forEach((server) => (server.isUnresponsive = true));
 };
 const ALL_BUT_ONE_DOWN: Fault = (west) => {
-  west.slice(1).forEach((server) => (server.isDark = true));
+  west.slice(1).forEach((server) => (server.isUnresponsive = true));
 };
 const ALL_SLOW: Fault = (west) => {
-  west.forEach((server) => (server.slowTimes = 8));
+  west.forEach((server) => (server.slowdownFactor = 8));
 };
 
 describe('Plain upstreams in two regions', () => {
--- a/packages/puffinturn-edge/src/__tests__/unit/PlainLoad.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/PlainServiceLoad.test.ts
@@ -13,13 +13,13 @@
 import {ManualClock, Random} from 'shared';
 
 import {EdgeUpstream} from '../../upstreams/EdgeUpstream';
-import type {LoadBalancer} from '../../upstreams/UpstreamChoice';
+import type {LoadBalancer} from '../../upstreams/LoadBalancer';
 import {
-  LeastInFlight,
+  LeastRequests,
   LeastUtilization,
-  ShorterWait,
-} from '../../upstreams/UpstreamChoice';
-import {upstreamOf} from '../utils/EdgeFixture';
+  PowerOfTwoChoices,
+} from '../../upstreams/LoadBalancer';
+import {makeUpstream} from '../utils/EdgeFixture';
 import {PlainUpstream, SLOTS} from '../utils/PlainUpstream';
 
 const EDGES = 87;
@@ -56,14 +56,14 @@
   const edges = Array.from({length: EDGES}, () =>
     UPSTREAMS.map((hall, at) => {
       const address = `10.0.0.1:${at}`;
-      const record = upstreamOf(`i-${at}`, {address, hall, slots: SLOTS});
+      const record = makeUpstream(`i-${at}`, {address, hall, slots: SLOTS});
       return new EdgeUpstream(record, clock, log);
     }),
   );
   const results: Results = {busiestRatio: 0, onTime: 0, late: 0, refused: 0};
   const sendRequest = async (edge: number): Promise<void> => {
     const upstreams = edges[edge] ?? [];
-    const unpaused = upstreams.filter(({paused}) => !paused);
+    const unpaused = upstreams.filter(({isPaused}) => !isPaused);
     const hall = HALLS[edge % HALLS.length] ?? '';
     const context = {hall, parts: [], service: SERVICE};
     const chosen = balancer.choose(
@@ -83,11 +83,11 @@
     chosen!.inFlight -= 1;
     const durationMs = clock.now() - startedAt;
     if (!wasAccepted) {
-      chosen!.full();
+      chosen!.recordFull();
       results.refused += 1;
       return;
     }
-    chosen!.answerTime.measured(durationMs);
+    chosen!.responseTime.recordDuration(durationMs);
     if (durationMs <= DEADLINE_MS) {
       results.onTime += 1;
     } else {
@@ -119,7 +119,7 @@
     'miss less than half the deadlines missed by least utilization (seed %i)',
     async (seed) => {
       const candidate = await simulate(
-        (random) => new ShorterWait(random),
+        (random) => new PowerOfTwoChoices(random),
         200,
         seed,
       );
@@ -137,12 +137,12 @@
 
   test('miss no more deadlines than choosing the fewest requests in flight at a low rate', async () => {
     const candidate = await simulate(
-      (random) => new ShorterWait(random),
+      (random) => new PowerOfTwoChoices(random),
       90,
       1,
     );
     const baseline = await simulate(
-      (random) => new LeastInFlight(random),
+      (random) => new LeastRequests(random),
       90,
       1,
     );
--- a/packages/puffinturn-edge/src/__tests__/unit/QuarantinedRequests.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/QuarantinedRequests.test.ts
@@ -10,13 +10,13 @@
 
 import {fingerprintOf} from 'puffinturn-quarantine';
 
-import {upstreamOf} from '../utils/EdgeFixture';
+import {makeUpstream} from '../utils/EdgeFixture';
 import {
-  ServingFixture,
-  servingRoute,
+  createRoute,
+  ForwardingFixture,
   TestUpstream,
-  until,
-} from '../utils/ServingFixture';
+  waitUntil,
+} from '../utils/ForwardingFixture';
 
 /** Fingerprint of the first request that the fixture sends. */
 function firstFingerprint(address: string): string {
@@ -36,12 +36,12 @@
 describe('Forwarding of crashing requests', () => {
   let first: TestUpstream;
   let second: TestUpstream;
-  let fixture: ServingFixture;
+  let fixture: ForwardingFixture;
 
   beforeEach(async () => {
     first = await TestUpstream.start('i-1');
     second = await TestUpstream.start('i-2');
-    fixture = await ServingFixture.start([servingRoute('look')]);
+    fixture = await ForwardingFixture.start([createRoute('look')]);
     fixture.pool.merge([first.record(), second.record()], 'c1');
   });
 
@@ -52,7 +52,7 @@
   });
 
   function attemptCount(): number {
-    return first.seen.length + second.seen.length;
+    return first.requestPaths.length + second.requestPaths.length;
   }
 
   function quarantineFirstRequest(): void {
@@ -62,29 +62,29 @@
 
   test('rejects a quarantined request and forwards others', async () => {
     quarantineFirstRequest();
-    const rejected = await fixture.ask('look');
+    const rejected = await fixture.sendRequest('look');
     expect([rejected.status, rejected.body]).toEqual([
       400,
       '{"error":"quarantined"}',
     ]);
     expect(attemptCount()).toBe(0);
-    expect((await fixture.ask('look')).status).toBe(200);
+    expect((await fixture.sendRequest('look')).status).toBe(200);
   });
 
   test('does not retry a request that was quarantined during an attempt', async () => {
     for (const upstream of [first, second]) {
-      upstream.answer = (_, response) => {
+      upstream.handler = (_, response) => {
         quarantineFirstRequest();
         breakConnection(response);
       };
     }
-    expect((await fixture.ask('look')).status).toBe(502);
+    expect((await fixture.sendRequest('look')).status).toBe(502);
     expect(attemptCount()).toBe(1);
   });
 
   test('does not retry a request that is one crash from quarantine', async () => {
     const fingerprints = [firstFingerprint(fixture.address)];
-    const crashedUpstream = {record: upstreamOf('i-8')};
+    const crashedUpstream = {record: makeUpstream('i-8')};
     fixture.quarantine.recordCrash(
       {fingerprints, life: 'i-8'},
       crashedUpstream,
@@ -95,18 +95,18 @@
       crashedUpstream,
     );
     for (const upstream of [first, second]) {
-      upstream.answer = (_, response) => breakConnection(response);
+      upstream.handler = (_, response) => breakConnection(response);
     }
-    expect((await fixture.ask('look')).status).toBe(502);
+    expect((await fixture.sendRequest('look')).status).toBe(502);
     expect(attemptCount()).toBe(1);
   });
 
   test('records a crash for a request in flight when its upstream stops listening', async () => {
-    first.answer = () => void first[Symbol.asyncDispose]();
-    second.answer = () => void second[Symbol.asyncDispose]();
-    expect((await fixture.ask('look')).status).toBe(502);
+    first.handler = () => void first[Symbol.asyncDispose]();
+    second.handler = () => void second[Symbol.asyncDispose]();
+    expect((await fixture.sendRequest('look')).status).toBe(502);
     const isCrash = ({event}: {event: string}) => event === 'upstream-crashed';
-    await until(() => fixture.log.lines.filter(isCrash).length === 2);
+    await waitUntil(() => fixture.log.lines.filter(isCrash).length === 2);
     expect(fixture.log.lines.filter(isCrash)).toMatchObject([
       {count: 1, fingerprints: [firstFingerprint(fixture.address)]},
       {count: 1, fingerprints: [firstFingerprint(fixture.address)]},
--- a/packages/puffinturn-edge/src/__tests__/unit/ReadLateness.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/QueueWaitLimit.test.ts
@@ -6,9 +6,9 @@
  */
 
 /** Guards against serving requests too late, and rejecting them too early. */
-import {isReadLate} from '../../callers/ReadLateness';
+import {waitedTooLong} from '../../callers/QueueWaitLimit';
 
-describe('isReadLate', () => {
+describe('waitedTooLong', () => {
   test.each([
     ['accepts a new request', 0, 5_000, 800, false],
     ['accepts a request within half of the objective', 390, 5_000, 800, false],
@@ -38,6 +38,6 @@
     ['rejects a request past half of a short deadline', 260, 500, 800, true],
     ['rejects a request past its time limit', 6_000, 5_000, 0, true],
   ])('%s', (_, waitedMs, timeLimitMs, objectiveMs, isLate) => {
-    expect(isReadLate(waitedMs, timeLimitMs, {objectiveMs})).toBe(isLate);
+    expect(waitedTooLong(waitedMs, timeLimitMs, {objectiveMs})).toBe(isLate);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/LimitsInAnswers.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/RateLimitResponses.test.ts
@@ -14,11 +14,11 @@
 import {ManualClock} from 'shared';
 
 import {
-  ServingFixture,
-  servingRoute,
+  createRoute,
+  ForwardingFixture,
   TestUpstream,
-  until,
-} from '../utils/ServingFixture';
+  waitUntil,
+} from '../utils/ForwardingFixture';
 
 /** Number of requests, enough for both upstreams to be chosen. */
 const REQUEST_COUNT = 20;
@@ -51,14 +51,14 @@
   let clock: ManualClock;
   let first: TestUpstream;
   let second: TestUpstream;
-  let fixture: ServingFixture;
+  let fixture: ForwardingFixture;
 
   beforeEach(async () => {
     clock = new ManualClock();
     first = await TestUpstream.start('i-1');
     second = await TestUpstream.start('i-2');
-    const route = servingRoute('look', {maxAttempts: 2});
-    fixture = await ServingFixture.start([route], () => ({}), clock);
+    const route = createRoute('look', {maxAttempts: 2});
+    fixture = await ForwardingFixture.start([route], () => ({}), clock);
     fixture.pool.merge([first.record(), second.record()], 'c1');
     await clock.advance(PERMIT_FILL_MS);
   });
@@ -69,39 +69,42 @@
     await second[Symbol.asyncDispose]();
   });
 
-  const sendRequests = (count: number) => fixture.askMany('look', count);
+  const sendRequests = (count: number) => fixture.sendRequests('look', count);
 
   /** Sends requests and returns how many reach the first upstream. */
   async function countReachingFirst(count: number): Promise<number> {
-    const before = first.seen.length;
+    const before = first.requestPaths.length;
     await sendRequests(count);
-    return first.seen.length - before;
+    return first.requestPaths.length - before;
   }
 
   /** Makes the first upstream state a limit and uses up its permits. */
   async function exhaustFirst(limit: string): Promise<void> {
-    first.answer = respondWithLimit(limit);
+    first.handler = respondWithLimit(limit);
     await sendRequests(REQUEST_COUNT);
     expect(await countReachingFirst(REQUEST_COUNT)).toBe(0);
   }
 
   test('bounds its requests while others serve the rest', async () => {
-    first.answer = respondWithLimit('1');
+    first.handler = respondWithLimit('1');
     expect(await sendRequests(REQUEST_COUNT)).toEqual(
       Array(REQUEST_COUNT).fill(200),
     );
     // The request that learned the limit, plus the accumulated permits.
-    expect(first.seen.length).toBeLessThanOrEqual(3);
+    expect(first.requestPaths.length).toBeLessThanOrEqual(3);
     await clock.advance(2_000);
     expect(await countReachingFirst(REQUEST_COUNT)).toBeGreaterThan(0);
   });
 
   test('rejects requests at once if all upstreams are at their limits', async () => {
-    first.answer = respondWithLimit('1');
-    second.answer = respondWithLimit('0.5');
+    first.handler = respondWithLimit('1');
+    second.handler = respondWithLimit('0.5');
     const statuses = await sendRequests(REQUEST_COUNT);
     expect(statuses.filter((status) => status === 200).length).toBeLessThan(8);
-    const rejected = [await fixture.ask('look'), await fixture.ask('look')];
+    const rejected = [
+      await fixture.sendRequest('look'),
+      await fixture.sendRequest('look'),
+    ];
     expect(rejected).toMatchObject([
       {body: '{"error":"upstreams-limited"}', status: 503},
       {body: '{"error":"upstreams-limited"}', status: 503},
@@ -129,20 +132,23 @@
 
   test('ends with a response that states none', async () => {
     await exhaustFirst('1');
-    first.answer = respondWithoutLimit;
+    first.handler = respondWithoutLimit;
     await clock.advance(2_000);
     expect(await countReachingFirst(REQUEST_COUNT)).toBeGreaterThan(5);
   });
 
   test('does not end with the response to an earlier request', async () => {
     const pendingResponses: ServerResponse[] = [];
-    first.answer = (_, response) => void pendingResponses.push(response);
-    second.answer = (_, response) => void pendingResponses.push(response);
-    const earlierRequests = [fixture.ask('look'), fixture.ask('look')];
-    await until(() => pendingResponses.length === 2);
+    first.handler = (_, response) => void pendingResponses.push(response);
+    second.handler = (_, response) => void pendingResponses.push(response);
+    const earlierRequests = [
+      fixture.sendRequest('look'),
+      fixture.sendRequest('look'),
+    ];
+    await waitUntil(() => pendingResponses.length === 2);
     await clock.advance(10);
-    second.answer = respondWithoutLimit;
-    first.answer = respondWithLimit('1');
+    second.handler = respondWithoutLimit;
+    first.handler = respondWithLimit('1');
     await sendRequests(REQUEST_COUNT);
     pendingResponses.forEach((response) => response.end('done'));
     await Promise.all(earlierRequests);
@@ -151,7 +157,7 @@
 
   test.each([503, 500])('does not end with a %i response', async (status) => {
     await exhaustFirst('1');
-    first.answer = respondWithStatus(status);
+    first.handler = respondWithStatus(status);
     await clock.advance(1_500);
     expect(await countReachingFirst(REQUEST_COUNT)).toBeGreaterThan(0);
     await clock.advance(100);
@@ -161,11 +167,11 @@
   test.each(['soon', '-5', 'NaN', '1e400', ''])(
     'is neither set nor removed by the invalid value %p',
     async (value) => {
-      first.answer = respondWithLimit(value);
+      first.handler = respondWithLimit(value);
       expect(await countReachingFirst(REQUEST_COUNT)).toBeGreaterThan(5);
       await exhaustFirst('1');
       await clock.advance(2_000);
-      first.answer = respondWithLimit(value);
+      first.handler = respondWithLimit(value);
       expect(await countReachingFirst(REQUEST_COUNT)).toBeLessThanOrEqual(2);
       expect(await countReachingFirst(REQUEST_COUNT)).toBe(0);
     },
@@ -203,7 +209,7 @@
   });
 
   test('is logged with the request that received it', async () => {
-    first.answer = respondWithLimit('1.25');
+    first.handler = respondWithLimit('1.25');
     await sendRequests(REQUEST_COUNT);
     const logged = fixture.log.lines.filter(
       ({event}) => event === 'upstream-told',
--- a/packages/puffinturn-edge/src/__tests__/unit/RegionLoad.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/RegionLoad.test.ts
@@ -9,15 +9,15 @@
 // against needless traffic between regions. Engines return with empty prompt caches.
 import {ManualClock, Random} from 'shared';
 
-import type {PromptPart} from '../../callers/CallerDialect';
-import {RegionCrossing} from '../../regions/RegionCrossing';
+import type {PromptPart} from '../../callers/CallerProtocol';
+import {RegionLinkBudget} from '../../regions/RegionLinkBudget';
 import type {EdgeUpstream} from '../../upstreams/EdgeUpstream';
-import {PromptReading} from '../../upstreams/PromptReading';
-import type {Placement} from '../../upstreams/UpstreamChoice';
-import type {CrossingFactory} from '../utils/RegionEdge';
-import {RegionEdge, TWO_REGIONS} from '../utils/RegionEdge';
+import type {Placement} from '../../upstreams/LoadBalancer';
+import {PromptPrefill} from '../../upstreams/PromptPrefill';
+import type {LinkBudgetFactory} from '../utils/RegionEdge';
+import {REGION_BY_HALL, RegionEdge} from '../utils/RegionEdge';
 
-const HALLS = Object.keys(TWO_REGIONS);
+const HALLS = Object.keys(REGION_BY_HALL);
 const EDGES_PER_HALL = 6;
 const ENGINES_PER_HALL = 3;
 const ARRIVALS_PER_S = 240;
@@ -27,7 +27,7 @@
 const READ_TOKENS_PER_MS = 85;
 const BODY_BYTES = 12_000;
 const OBJECTIVE_MS = 500;
-const CONNECT_MS = 400;
+const CONNECT_TIMEOUT_MS = 400;
 const COPY_MS_PER_TOKEN = 0.0004;
 const COPY_SETUP_MS = 10;
 const MAX_ATTEMPTS = 4;
@@ -101,25 +101,25 @@
 /** Region settings and link model of the edges. */
 interface RoutingMode {
   readonly regionByHall: Readonly<Record<string, string>>;
-  readonly createCrossing?: CrossingFactory;
+  readonly createLinkBudget?: LinkBudgetFactory;
 }
 
 /** Edges treat all halls as one region. */
 const SINGLE_REGION: RoutingMode = {regionByHall: {}};
 
 /** Makes edges use another region only if there is no local engine. */
-class LastResortCrossing extends RegionCrossing {
-  override transferMs(): number {
+class LastResortLinkBudget extends RegionLinkBudget {
+  override estimateTransferMs(): number {
     return 1e9;
   }
 }
 
 const LAST_RESORT: RoutingMode = {
-  regionByHall: TWO_REGIONS,
-  createCrossing: (parts) => new LastResortCrossing(parts),
+  regionByHall: REGION_BY_HALL,
+  createLinkBudget: (parts) => new LastResortLinkBudget(parts),
 };
 
-const REGION_AWARE: RoutingMode = {regionByHall: TWO_REGIONS};
+const REGION_AWARE: RoutingMode = {regionByHall: REGION_BY_HALL};
 
 /** One simulation run under a fault. */
 class RegionSimulation {
@@ -179,7 +179,7 @@
 
   private createEdge(
     hall: string,
-    {regionByHall, createCrossing}: RoutingMode,
+    {regionByHall, createLinkBudget: createLinkBudget}: RoutingMode,
   ): RegionEdge {
     const edge = new RegionEdge({
       regionByHall,
@@ -187,7 +187,7 @@
       edgeCount: EDGES_PER_HALL * 2,
       hall,
       random: this.random,
-      ...(createCrossing === undefined ? {} : {createCrossing}),
+      ...(createLinkBudget === undefined ? {} : {createLinkBudget}),
     });
     for (const id of this.engines.keys()) {
       edge.addUpstream(id);
@@ -244,7 +244,7 @@
     const tally = isLeastUrgent ? period.leastUrgent : period.urgent;
     const size = {
       bodyBytes: BODY_BYTES,
-      heldBack: new Set<EdgeUpstream>(),
+      deniedUpstreams: new Set<EdgeUpstream>(),
       isLeastUrgent,
     };
     const tried: EdgeUpstream[] = [];
@@ -254,9 +254,9 @@
         break;
       }
       tried.push(placement.upstream);
-      const {doubtful} = placement.upstream;
-      if (doubtful) {
-        origin.edge.homeProbes.sent();
+      const {isFailing} = placement.upstream;
+      if (isFailing) {
+        origin.edge.recoveryProbes.recordProbe();
       }
       const isRemote =
         isWest(origin.hall) !== isWest(placement.upstream.record.hall);
@@ -264,12 +264,12 @@
         tally.crossRegion += 1;
         period.bytes += BODY_BYTES + 5_000;
       }
-      if (origin.edge.crossing.isAway(placement.upstream.record.hall)) {
-        origin.edge.crossing.sent(plan, BODY_BYTES);
+      if (origin.edge.linkBudget.isRemote(placement.upstream.record.hall)) {
+        origin.edge.linkBudget.recordSent(plan, BODY_BYTES);
       }
       if (await this.serve(placement, parts, isRemote)) {
-        if (doubtful) {
-          origin.edge.homeProbes.answered();
+        if (isFailing) {
+          origin.edge.recoveryProbes.recordSuccess();
         }
         const isOnTime = clock.now() - startedAt <= OBJECTIVE_MS;
         tally[isOnTime ? 'onTime' : 'late'] += 1;
@@ -292,9 +292,9 @@
       isRemote && this.fault.isLinkDown && isFaultActive(clock.now());
     upstream.inFlight += 1;
     if (engine.isDown || isUnreachable) {
-      await clock.sleep(CONNECT_MS);
+      await clock.sleep(CONNECT_TIMEOUT_MS);
       upstream.inFlight -= 1;
-      upstream.unreachable();
+      upstream.recordConnectFailure();
       return false;
     }
     const [shared] = parts;
@@ -306,13 +306,13 @@
     if (source !== undefined && isWest(source) !== isWest(engine.hall)) {
       outcome.crossRegionCopies += 1;
     }
-    const reading = new PromptReading(clock, placement, parts);
+    const prefill = new PromptPrefill(clock, placement, parts);
     await clock.sleep(isRemote ? 12 : 1);
     await clock.sleep(engine.read(clock.now(), promptId, copiedTokens));
     await clock.sleep(isRemote ? 12 : 1);
     upstream.inFlight -= 1;
-    reading.end(true);
-    upstream.succeeded();
+    prefill.finish(true);
+    upstream.recordSuccess();
     return true;
   }
 }
@@ -337,7 +337,7 @@
   return onTime + late + rejected;
 }
 
-/** Fraction of requests answered on time. */
+/** Fraction of requests served on time. */
 function onTimeRatio(...tallies: Tally[]): number {
   const all = tallies.reduce((sum, tally) => sum + totalRequests(tally), 0);
   return tallies.reduce((sum, {onTime}) => sum + onTime, 0) / all;
--- a/packages/puffinturn-edge/src/__tests__/unit/RegionPlacing.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/RegionSelection.test.ts
@@ -9,13 +9,13 @@
 import {ManualClock, Random} from 'shared';
 
 import {EdgeUpstream} from '../../upstreams/EdgeUpstream';
-import {ExpectedTime, ShorterWait} from '../../upstreams/UpstreamChoice';
-import {upstreamOf} from '../utils/EdgeFixture';
+import {LowestLatency, PowerOfTwoChoices} from '../../upstreams/LoadBalancer';
+import {makeUpstream} from '../utils/EdgeFixture';
+import {ENGINE_SERVICE, PLAIN_SERVICE, RegionEdge} from '../utils/RegionEdge';
 import {
   referenceEnginePlacement,
   referencePlainChoice,
-} from '../utils/OneRegion';
-import {ENGINE_SERVICE, PLAIN_SERVICE, RegionEdge} from '../utils/RegionEdge';
+} from '../utils/SingleRegionReference';
 
 const PROMPT = [
   {id: 'aa', tokens: 5_000},
@@ -32,10 +32,10 @@
   for (const upstream of upstreams) {
     upstream.inFlight = random.integer(0, 9);
     upstream.pendingTokens = random.integer(0, 9_000);
-    upstream.answerTime.measured(random.integer(0, 400));
-    upstream.speed.measured(5_000, random.integer(50, 900));
+    upstream.responseTime.recordDuration(random.integer(0, 400));
+    upstream.prefillSpeed.recordPrefill(5_000, random.integer(50, 900));
     if (random.fraction() < 0.3) {
-      upstream.prefixes.sent(PROMPT);
+      upstream.cachedPrefixes.recordPrompt(PROMPT);
     }
   }
 }
@@ -43,36 +43,36 @@
 // Guards against requests that leave their region without need, or stay in a region
 // that cannot serve them in time.
 describe('Selection of a plain upstream in several regions', () => {
-  test('uses the local region while it answers in time', () => {
+  test('uses the local region while it responds in time', () => {
     const edge = new RegionEdge();
     for (const id of ['e1-a', 'e2-a', 'w1-a', 'w2-a']) {
       edge.addUpstream(id);
     }
-    edge.upstream('e1-a').answerTime.measured(100);
-    edge.upstream('e2-a').answerTime.measured(120);
-    edge.addUpstream('e2-b').answerTime.measured(120);
+    edge.upstream('e1-a').responseTime.recordDuration(100);
+    edge.upstream('e2-a').responseTime.recordDuration(120);
+    edge.addUpstream('e2-b').responseTime.recordDuration(120);
     const selected = edge.selectedIds(edge.createPlan(), 50);
     expect([...selected].sort()).toEqual(['e1-a', 'e2-a', 'e2-b']);
   });
 
   test('uses another region if the local wait exceeds the transfer time', () => {
     const edge = new RegionEdge();
-    edge.addUpstream('e1-a').answerTime.measured(400);
-    edge.addUpstream('w1-a').answerTime.measured(60);
+    edge.addUpstream('e1-a').responseTime.recordDuration(400);
+    edge.addUpstream('w1-a').responseTime.recordDuration(60);
     expect(edge.select(edge.createPlan())?.upstream.id).toBe('w1-a');
   });
 
   test('returns to the local region once its measurements have expired', async () => {
     const edge = new RegionEdge();
-    edge.addUpstream('e1-a').answerTime.measured(400);
-    edge.addUpstream('w1-a').answerTime.measured(60);
+    edge.addUpstream('e1-a').responseTime.recordDuration(400);
+    edge.addUpstream('w1-a').responseTime.recordDuration(60);
     await edge.clock.advance(6_000);
     expect(edge.select(edge.createPlan())?.upstream.id).toBe('e1-a');
   });
 
   test('uses another region if all local upstreams are unreachable', () => {
     const edge = new RegionEdge();
-    edge.addUpstream('e1-a').unreachable();
+    edge.addUpstream('e1-a').recordConnectFailure();
     edge.addUpstream('w1-a');
     expect(edge.select(edge.createPlan())?.upstream.id).toBe('w1-a');
   });
@@ -96,7 +96,7 @@
     for (let at = 0; at < 40; at += 1) {
       const prompt = [{id: `p${at}`, tokens: 5_000}, ...PROMPT.slice(1)];
       for (const id of REMOTE) {
-        edge.upstream(id).prefixes.sent(prompt);
+        edge.upstream(id).cachedPrefixes.recordPrompt(prompt);
       }
       const plan = edge.createEnginePlan(prompt);
       expect(LOCAL).toContain(edge.select(plan)?.upstream.id);
@@ -149,7 +149,7 @@
 describe('Link between regions', () => {
   const LEAST_URGENT = {
     bodyBytes: 20_000,
-    heldBack: new Set<EdgeUpstream>(),
+    deniedUpstreams: new Set<EdgeUpstream>(),
     isLeastUrgent: true,
   };
   const URGENT = {...LEAST_URGENT, isLeastUrgent: false};
@@ -161,7 +161,7 @@
     const sendUntilFull = (size: typeof URGENT) => {
       let sent = 0;
       while (edge.select(plan, [], size) !== undefined && sent < 1_000) {
-        edge.crossing.sent(plan, size.bodyBytes);
+        edge.linkBudget.recordSent(plan, size.bodyBytes);
         sent += 1;
       }
       return sent;
@@ -181,7 +181,7 @@
     const edge = new RegionEdge();
     edge.addUpstream('w1-a');
     const plan = edge.createPlan();
-    edge.crossing.sent(plan, 200_000);
+    edge.linkBudget.recordSent(plan, 200_000);
     expect(edge.select(plan)).toBeUndefined();
     await edge.clock.advance(4_000);
     expect(edge.select(plan)?.upstream.id).toBe('w1-a');
@@ -189,10 +189,10 @@
 
   test('keeps requests in a busy local region while the link is full', () => {
     const edge = new RegionEdge();
-    edge.addUpstream('e1-a').answerTime.measured(3_000);
+    edge.addUpstream('e1-a').responseTime.recordDuration(3_000);
     edge.addUpstream('w1-a');
     const plan = edge.createPlan();
-    edge.crossing.sent(plan, 200_000);
+    edge.linkBudget.recordSent(plan, 200_000);
     expect(edge.select(plan)?.upstream.id).toBe('e1-a');
   });
 });
@@ -202,7 +202,7 @@
   function edgeWithFailedLocalUpstreams(): RegionEdge {
     const edge = new RegionEdge();
     for (const id of ['e1-a', 'e1-b', 'e2-a']) {
-      edge.addUpstream(id).unreachable();
+      edge.addUpstream(id).recordConnectFailure();
     }
     edge.addUpstream('w1-a');
     return edge;
@@ -214,7 +214,7 @@
     expect(edge.select(edge.createPlan())?.upstream.id.startsWith('e')).toBe(
       true,
     );
-    edge.homeProbes.sent();
+    edge.recoveryProbes.recordProbe();
     expect(edge.select(edge.createPlan())?.upstream.id).toBe('w1-a');
     await edge.clock.advance(2_000);
     expect(edge.select(edge.createPlan())?.upstream.id.startsWith('e')).toBe(
@@ -222,11 +222,11 @@
     );
   });
 
-  test('are all used again once one has answered', async () => {
+  test('are all used again once one has responded', async () => {
     const edge = edgeWithFailedLocalUpstreams();
     await edge.clock.advance(300);
-    edge.homeProbes.sent();
-    edge.homeProbes.answered();
+    edge.recoveryProbes.recordProbe();
+    edge.recoveryProbes.recordSuccess();
     const selected = edge.selectedIds(edge.createPlan(), 60);
     expect([...selected].every((id) => id.startsWith('e'))).toBe(true);
   });
@@ -234,7 +234,7 @@
   test('are not probed while the link is full', () => {
     const edge = edgeWithFailedLocalUpstreams();
     const plan = edge.createPlan();
-    edge.crossing.sent(plan, 200_000);
+    edge.linkBudget.recordSent(plan, 200_000);
     expect(edge.select(plan)).toBeUndefined();
     expect(edge.rejection(plan).cause).toBe('region-link-full');
   });
@@ -242,7 +242,7 @@
   test('delay a request at most once', () => {
     const edge = edgeWithFailedLocalUpstreams();
     const failed = edge.upstream('w1-a');
-    failed.unreachable();
+    failed.recordConnectFailure();
     const plan = edge.createPlan();
     expect(edge.select(plan)).toBeDefined();
     expect(edge.select(plan, [failed])).toBeUndefined();
@@ -252,7 +252,7 @@
 
   test('are used if no other region is allowed', () => {
     const edge = edgeWithFailedLocalUpstreams();
-    edge.homeProbes.sent();
+    edge.recoveryProbes.recordProbe();
     const plan = edge.createPlan({allowedRegions: ['east']});
     expect(edge.select(plan)?.upstream.id.startsWith('e')).toBe(true);
   });
@@ -278,7 +278,7 @@
       }
       return counts;
     };
-    local.turnsCold(edge.clock.now() + coldStart.durationMs);
+    local.markCold(edge.clock.now() + coldStart.durationMs);
     const coldCounts = await sendFor(3_000);
     expect(coldCounts.local).toBeGreaterThan(0);
     expect(coldCounts.local).toBeLessThan(35);
@@ -341,21 +341,24 @@
   test('selects the same upstreams without a region link', () => {
     const log = new SilentDecisionLog();
     const upstreams = HALLS.map((hall) => {
-      const record = upstreamOf(hall, {hall, slots: 6});
+      const record = makeUpstream(hall, {hall, slots: 6});
       return new EdgeUpstream(record, new ManualClock(), log);
     });
     const random = new Random(9);
-    const plainChoice = new ShorterWait(new Random(4));
+    const plainBalancer = new PowerOfTwoChoices(new Random(4));
     const referenceRandom = new Random(4);
-    const engineChoice = new ExpectedTime();
+    const engineBalancer = new LowestLatency();
     for (let count = 0; count < 200; count += 1) {
       randomizeState(upstreams, random);
-      const facts = {hall: 'e1', parts: PROMPT};
+      const context = {hall: 'e1', parts: PROMPT};
       expect(
-        plainChoice.choose(upstreams, {...facts, service: PLAIN_SERVICE}),
+        plainBalancer.choose(upstreams, {...context, service: PLAIN_SERVICE}),
       ).toBe(referencePlainChoice(upstreams, 'e1', referenceRandom));
       expect(
-        engineChoice.place(upstreams, {...facts, service: ENGINE_SERVICE}),
+        engineBalancer.choosePlacement(upstreams, {
+          ...context,
+          service: ENGINE_SERVICE,
+        }),
       ).toEqual(
         referenceEnginePlacement(upstreams, PROMPT, ENGINE_SERVICE, 'e1'),
       );
--- a/packages/puffinturn-edge/src/__tests__/unit/CrashingRequests.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/RequestQuarantine.test.ts
@@ -16,8 +16,8 @@
 import {ManualClock, settleTasks} from 'shared';
 
 import {EdgeMetrics} from '../../EdgeMetrics';
-import {CrashingRequests} from '../../requests/CrashingRequests';
-import {upstreamOf} from '../utils/EdgeFixture';
+import {RequestQuarantine} from '../../requests/RequestQuarantine';
+import {makeUpstream} from '../utils/EdgeFixture';
 
 /** Control boxes that accept reports, lose their replies or are unreachable. */
 class ReportLink extends Link {
@@ -39,19 +39,19 @@
   }
 }
 
-describe('CrashingRequests', () => {
+describe('RequestQuarantine', () => {
   const clock = new ManualClock();
   let link: ReportLink;
   let log: KeptDecisionLog;
-  let quarantine: CrashingRequests;
+  let quarantine: RequestQuarantine;
 
   beforeEach(() => {
     link = new ReportLink();
     log = new KeptDecisionLog();
-    quarantine = new CrashingRequests({
+    quarantine = new RequestQuarantine({
       box: 'e1',
       clock,
-      controls: () => ['c1', 'c2'],
+      controlBoxes: () => ['c1', 'c2'],
       link,
       log,
       metrics: new EdgeMetrics(),
@@ -61,7 +61,7 @@
   afterEach(() => quarantine[Symbol.asyncDispose]());
 
   function recordCrash(life: string, ...fingerprints: string[]): void {
-    quarantine.recordCrash({fingerprints, life}, {record: upstreamOf(life)});
+    quarantine.recordCrash({fingerprints, life}, {record: makeUpstream(life)});
   }
 
   async function advance(ms: number): Promise<void> {
--- a/packages/puffinturn-edge/src/__tests__/unit/RequestTokens.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/RequestTokens.test.ts
@@ -8,49 +8,53 @@
 /** Guards against charging callers for tokens that they did not receive. */
 import type {Service} from 'puffinturn-fleet';
 
-import {RESERVE} from '../../index';
-import type {Plan} from '../../requests/RequestPlan';
+import {RESERVE_OUTCOME} from '../../index';
+import type {RequestPlan} from '../../requests/RequestPlan';
 import {RequestTokens} from '../../tokens/RequestTokens';
 import {heldTokens, TEAM, TokenFleet} from '../utils/TokenFleet';
 
 const ENGINE = {tokensPerEvent: 5} as Service['engine'];
 
 /** A request with 100 prompt tokens and at most 50 output tokens. */
-function planOf(engine: Service['engine']): Plan {
+function planOf(engine: Service['engine']): RequestPlan {
   return {
-    parts: [],
-    route: {} as Plan['route'],
+    promptParts: [],
+    route: {} as RequestPlan['route'],
     service: {engine, name: 's'} as Service,
     team: {keys: [], name: TEAM, prepaidTokens: 1_000, priority: 0},
-    tokens: {most: 50, prompt: 100},
+    tokenCounts: {maxCompletionTokens: 50, promptTokens: 100},
   };
 }
 
 describe('RequestTokens', () => {
   test.each([
-    ['a complete response', {events: 4, passedOn: true, whole: true}, 120],
+    [
+      'a complete response',
+      {events: 4, hasStarted: true, isComplete: true},
+      120,
+    ],
     [
       'a response that breaks off',
-      {events: 4, passedOn: true, whole: false},
+      {events: 4, hasStarted: true, isComplete: false},
       130,
     ],
     [
       'more events than reserved',
-      {events: 40, passedOn: true, whole: true},
+      {events: 40, hasStarted: true, isComplete: true},
       150,
     ],
     [
       'a response without events',
-      {events: 0, passedOn: true, whole: true},
+      {events: 0, hasStarted: true, isComplete: true},
       100,
     ],
-    ['a lost response', {events: 0, passedOn: false, whole: false}, 0],
+    ['a lost response', {events: 0, hasStarted: false, isComplete: false}, 0],
   ])('charges for %s', async (_, cost, charged) => {
     const fleet = new TokenFleet(1_000);
     const edge = await fleet.start('e', []);
     const tokens = new RequestTokens(edge, planOf(ENGINE));
     expect(await fleet.advanceUntilSettled(tokens.reserve())).toBe(
-      RESERVE.held,
+      RESERVE_OUTCOME.reserved,
     );
     expect(tokens.settle(cost)).toBe(charged);
     expect(edge.status()[0]).toMatchObject({charged, reserved: 0});
@@ -60,8 +64,10 @@
     const fleet = new TokenFleet(10);
     const edge = await fleet.start('e', []);
     const tokens = new RequestTokens(edge, planOf(undefined));
-    expect(await tokens.reserve()).toBe(RESERVE.held);
-    expect(tokens.settle({events: 1, passedOn: true, whole: true})).toBe(0);
+    expect(await tokens.reserve()).toBe(RESERVE_OUTCOME.reserved);
+    expect(tokens.settle({events: 1, hasStarted: true, isComplete: true})).toBe(
+      0,
+    );
     expect(heldTokens(edge)).toBeLessThanOrEqual(10);
   });
 
@@ -69,10 +75,10 @@
     const fleet = new TokenFleet(120);
     const edge = await fleet.start('e', []);
     const tokens = new RequestTokens(edge, planOf(ENGINE));
-    expect(tokens.facts).toBeUndefined();
+    expect(tokens.refusalState).toBeUndefined();
     expect(await fleet.advanceUntilSettled(tokens.reserve())).toBe(
-      RESERVE.exhausted,
+      RESERVE_OUTCOME.exhausted,
     );
-    expect(tokens.facts).toMatchObject({holder: 'e', left: 0});
+    expect(tokens.refusalState).toMatchObject({holder: 'e', left: 0});
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/CallerBody.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ResponseBodyWriter.test.ts
@@ -13,14 +13,14 @@
 import type {AddressInfo} from 'node:net';
 import {connect, Socket} from 'node:net';
 
-import {ResponseBodyWriter} from '../../callers/CallerBody';
-import {UpstreamAnswer} from '../../connections/UpstreamAnswer';
+import {ResponseBodyWriter} from '../../callers/ResponseBodyWriter';
+import {UpstreamResponse} from '../../connections/UpstreamResponse';
 
 const EVENTS = ['id: 1\ndata: one\n\n', `id: 2\ndata: ${'x'.repeat(300)}\n\n`];
 
 /** An upstream response that records calls of pause and resume. */
-function createSource(calls: string[]): UpstreamAnswer {
-  return new UpstreamAnswer(
+function createSource(calls: string[]): UpstreamResponse {
+  return new UpstreamResponse(
     {keepAlive: true, rawHeaders: [], statusCode: 200},
     {
       pause: () => calls.push('pause'),
@@ -66,7 +66,7 @@
   return bytes.replace(/^(Date|Connection|Keep-Alive): .*\r\n/gm, '');
 }
 
-describe('CallerBody', () => {
+describe('ResponseBodyWriter', () => {
   test.each(['', 'rest'])(
     'writes the same chunks as Node, with "%s" as the last bytes',
     async (rest) => {
--- a/packages/puffinturn-edge/src/__tests__/unit/Totals.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ResponseTotals.test.ts
@@ -12,23 +12,23 @@
 import {KeptDecisionLog} from 'puffinturn-decisions';
 import {ManualClock} from 'shared';
 
-import {Totals} from '../../Totals';
+import {ResponseTotals} from '../../ResponseTotals';
 
 function tokensOf(team: string, held: number): TeamTokens {
   return {charged: 1, held, reserved: 2, team};
 }
 
-describe('Totals', () => {
+describe('ResponseTotals', () => {
   test('logs each response once, and nothing while idle', async () => {
     const clock = new ManualClock();
     const log = new KeptDecisionLog();
-    await using totals = new Totals(clock, log, () => []);
+    await using totals = new ResponseTotals(clock, log, () => []);
     for (let count = 0; count < 3; count += 1) {
-      totals.count(402, 'budget-exhausted');
+      totals.recordResponse(402, 'budget-exhausted');
     }
-    totals.count(200, 'served');
+    totals.recordResponse(200, 'served');
     await clock.advance(1_000);
-    totals.count(200, 'served');
+    totals.recordResponse(200, 'served');
     await clock.advance(10_000);
     expect(log.lines).toEqual([
       {
@@ -48,9 +48,9 @@
   test('limits the number of causes in a line, and counts all responses', async () => {
     const clock = new ManualClock();
     const log = new KeptDecisionLog();
-    await using totals = new Totals(clock, log, () => []);
+    await using totals = new ResponseTotals(clock, log, () => []);
     for (let count = 0; count < 1_000; count += 1) {
-      totals.count(502, `cause ${count}`);
+      totals.recordResponse(502, `cause ${count}`);
     }
     await clock.advance(1_000);
     const [line] = log.lines;
@@ -65,8 +65,8 @@
     const teams = Array.from({length: 40}, (_, index) =>
       tokensOf(`t${index}`, index),
     );
-    await using totals = new Totals(clock, log, () => teams);
-    totals.count(200, 'served');
+    await using totals = new ResponseTotals(clock, log, () => teams);
+    totals.recordResponse(200, 'served');
     await clock.advance(1_000);
     const line = log.lines[1];
     expect(line).toMatchObject({
--- a/packages/puffinturn-edge/src/__tests__/unit/RouteTable.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/RouteTable.test.ts
@@ -10,7 +10,7 @@
 import {REPETITION} from 'puffinturn-fleet';
 
 import {RouteTable} from '../../index';
-import {configurationOf} from '../utils/EdgeFixture';
+import {makeConfiguration} from '../utils/EdgeFixture';
 
 function route(name: string, pathPrefix: string, weights: number[]): Route {
   return {
@@ -28,7 +28,7 @@
   };
 }
 
-const CONFIGURATION = configurationOf(1, {
+const CONFIGURATION = makeConfiguration(1, {
   routes: [
     route('short', '/a/', [1]),
     route('long', '/a/b/', [1, 3]),
@@ -68,14 +68,14 @@
         ...CONFIGURATION,
         routes: [{...short!, allowedRegions: routeRegions}],
         teams: [{...team!, allowedRegions: teamRegions}],
-      }).allowedRegions(short!, team);
+      }).findAllowedRegions(short!, team);
     expect(allowedBy()).toBeUndefined();
     expect(allowedBy(['east'])).toEqual(['east']);
     expect(allowedBy(undefined, ['west'])).toEqual(['west']);
     expect(allowedBy(['east', 'west'], ['west'])).toEqual(['west']);
     expect(allowedBy(['east'], ['west'])).toEqual([]);
-    const emptyTable = new RouteTable(configurationOf(2));
-    expect(emptyTable.allowedRegions(short!, team)).toBeUndefined();
+    const emptyTable = new RouteTable(makeConfiguration(2));
+    expect(emptyTable.findAllowedRegions(short!, team)).toBeUndefined();
   });
 
   test('requires a key except on anonymous routes', () => {
@@ -103,7 +103,7 @@
     const plain = {...route('plain', '/p/', [0, 1]), priority: 7};
     const createTable = (...ranks: number[]) =>
       new RouteTable(
-        configurationOf(1, {
+        makeConfiguration(1, {
           routes: [...ranks.map(engineRoute), plain],
           services: [
             {engine, maxConnections: 1, name: 's0'},
--- a/packages/puffinturn-edge/src/__tests__/unit/TokenUrgency.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/TokenPriority.test.ts
@@ -12,7 +12,7 @@
 import {Random} from 'shared';
 
 import type {Allowances} from '../../index';
-import {RESERVE} from '../../index';
+import {RESERVE_OUTCOME} from '../../index';
 import {CORE, namesExcept, TEAM, TokenFleet} from '../utils/TokenFleet';
 
 const EDGES = ['a1', 'a2', 'b1', 'b2', 'c1', 'c2'];
@@ -60,7 +60,7 @@
       REQUEST_COST,
       isPrioritized && !isUrgent,
     );
-    const isReserved = outcome === RESERVE.held;
+    const isReserved = outcome === RESERVE_OUTCOME.reserved;
     requestCounts.sent += isCounted ? 1 : 0;
     requestCounts.served += isCounted && isReserved ? 1 : 0;
     if (isReserved) {
@@ -113,7 +113,7 @@
       const outcome = await fleet.advanceUntilSettled(
         edge.reserve(TEAM, REQUEST_COST, true),
       );
-      expect(outcome).toBe(RESERVE.held);
+      expect(outcome).toBe(RESERVE_OUTCOME.reserved);
       edge.settle(TEAM, REQUEST_COST, REQUEST_COST);
       await fleet.clock.advance(REQUEST_INTERVAL_MS);
     }
--- a/packages/puffinturn-edge/src/__tests__/unit/TokensAfterLoss.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/TokensAfterLoss.test.ts
@@ -12,7 +12,7 @@
 import {Random} from 'shared';
 
 import type {Allowances} from '../../index';
-import {RESERVE} from '../../index';
+import {RESERVE_OUTCOME} from '../../index';
 import {
   CORE,
   heldTokens,
@@ -115,7 +115,7 @@
     const isLong = this.random.integer(1, LONG_PROMPT_ONE_IN) === 1;
     const prompt = isLong ? LONG_PROMPT_TOKENS : PROMPT_TOKENS;
     const outcome = await edge.reserve(TEAM, prompt + MAX_OUTPUT);
-    const isServed = outcome === RESERVE.held;
+    const isServed = outcome === RESERVE_OUTCOME.reserved;
     this.requests.push({atSeconds, isServed});
     if (isServed) {
       await this.fleet.clock.sleep(SERVICE_TIME_MS);
--- a/packages/puffinturn-edge/src/__tests__/unit/TokensInRegions.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/TokensInRegions.test.ts
@@ -12,7 +12,7 @@
 import {Regions} from 'puffinturn-fleet';
 import {ManualClock, Random} from 'shared';
 
-import {RESERVE} from '../../index';
+import {RESERVE_OUTCOME} from '../../index';
 import {TokenHolders} from '../../tokens/TokenHolders';
 import {CORE, TEAM, TokenFleet} from '../utils/TokenFleet';
 
@@ -76,7 +76,7 @@
     const edge = fleet.edge('a1');
     expect(
       await fleet.advanceUntilSettled(edge.reserve(TEAM, ownHall + 100)),
-    ).toBe(RESERVE.held);
+    ).toBe(RESERVE_OUTCOME.reserved);
     expect(heldBy(fleet, WEST)).toBe(westBefore);
   });
 
@@ -88,7 +88,7 @@
     const need = heldBy(fleet, EAST) + 100;
     const edge = fleet.edge('a1');
     expect(await fleet.advanceUntilSettled(edge.reserve(TEAM, need))).toBe(
-      RESERVE.held,
+      RESERVE_OUTCOME.reserved,
     );
     expect(fleet.totalHeld).toBe(totalBefore);
   });
@@ -103,14 +103,14 @@
     for (let index = 0; spent < east - 400; index += 1) {
       const edge = fleet.edge(EAST[index % EAST.length] ?? '');
       expect(await fleet.advanceUntilSettled(edge.reserve(TEAM, 100))).toBe(
-        RESERVE.held,
+        RESERVE_OUTCOME.reserved,
       );
       edge.settle(TEAM, 100, 100);
       spent += 100;
     }
     const reservation = fleet.edge('b1').reserve(TEAM, east);
     expect(await fleet.advanceUntilSettled(reservation)).toBe(
-      RESERVE.unavailable,
+      RESERVE_OUTCOME.unavailable,
     );
   });
 
@@ -138,7 +138,7 @@
         const outcome = await fleet.advanceUntilSettled(
           edge.reserve(TEAM, tokens),
         );
-        if (outcome === RESERVE.held) {
+        if (outcome === RESERVE_OUTCOME.reserved) {
           const charged = random.integer(0, tokens);
           edge.settle(TEAM, tokens, charged);
           spent += charged;
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamCrashes.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamCrashes.test.ts
@@ -17,10 +17,10 @@
 
 import type {EdgeUpstream} from '../../upstreams/EdgeUpstream';
 import {UpstreamPool} from '../../upstreams/UpstreamPool';
-import {upstreamOf} from '../utils/EdgeFixture';
-import {TestUpstream} from '../utils/ServingFixture';
+import {makeUpstream} from '../utils/EdgeFixture';
+import {TestUpstream} from '../utils/ForwardingFixture';
 
-const RECORD = upstreamOf('i-1', {bornAt: 1_000});
+const RECORD = makeUpstream('i-1', {bornAt: 1_000});
 
 function createWatch(state: ListenerState) {
   const clock = new ManualClock();
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamLives.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamIncarnations.test.ts
@@ -16,28 +16,28 @@
 import {ManualClock} from 'shared';
 
 import {UpstreamPool} from '../../upstreams/UpstreamPool';
-import {upstreamOf} from '../utils/EdgeFixture';
+import {makeUpstream} from '../utils/EdgeFixture';
 import {
-  ServingFixture,
-  servingRoute,
+  createRoute,
+  ForwardingFixture,
   TestUpstream,
-  until,
-} from '../utils/ServingFixture';
+  waitUntil,
+} from '../utils/ForwardingFixture';
 
 const ROUTES = [
-  servingRoute('look'),
-  servingRoute('order', {repetition: REPETITION.never}),
-  servingRoute('chat', {repetition: REPETITION.resumable, streams: true}),
+  createRoute('look'),
+  createRoute('order', {repetition: REPETITION.never}),
+  createRoute('chat', {repetition: REPETITION.resumable, streams: true}),
 ];
 
 /** Keeps the request open without responding. */
 function neverRespond(): void {}
 
 describe('An upstream that restarts with the same id', () => {
-  const previous = upstreamOf('i-1', {bornAt: 1_000, sequence: 40});
-  const next = upstreamOf('i-1', {bornAt: 2_000, sequence: 1});
+  const previous = makeUpstream('i-1', {bornAt: 1_000, sequence: 40});
+  const next = makeUpstream('i-1', {bornAt: 2_000, sequence: 1});
 
-  function createPool(...records: ReturnType<typeof upstreamOf>[]) {
+  function createPool(...records: ReturnType<typeof makeUpstream>[]) {
     const clock = new ManualClock();
     const pool = new UpstreamPool(clock, new SilentDecisionLog());
     pool.merge(records, 'c1');
@@ -51,68 +51,72 @@
   test('starts with fresh statistics and health', () => {
     const {clock, pool, upstream} = createPool({...previous, coldMs: 9_000});
     const prompt = [{id: 'aa', tokens: 4_000}];
-    upstream.prefixes.sent(prompt);
-    upstream.speed.measured(4_000, 4_000);
-    upstream.answerTime.measured(900);
-    upstream.answeredError();
-    upstream.unreachable();
-    upstream.isReplaced();
+    upstream.cachedPrefixes.recordPrompt(prompt);
+    upstream.prefillSpeed.recordPrefill(4_000, 4_000);
+    upstream.responseTime.recordDuration(900);
+    upstream.recordErrorResponse();
+    upstream.recordConnectFailure();
+    upstream.markReplaced();
     pool.merge([next], 'c1');
-    const [replacement] = pool.serving('s');
+    const [replacement] = pool.servingUpstreams('s');
     expect(replacement).not.toBe(upstream);
     expect(replacement).toMatchObject({
-      cold: false,
+      isCold: false,
       errorRate: 0,
       inFlight: 0,
-      paused: false,
-      serves: true,
+      isPaused: false,
+      isServing: true,
     });
     const unused = createPool(next).upstream;
-    expect(replacement?.prefixes.keptOf(prompt)).toBe(0);
-    expect(replacement?.answerTime.ms).toBe(0);
-    expect(replacement?.speed.tokensPerMs).toBe(unused.speed.tokensPerMs);
-    expect(upstream.serves).toBe(false);
+    expect(replacement?.cachedPrefixes.cachedTokens(prompt)).toBe(0);
+    expect(replacement?.responseTime.expectedMs).toBe(0);
+    expect(replacement?.prefillSpeed.tokensPerMs).toBe(
+      unused.prefillSpeed.tokensPerMs,
+    );
+    expect(upstream.isServing).toBe(false);
     expect(clock.now()).toBe(0);
   });
 
   test('is not affected by late records of its previous incarnation', () => {
     const {pool} = createPool(previous);
     pool.merge([next], 'c1');
-    const replacement = pool.serving('s');
+    const replacement = pool.servingUpstreams('s');
     pool.merge([{...previous, sequence: 41}], 'c2');
     pool.merge([{...previous, state: UPSTREAM_STATE.gone}], 'c2');
     pool.merge([next, next], 'c2');
-    expect(pool.serving('s')).toEqual(replacement);
+    expect(pool.servingUpstreams('s')).toEqual(replacement);
   });
 
   test('serves again after its previous incarnation was gone', () => {
     const {pool} = createPool(previous);
     pool.merge([{...previous, state: UPSTREAM_STATE.gone}], 'c1');
-    expect(pool.serving('s')).toEqual([]);
+    expect(pool.servingUpstreams('s')).toEqual([]);
     pool.merge([{...previous, sequence: 41}], 'c1');
-    expect(pool.serving('s')).toEqual([]);
+    expect(pool.servingUpstreams('s')).toEqual([]);
     pool.merge([next], 'c1');
-    expect(pool.serving('s').map(({id}) => id)).toEqual(['i-1']);
+    expect(pool.servingUpstreams('s').map(({id}) => id)).toEqual(['i-1']);
   });
 
   test('uses the service and address of its new incarnation', () => {
     const {pool} = createPool(previous);
     const moved = {...next, address: '10.0.0.7:1', service: 'other'};
     pool.merge([moved], 'c1');
-    expect(pool.serving('s')).toEqual([]);
-    expect(pool.serving('other').map(({port}) => port)).toEqual([1]);
+    expect(pool.servingUpstreams('s')).toEqual([]);
+    expect(pool.servingUpstreams('other').map(({port}) => port)).toEqual([1]);
   });
 
   test('moves to another service within one incarnation', () => {
     const {pool} = createPool(previous);
     pool.merge([{...previous, sequence: 41, service: 'other'}], 'c1');
-    expect(pool.serving('s')).toEqual([]);
-    expect(pool.serving('other').map(({id}) => id)).toEqual(['i-1']);
+    expect(pool.servingUpstreams('s')).toEqual([]);
+    expect(pool.servingUpstreams('other').map(({id}) => id)).toEqual(['i-1']);
   });
 
   test('is found under a service that is not configured yet', () => {
     const {pool} = createPool({...previous, service: 'not-named-yet'});
-    expect(pool.serving('not-named-yet').map(({id}) => id)).toEqual(['i-1']);
+    expect(pool.servingUpstreams('not-named-yet').map(({id}) => id)).toEqual([
+      'i-1',
+    ]);
   });
 });
 
@@ -120,15 +124,15 @@
   test('are retried at another upstream if they may be repeated', async () => {
     await using first = await TestUpstream.start('i-1');
     await using second = await TestUpstream.start('i-2');
-    await using serving = await ServingFixture.start(ROUTES);
-    first.answer = neverRespond;
-    serving.pool.merge([first.record({bornAt: 1_000})], 'c1');
-    const answer = serving.ask('look');
-    await until(() => first.seen.length === 1);
+    await using fixture = await ForwardingFixture.start(ROUTES);
+    first.handler = neverRespond;
+    fixture.pool.merge([first.record({bornAt: 1_000})], 'c1');
+    const response = fixture.sendRequest('look');
+    await waitUntil(() => first.requestPaths.length === 1);
     const draining = {bornAt: 2_000, state: UPSTREAM_STATE.draining};
-    serving.pool.merge([second.record(), first.record(draining)], 'c1');
-    expect(await answer).toMatchObject({body: 'i-2', status: 200});
-    expect(serving.log.lines).toContainEqual(
+    fixture.pool.merge([second.record(), first.record(draining)], 'c1');
+    expect(await response).toMatchObject({body: 'i-2', status: 200});
+    expect(fixture.log.lines).toContainEqual(
       expect.objectContaining({
         bornAt: 2_000,
         event: 'upstream-restarted',
@@ -142,22 +146,22 @@
   test('fail with 502 if they may not be repeated', async () => {
     await using first = await TestUpstream.start('i-1');
     await using second = await TestUpstream.start('i-2');
-    await using serving = await ServingFixture.start(ROUTES);
-    first.answer = neverRespond;
-    serving.pool.merge([first.record({bornAt: 1_000})], 'c1');
-    const answer = serving.ask('order');
-    await until(() => first.seen.length === 1);
+    await using fixture = await ForwardingFixture.start(ROUTES);
+    first.handler = neverRespond;
+    fixture.pool.merge([first.record({bornAt: 1_000})], 'c1');
+    const response = fixture.sendRequest('order');
+    await waitUntil(() => first.requestPaths.length === 1);
     const next = first.record({bornAt: 2_000});
-    serving.pool.merge([second.record(), next], 'c1');
-    expect((await answer).status).toBe(502);
-    expect(first.seen).toHaveLength(1);
-    expect(second.seen).toHaveLength(0);
+    fixture.pool.merge([second.record(), next], 'c1');
+    expect((await response).status).toBe(502);
+    expect(first.requestPaths).toHaveLength(1);
+    expect(second.requestPaths).toHaveLength(0);
   });
 
   test('resume a stream at another upstream after its last event', async () => {
     await using first = await TestUpstream.start('i-1');
     await using second = await TestUpstream.start('i-2');
-    await using serving = await ServingFixture.start(ROUTES);
+    await using fixture = await ForwardingFixture.start(ROUTES);
     let lastEvent: unknown;
     const respondWithStream = (text: string, isComplete: boolean) => {
       return (incoming: IncomingMessage, response: ServerResponse): void => {
@@ -169,48 +173,48 @@
         }
       };
     };
-    first.answer = respondWithStream('id: 1\ndata: a\n\n', false);
-    second.answer = respondWithStream('id: 2\ndata: b\n\n', true);
-    serving.pool.merge([first.record({bornAt: 1_000})], 'c1');
-    const answer = serving.ask('chat');
+    first.handler = respondWithStream('id: 1\ndata: a\n\n', false);
+    second.handler = respondWithStream('id: 2\ndata: b\n\n', true);
+    fixture.pool.merge([first.record({bornAt: 1_000})], 'c1');
+    const response = fixture.sendRequest('chat');
     // Wait until the event is forwarded before announcing the new incarnation.
-    await until(() => serving.received > 0);
+    await waitUntil(() => fixture.receivedBytes > 0);
     const gone = {bornAt: 2_000, state: UPSTREAM_STATE.gone};
-    serving.pool.merge([second.record(), first.record(gone)], 'c1');
-    expect(await answer).toEqual({
+    fixture.pool.merge([second.record(), first.record(gone)], 'c1');
+    expect(await response).toEqual({
       body: 'id: 1\ndata: a\n\nid: 2\ndata: b\n\n',
       status: 200,
-      whole: true,
+      isComplete: true,
     });
     expect(lastEvent).toBe('1');
   });
 
   test('fail with 502 if that incarnation was already gone', async () => {
     await using first = await TestUpstream.start('i-1');
-    await using serving = await ServingFixture.start(ROUTES);
-    first.answer = neverRespond;
+    await using fixture = await ForwardingFixture.start(ROUTES);
+    first.handler = neverRespond;
     const record = first.record({bornAt: 1_000});
-    serving.pool.merge([record], 'c1');
-    const answer = serving.ask('order');
-    await until(() => first.seen.length === 1);
-    serving.pool.merge([{...record, state: UPSTREAM_STATE.gone}], 'c1');
-    serving.pool.merge([first.record({bornAt: 2_000})], 'c1');
-    expect((await answer).status).toBe(502);
+    fixture.pool.merge([record], 'c1');
+    const response = fixture.sendRequest('order');
+    await waitUntil(() => first.requestPaths.length === 1);
+    fixture.pool.merge([{...record, state: UPSTREAM_STATE.gone}], 'c1');
+    fixture.pool.merge([first.record({bornAt: 2_000})], 'c1');
+    expect((await response).status).toBe(502);
   });
 
   test('do not share their connections with later requests', async () => {
     await using first = await TestUpstream.start('i-1');
-    await using serving = await ServingFixture.start(ROUTES);
+    await using fixture = await ForwardingFixture.start(ROUTES);
     const ports: (number | undefined)[] = [];
-    first.answer = (incoming, response) => {
+    first.handler = (incoming, response) => {
       ports.push(incoming.socket.remotePort);
       response.end('ok');
     };
-    serving.pool.merge([first.record({bornAt: 1_000})], 'c1');
-    await serving.ask('order');
-    await serving.ask('order');
-    serving.pool.merge([first.record({bornAt: 2_000})], 'c1');
-    await serving.ask('order');
+    fixture.pool.merge([first.record({bornAt: 1_000})], 'c1');
+    await fixture.sendRequest('order');
+    await fixture.sendRequest('order');
+    fixture.pool.merge([first.record({bornAt: 2_000})], 'c1');
+    await fixture.sendRequest('order');
     expect(ports[1]).toBe(ports[0]);
     expect(ports[2]).not.toBe(ports[1]);
   });
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamLimits.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamLimits.test.ts
@@ -13,7 +13,7 @@
   createPacedAdmission,
   createPermitAdmission,
   createUnboundedAdmission,
-} from '../utils/AdmittingEdge';
+} from '../utils/Admissions';
 import type {LimitAt, LimitedFleetOptions} from '../utils/LimitedFleet';
 import {LimitedFleet, maxAllowedArrivals} from '../utils/LimitedFleet';
 
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamPool.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamPool.test.ts
@@ -14,23 +14,23 @@
 import {ManualClock} from 'shared';
 
 import {UpstreamPool} from '../../upstreams/UpstreamPool';
-import {upstreamOf} from '../utils/EdgeFixture';
+import {makeUpstream} from '../utils/EdgeFixture';
 
-function createPool(...records: ReturnType<typeof upstreamOf>[]) {
+function createPool(...records: ReturnType<typeof makeUpstream>[]) {
   const clock = new ManualClock();
   const pool = new UpstreamPool(clock, new SilentDecisionLog());
   pool.merge(records, 'c1');
-  const serving = () => pool.serving('s').map(({id}) => id);
+  const serving = () => pool.servingUpstreams('s').map(({id}) => id);
   const evacuate = (revision: number, ...halls: string[]) =>
-    pool.evacuate({halls, revision}, 'c1', () => 3_000);
+    pool.applyEvacuations({halls, revision}, 'c1', () => 3_000);
   return {clock, evacuate, pool, serving};
 }
 
 describe('Upstreams of an evacuated hall', () => {
   test('get no requests until the evacuation ends', () => {
     const {evacuate, serving} = createPool(
-      upstreamOf('i-1', {address: '10.0.0.1:1', hall: 'a'}),
-      upstreamOf('i-2', {address: '10.0.0.1:2', hall: 'b'}),
+      makeUpstream('i-1', {address: '10.0.0.1:1', hall: 'a'}),
+      makeUpstream('i-2', {address: '10.0.0.1:2', hall: 'b'}),
     );
     evacuate(1, 'a');
     expect(serving()).toEqual(['i-2']);
@@ -42,7 +42,7 @@
 
   test('stay excluded when an older revision arrives late', () => {
     const {evacuate, serving} = createPool(
-      upstreamOf('i-1', {address: '10.0.0.1:1', hall: 'a'}),
+      makeUpstream('i-1', {address: '10.0.0.1:1', hall: 'a'}),
     );
     evacuate(3, 'a');
     evacuate(2);
@@ -51,10 +51,11 @@
 
   test('count as cold when they return', async () => {
     const {clock, evacuate, pool} = createPool(
-      upstreamOf('i-1', {address: '10.0.0.1:1', hall: 'a'}),
-      upstreamOf('i-2', {address: '10.0.0.1:2', hall: 'b'}),
+      makeUpstream('i-1', {address: '10.0.0.1:1', hall: 'a'}),
+      makeUpstream('i-2', {address: '10.0.0.1:2', hall: 'b'}),
     );
-    const coldFlags = () => pool.serving('s').map(({cold}) => cold);
+    const coldFlags = () =>
+      pool.servingUpstreams('s').map(({isCold}) => isCold);
     evacuate(1, 'a');
     expect(coldFlags()).toEqual([false]);
     evacuate(2);
@@ -66,10 +67,10 @@
 
 describe('The list of serving upstreams', () => {
   test('follows the state in the latest records', () => {
-    const first = upstreamOf('i-1', {address: '10.0.0.1:1'});
+    const first = makeUpstream('i-1', {address: '10.0.0.1:1'});
     const {pool, serving} = createPool(first);
     expect(serving()).toEqual(['i-1']);
-    pool.merge([upstreamOf('i-2', {address: '10.0.0.1:2'})], 'c1');
+    pool.merge([makeUpstream('i-2', {address: '10.0.0.1:2'})], 'c1');
     expect(serving()).toEqual(['i-1', 'i-2']);
     const {draining} = UPSTREAM_STATE;
     pool.merge([{...first, sequence: 2, state: draining}], 'c1');
@@ -80,8 +81,8 @@
 });
 
 describe('Two upstreams at one address', () => {
-  const previous = upstreamOf('i-1');
-  const next = upstreamOf('i-2');
+  const previous = makeUpstream('i-1');
+  const next = makeUpstream('i-2');
 
   test('only the one added last gets requests', () => {
     const {pool, serving} = createPool(previous);
@@ -104,7 +105,7 @@
     pool
       .all()
       .find(({id}) => id === 'i-1')
-      ?.isReplaced();
+      ?.markReplaced();
     expect(serving()).toEqual(['i-2']);
   });
 
@@ -121,7 +122,7 @@
     pool
       .all()
       .find(({id}) => id === 'i-2')
-      ?.isReplaced();
+      ?.markReplaced();
     expect(serving()).toEqual(['i-1']);
   });
 
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamStatements.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamSignals.test.ts
@@ -14,11 +14,11 @@
 import {ManualClock} from 'shared';
 
 import {
-  ServingFixture,
-  servingRoute,
+  createRoute,
+  ForwardingFixture,
   TestUpstream,
-  until,
-} from '../utils/ServingFixture';
+  waitUntil,
+} from '../utils/ForwardingFixture';
 
 /** Number of requests, enough for both upstreams to be chosen. */
 const REQUEST_COUNT = 20;
@@ -40,14 +40,14 @@
   let clock: ManualClock;
   let first: TestUpstream;
   let second: TestUpstream;
-  let fixture: ServingFixture;
+  let fixture: ForwardingFixture;
 
   beforeEach(async () => {
     clock = new ManualClock();
     first = await TestUpstream.start('i-1');
     second = await TestUpstream.start('i-2');
-    fixture = await ServingFixture.start(
-      [servingRoute('look')],
+    fixture = await ForwardingFixture.start(
+      [createRoute('look')],
       () => ({}),
       clock,
     );
@@ -60,79 +60,91 @@
     await second[Symbol.asyncDispose]();
   });
 
-  const sendRequests = (count: number) => fixture.askMany('look', count);
+  const sendRequests = (count: number) => fixture.sendRequests('look', count);
 
   function loggedSignals() {
     return fixture.log.lines.filter(({event}) => event === 'upstream-told');
   }
 
   test('a drain excludes the upstream even if a heartbeat reports ready', async () => {
-    first.answer = announceDrain;
+    first.handler = announceDrain;
     await sendRequests(REQUEST_COUNT);
-    expect(first.seen).toHaveLength(1);
+    expect(first.requestPaths).toHaveLength(1);
     fixture.pool.merge([first.record({sequence: 9})], 'c1');
     expect(await sendRequests(REQUEST_COUNT)).toEqual(
       Array(REQUEST_COUNT).fill(200),
     );
-    expect(first.seen).toHaveLength(1);
+    expect(first.requestPaths).toHaveLength(1);
   });
 
   test('a back-off stops requests for its duration', async () => {
-    first.answer = requestBackoff;
-    second.answer = requestBackoff;
+    first.handler = requestBackoff;
+    second.handler = requestBackoff;
     await sendRequests(REQUEST_COUNT);
-    expect([first.seen.length, second.seen.length]).toEqual([1, 1]);
+    expect([first.requestPaths.length, second.requestPaths.length]).toEqual([
+      1, 1,
+    ]);
     await clock.advance(BACKOFF_S * 1_000 - 1);
     await sendRequests(REQUEST_COUNT);
-    expect([first.seen.length, second.seen.length]).toEqual([1, 1]);
+    expect([first.requestPaths.length, second.requestPaths.length]).toEqual([
+      1, 1,
+    ]);
     await clock.advance(2);
     await sendRequests(REQUEST_COUNT);
-    expect([first.seen.length, second.seen.length]).toEqual([2, 2]);
+    expect([first.requestPaths.length, second.requestPaths.length]).toEqual([
+      2, 2,
+    ]);
   });
 
   test('a drain applies only to the incarnation that announced it', async () => {
     fixture.pool.merge([first.record({bornAt: 1, sequence: 2})], 'c1');
-    first.answer = announceDrain;
+    first.handler = announceDrain;
     await sendRequests(REQUEST_COUNT);
-    expect(first.seen).toHaveLength(1);
+    expect(first.requestPaths).toHaveLength(1);
     fixture.pool.merge([first.record({bornAt: 2})], 'c1');
     await sendRequests(REQUEST_COUNT);
-    expect(first.seen).toHaveLength(2);
+    expect(first.requestPaths).toHaveLength(2);
   });
 
   test('a back-off also applies to an incarnation discovered later', async () => {
     // A restarted upstream may reject requests before its first heartbeat arrives, and
     // responses don't identify the incarnation.
-    first.answer = requestBackoff;
-    second.answer = requestBackoff;
+    first.handler = requestBackoff;
+    second.handler = requestBackoff;
     await sendRequests(1);
     const restarted = [first.record({bornAt: 1}), second.record({bornAt: 1})];
     fixture.pool.merge(restarted, 'c1');
     expect(await sendRequests(REQUEST_COUNT)).toEqual(
       Array(REQUEST_COUNT).fill(503),
     );
-    expect([first.seen.length, second.seen.length]).toEqual([1, 1]);
+    expect([first.requestPaths.length, second.requestPaths.length]).toEqual([
+      1, 1,
+    ]);
     await clock.advance(BACKOFF_S * 1_000);
     await sendRequests(1);
-    expect([first.seen.length, second.seen.length]).toEqual([2, 2]);
+    expect([first.requestPaths.length, second.requestPaths.length]).toEqual([
+      2, 2,
+    ]);
   });
 
   test('both apply after the same incarnation moved to another address', async () => {
     const moved = await TestUpstream.start('i-1');
-    first.answer = announceDrain;
-    second.answer = requestBackoff;
+    first.handler = announceDrain;
+    second.handler = requestBackoff;
     await sendRequests(REQUEST_COUNT);
     const records = [moved.record({sequence: 2}), second.record({slots: 5})];
     fixture.pool.merge(records, 'c1');
-    expect((await fixture.ask('look')).status).toBe(503);
-    expect([first.seen.length, second.seen.length, moved.seen.length]).toEqual([
-      1, 1, 0,
-    ]);
+    expect((await fixture.sendRequest('look')).status).toBe(503);
+    expect([
+      first.requestPaths.length,
+      second.requestPaths.length,
+      moved.requestPaths.length,
+    ]).toEqual([1, 1, 0]);
     await moved[Symbol.asyncDispose]();
   });
 
   test('are ignored in responses of another upstream at the address', async () => {
-    second.answer = (_, response) => {
+    second.handler = (_, response) => {
       response.writeHead(421, {'x-leaving': '1'}).end();
     };
     await sendRequests(REQUEST_COUNT);
@@ -140,11 +152,11 @@
   });
 
   test('requests are rejected with the shortest remaining back-off if all back off', async () => {
-    first.answer = requestBackoff;
-    second.answer = requestBackoff;
+    first.handler = requestBackoff;
+    second.handler = requestBackoff;
     await sendRequests(1);
     await clock.advance(1_000);
-    expect(await fixture.ask('look')).toMatchObject({
+    expect(await fixture.sendRequest('look')).toMatchObject({
       body: '{"error":"upstreams-rest"}',
       retryAfterS: BACKOFF_S - 1,
       status: 503,
@@ -153,12 +165,15 @@
 
   test('a back-off is not ended by the success of an earlier request', async () => {
     const pendingResponses: ServerResponse[] = [];
-    first.answer = (_, response) => void pendingResponses.push(response);
-    second.answer = (_, response) => void pendingResponses.push(response);
-    const earlierRequests = [fixture.ask('look'), fixture.ask('look')];
-    await until(() => pendingResponses.length === 2);
-    first.answer = requestBackoff;
-    second.answer = requestBackoff;
+    first.handler = (_, response) => void pendingResponses.push(response);
+    second.handler = (_, response) => void pendingResponses.push(response);
+    const earlierRequests = [
+      fixture.sendRequest('look'),
+      fixture.sendRequest('look'),
+    ];
+    await waitUntil(() => pendingResponses.length === 2);
+    first.handler = requestBackoff;
+    second.handler = requestBackoff;
     expect(await sendRequests(1)).toEqual([503]);
     pendingResponses.forEach((response) => response.end('done'));
     expect(
@@ -167,22 +182,26 @@
     expect(await sendRequests(REQUEST_COUNT)).toEqual(
       Array(REQUEST_COUNT).fill(503),
     );
-    expect([first.seen.length, second.seen.length]).toEqual([2, 2]);
+    expect([first.requestPaths.length, second.requestPaths.length]).toEqual([
+      2, 2,
+    ]);
   });
 
   test('a rejection with an invalid Retry-After starts no back-off', async () => {
-    first.answer = (_, response) => {
+    first.handler = (_, response) => {
       response.writeHead(503, {'retry-after': 'soon', 'x-not-run': '1'}).end();
     };
-    second.answer = first.answer;
+    second.handler = first.handler;
     expect(await sendRequests(3)).toEqual([503, 503, 503]);
-    expect([first.seen.length, second.seen.length]).toEqual([3, 3]);
+    expect([first.requestPaths.length, second.requestPaths.length]).toEqual([
+      3, 3,
+    ]);
     expect(loggedSignals()).toEqual([]);
   });
 
   test('are logged once, with the request that received them', async () => {
-    first.answer = announceDrain;
-    second.answer = requestBackoff;
+    first.handler = announceDrain;
+    second.handler = requestBackoff;
     await sendRequests(REQUEST_COUNT);
     expect(loggedSignals()).toHaveLength(2);
     expect(loggedSignals()).toContainEqual(
--- a/packages/puffinturn-edge/src/__tests__/unit/VersionGate.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/VersionRoles.test.ts
@@ -8,12 +8,12 @@
 import type {Rollout, RolloutState, ServiceVersions} from 'puffinturn-fleet';
 import {ROLLOUT_STATE} from 'puffinturn-fleet';
 
-import type {Versioned} from '../../rollouts/VersionGate';
+import type {Versioned} from '../../rollouts/VersionRoles';
 import {
   primaryUpstreams,
   upstreamsOfVersion,
   versionRolesOf,
-} from '../../rollouts/VersionGate';
+} from '../../rollouts/VersionRoles';
 
 function versionsOf(state?: RolloutState): ServiceVersions {
   const rollout: Rollout | undefined =
--- a/packages/puffinturn-edge/src/__tests__/unit/Suspension.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/WakeRefresh.test.ts
@@ -11,7 +11,7 @@
  */
 import {SystemClock} from 'shared';
 
-import {ServingEdge, streams} from '../utils/ServingEdge';
+import {respondWithStream, TestEdge} from '../utils/TestEdge';
 
 /** A clock whose wall time advances during a suspension, but not its monotonic time. */
 class SuspendableClock extends SystemClock {
@@ -28,37 +28,37 @@
 
 describe('Edge after a suspension', () => {
   let clock: SuspendableClock;
-  let serving: ServingEdge;
+  let testEdge: TestEdge;
 
   beforeEach(async () => {
     clock = new SuspendableClock();
-    serving = await ServingEdge.open(clock);
-    serving.configure({});
-    await serving.start('e1-1', streams);
+    testEdge = await TestEdge.open(clock);
+    testEdge.configure({});
+    await testEdge.startUpstream('e1-1', respondWithStream);
   });
 
-  afterEach(() => serving[Symbol.asyncDispose]());
+  afterEach(() => testEdge[Symbol.asyncDispose]());
 
   function loggedPhases(): string[] {
-    return serving.log.lines.flatMap((line) =>
+    return testEdge.log.lines.flatMap((line) =>
       line.event === 'process-changed' ? [line.phase] : [],
     );
   }
 
   test('refreshes its state before it serves requests', async () => {
-    expect((await serving.ask('first')).status).toBe(200);
+    expect((await testEdge.sendRequest('first')).status).toBe(200);
     // The state changes one event loop iteration after the edge detects the suspension.
-    serving.link.redial = () =>
-      void setImmediate(() => serving.configure({pathPrefix: '/elsewhere/'}));
+    testEdge.link.redial = () =>
+      void setImmediate(() => testEdge.configure({pathPrefix: '/elsewhere/'}));
     clock.suspend(5_000);
-    expect((await serving.ask('second')).status).toBe(404);
+    expect((await testEdge.sendRequest('second')).status).toBe(404);
     expect(loggedPhases()).toContain('woke');
   });
 
   test('serves from its cached state if the control plane does not reply', async () => {
     clock.suspend(5_000);
-    expect((await serving.ask('first')).status).toBe(200);
-    expect((await serving.ask('second')).status).toBe(200);
+    expect((await testEdge.sendRequest('first')).status).toBe(200);
+    expect((await testEdge.sendRequest('second')).status).toBe(200);
     expect(loggedPhases().filter((phase) => phase === 'woke')).toHaveLength(1);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/utils/AdmittingEdge.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/Admissions.ts
@@ -28,7 +28,7 @@
   readonly peers: () => readonly BoxRecord[];
   readonly tolerance: ColdTolerance;
   /** Looks up an upstream known to this edge. */
-  readonly upstreamOf: (id: string) => EdgeUpstream | undefined;
+  readonly findUpstream: (id: string) => EdgeUpstream | undefined;
 }
 
 /** Creates the admission of one edge. */
@@ -36,13 +36,13 @@
 
 /** Creates the admission used in production, which is based on permits. */
 export const createPermitAdmission: AdmissionFactory = (edge) => {
-  const {box, clock, network, peers, tolerance, upstreamOf} = edge;
+  const {box, clock, network, peers, tolerance, findUpstream} = edge;
   const permits = new Permits({
     areTogether: () => true,
     clock,
     coldTolerance: tolerance,
-    learnLimit: (id, limit) => void upstreamOf(id)?.limits.learn(limit),
-    limitOf: (id) => upstreamOf(id)?.limits.limit ?? NO_LIMIT,
+    learnLimit: (id, limit) => void findUpstream(id)?.limits.learn(limit),
+    limitOf: (id) => findUpstream(id)?.limits.limit ?? NO_LIMIT,
     link: network.connect(box),
     peers,
     self: {box, hall: 'h'},
--- a/packages/puffinturn-edge/src/__tests__/utils/EdgeFixture.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/EdgeFixture.ts
@@ -9,7 +9,7 @@
 import {UPSTREAM_STATE} from 'puffinturn-fleet';
 
 /** Creates a configuration with minimal limits and no routes, services or teams. */
-export function configurationOf(
+export function makeConfiguration(
   version: number,
   fields: Partial<FleetConfiguration> = {},
 ): FleetConfiguration {
@@ -29,7 +29,7 @@
 }
 
 /** Creates a ready upstream of service `s` in hall `a`. */
-export function upstreamOf(
+export function makeUpstream(
   id: string,
   fields: Partial<UpstreamRecord> = {},
 ): UpstreamRecord {
--- a/packages/puffinturn-edge/src/__tests__/utils/ServingFixture.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/ForwardingFixture.ts
@@ -17,29 +17,29 @@
 import type {Clock} from 'shared';
 import {Random, SystemClock} from 'shared';
 
-import {CallerDialect} from '../../callers/CallerDialect';
+import {CallerProtocol} from '../../callers/CallerProtocol';
 import {CallerRequest} from '../../callers/CallerRequest';
 import {EdgeMetrics} from '../../EdgeMetrics';
-import {CrossingEpisodes} from '../../regions/CrossingEpisodes';
-import {RegionCrossing} from '../../regions/RegionCrossing';
-import {RegionTraffic} from '../../regions/RegionTraffic';
-import {CrashingRequests} from '../../requests/CrashingRequests';
-import type {ForwardingParts} from '../../requests/Forwarding';
-import {Forwarding} from '../../requests/Forwarding';
+import {CrossRegionEpisodes} from '../../regions/CrossRegionEpisodes';
+import {RegionByteCounter} from '../../regions/RegionByteCounter';
+import {RegionLinkBudget} from '../../regions/RegionLinkBudget';
+import type {RequestForwarderParts} from '../../requests/RequestForwarder';
+import {RequestForwarder} from '../../requests/RequestForwarder';
+import {RequestQuarantine} from '../../requests/RequestQuarantine';
 import {RetryBudgets} from '../../requests/RetryBudgets';
 import {RouteTable} from '../../requests/RouteTable';
-import {Exposures} from '../../rollouts/Exposures';
+import {ResponseTotals} from '../../ResponseTotals';
+import {ExposureController} from '../../rollouts/ExposureController';
 import type {Allowances} from '../../tokens/Allowances';
-import {Totals} from '../../Totals';
-import {HomeProbes} from '../../upstreams/HomeProbes';
-import {LimitReports} from '../../upstreams/LimitReports';
-import {ReturnTimes} from '../../upstreams/ReturnTimes';
+import {LimitReporter} from '../../upstreams/LimitReporter';
+import {LeastRequests} from '../../upstreams/LoadBalancer';
+import {RecoveryProbes} from '../../upstreams/RecoveryProbes';
+import {RetrySchedule} from '../../upstreams/RetrySchedule';
 import type {UpstreamAdmission} from '../../upstreams/UpstreamAdmission';
 import {PermitAdmission} from '../../upstreams/UpstreamAdmission';
-import {LeastInFlight} from '../../upstreams/UpstreamChoice';
 import {UpstreamPool} from '../../upstreams/UpstreamPool';
-import {configurationOf, upstreamOf} from './EdgeFixture';
-import {UnreachableLink} from './ServingEdge';
+import {makeConfiguration, makeUpstream} from './EdgeFixture';
+import {UnreachableLink} from './TestEdge';
 
 const HOST = '127.0.0.1';
 
@@ -47,16 +47,16 @@
 const SELF: GrantingBox = {box: 'e1', hall: 'a'};
 const NO_PEERS: readonly GrantingBox[] = [];
 
-/** A dialect with fixed header names and without token accounting. */
-export class TestDialect extends CallerDialect {
+/** A protocol with fixed header names and without token accounting. */
+export class TestProtocol extends CallerProtocol {
   override readonly headers = {
     deadline: 'x-deadline',
     expectedUpstream: 'x-expected',
-    key: 'x-key',
-    lastEvent: 'x-last-event',
-    leaving: 'x-leaving',
-    limit: 'x-limit',
-    notRun: 'x-not-run',
+    credential: 'x-key',
+    lastEventId: 'x-last-event',
+    draining: 'x-leaving',
+    rateLimit: 'x-limit',
+    notExecuted: 'x-not-run',
     prefixSource: 'x-prefix-source',
     priority: 'x-priority',
     requestId: 'x-request',
@@ -66,21 +66,21 @@
     team: 'x-team',
   };
 
-  override tokensOf(): undefined {
+  override parseTokenCounts(): undefined {
     return undefined;
   }
 
-  override partsOf(): [] {
+  override parsePromptParts(): [] {
     return [];
   }
 
-  override priorityOf(): number {
+  override computePriority(): number {
     return 0;
   }
 }
 
 /** Creates a route whose path prefix is its name. */
-export function servingRoute(name: string, fields: Partial<Route> = {}): Route {
+export function createRoute(name: string, fields: Partial<Route> = {}): Route {
   return {
     anonymous: true,
     host: HOST,
@@ -100,9 +100,9 @@
 /** An HTTP server that acts as an upstream. */
 export class TestUpstream implements AsyncDisposable {
   /** Paths of the received requests. */
-  readonly seen: string[] = [];
+  readonly requestPaths: string[] = [];
   /** Responds to a request. A handler that does nothing keeps it open. */
-  answer = (_: IncomingMessage, response: ServerResponse): void => {
+  handler = (_: IncomingMessage, response: ServerResponse): void => {
     response.end(this.name);
   };
 
@@ -113,10 +113,10 @@
 
   static async start(name: string): Promise<TestUpstream> {
     const server = createServer((incoming, response) => {
-      upstream.seen.push(incoming.url ?? '');
+      upstream.requestPaths.push(incoming.url ?? '');
       response.setHeader('x-request', String(incoming.headers['x-request']));
       response.setHeader('x-seal', 'seal');
-      upstream.answer(incoming, response);
+      upstream.handler(incoming, response);
     });
     const upstream = new TestUpstream(name, server);
     await new Promise<void>((resolve) => server.listen(0, HOST, resolve));
@@ -131,7 +131,7 @@
 
   /** The record of this upstream for the pool. */
   record(fields: Partial<UpstreamRecord> = {}): UpstreamRecord {
-    return upstreamOf(this.name, {address: this.address, ...fields});
+    return makeUpstream(this.name, {address: this.address, ...fields});
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -148,22 +148,22 @@
   /** Value of `Retry-After`, s; undefined without the header. */
   readonly retryAfterS: number | undefined;
   /** Whether the response was received completely. */
-  readonly whole: boolean;
+  readonly isComplete: boolean;
 }
 
 /** Forwards requests like an edge, without control boxes or peers. */
-export class ServingFixture implements AsyncDisposable {
+export class ForwardingFixture implements AsyncDisposable {
   readonly log = new KeptDecisionLog();
   readonly metrics = new EdgeMetrics();
   readonly pool: UpstreamPool;
   /** Response body bytes received by callers. */
-  received = 0;
+  receivedBytes = 0;
   private readonly random = new Random(5);
-  readonly exposures: Exposures;
+  readonly exposureController: ExposureController;
   /** Quarantine of crashing requests, without control boxes. */
-  readonly quarantine: CrashingRequests;
-  private readonly limitReports: LimitReports;
-  private readonly totals: Totals;
+  readonly quarantine: RequestQuarantine;
+  private readonly limitReporter: LimitReporter;
+  private readonly responseTotals: ResponseTotals;
   private readonly agent = new Agent();
   private readonly server: Server;
   private requestCount = 0;
@@ -171,32 +171,34 @@
   private constructor(
     readonly clock: Clock,
     routes: readonly Route[],
-    getOverrides: (fixture: ServingFixture) => Partial<ForwardingParts>,
+    getOverrides: (
+      fixture: ForwardingFixture,
+    ) => Partial<RequestForwarderParts>,
   ) {
     const {log, metrics, random} = this;
     this.pool = new UpstreamPool(clock, log);
-    this.exposures = new Exposures({
+    this.exposureController = new ExposureController({
       clock,
       log,
       metrics,
       pool: this.pool,
       random,
     });
-    this.quarantine = new CrashingRequests({
+    this.quarantine = new RequestQuarantine({
       box: SELF.box,
       clock,
-      controls: () => [],
+      controlBoxes: () => [],
       link: new UnreachableLink(),
       log,
       metrics,
     });
-    this.totals = new Totals(clock, log, () => []);
+    this.responseTotals = new ResponseTotals(clock, log, () => []);
     const admission = this.createAdmission();
-    this.limitReports = new LimitReports({
+    this.limitReporter = new LimitReporter({
       admission,
       box: SELF.box,
       clock,
-      controls: () => [],
+      controlBoxes: () => [],
       link: new UnreachableLink(),
       pool: this.pool,
     });
@@ -207,45 +209,45 @@
       maxBodyBytes: 10_000,
       maxHeaderBytes: 4_000,
     };
-    const configuration = configurationOf(1, {limits, routes, services});
+    const configuration = makeConfiguration(1, {limits, routes, services});
     const table = new RouteTable(configuration);
-    const choice = new LeastInFlight(this.random);
-    const parts: ForwardingParts = {
+    const choice = new LeastRequests(this.random);
+    const parts: RequestForwarderParts = {
       allowances: {} as Allowances,
       clock: this.clock,
       admission,
-      crossing: new RegionCrossing({
+      linkBudget: new RegionLinkBudget({
         clock: this.clock,
-        edges: () => 1,
-        episodes: new CrossingEpisodes(this.clock, this.log),
+        countEdges: () => 1,
+        episodes: new CrossRegionEpisodes(this.clock, this.log),
         hall: 'a',
         regions: new Regions(),
       }),
-      crashing: this.quarantine,
-      dialect: new TestDialect(),
-      engineChoice: choice,
-      exposures: this.exposures,
+      quarantine: this.quarantine,
+      protocol: new TestProtocol(),
+      engineBalancer: choice,
+      exposureController: this.exposureController,
       hall: 'a',
-      homeProbes: new HomeProbes(this.clock),
-      limitReports: this.limitReports,
+      recoveryProbes: new RecoveryProbes(this.clock),
+      limitReporter: this.limitReporter,
       log: this.log,
       metrics: this.metrics,
-      newestRegions: () => undefined,
-      plainChoice: choice,
+      latestAllowedRegions: () => undefined,
+      plainBalancer: choice,
       pool: this.pool,
       random: this.random,
-      regionTraffic: new RegionTraffic(this.metrics),
+      regionByteCounter: new RegionByteCounter(this.metrics),
       regions: new Regions(),
       retryBudgets: new RetryBudgets({extra: 100, ratio: 0.2}, () => 1),
-      returnTimes: new ReturnTimes(clock, random, () => 1),
-      totals: this.totals,
+      retrySchedule: new RetrySchedule(clock, random, () => 1),
+      responseTotals: this.responseTotals,
       ...getOverrides(this),
     };
     this.server = createServer((incoming, response) => {
-      const names = parts.dialect.headers;
+      const names = parts.protocol.headers;
       const now = this.clock.now();
       const caller = new CallerRequest(incoming, response, names, now);
-      void new Forwarding(parts, table, caller).run();
+      void new RequestForwarder(parts, table, caller).run();
     });
   }
 
@@ -268,11 +270,11 @@
   static async start(
     routes: readonly Route[],
     getOverrides: (
-      fixture: ServingFixture,
-    ) => Partial<ForwardingParts> = () => ({}),
+      fixture: ForwardingFixture,
+    ) => Partial<RequestForwarderParts> = () => ({}),
     clock: Clock = new SystemClock(),
-  ): Promise<ServingFixture> {
-    const fixture = new ServingFixture(clock, routes, getOverrides);
+  ): Promise<ForwardingFixture> {
+    const fixture = new ForwardingFixture(clock, routes, getOverrides);
     await new Promise<void>((resolve) =>
       fixture.server.listen(0, HOST, resolve),
     );
@@ -290,16 +292,16 @@
   }
 
   /** Sends requests to a route one after another and returns their statuses. */
-  async askMany(route: string, count: number): Promise<number[]> {
+  async sendRequests(route: string, count: number): Promise<number[]> {
     const statuses: number[] = [];
     for (let index = 0; index < count; index += 1) {
-      statuses.push((await this.ask(route)).status);
+      statuses.push((await this.sendRequest(route)).status);
     }
     return statuses;
   }
 
   /** Sends one request to a route. */
-  ask(route: string): Promise<CallerResponse> {
+  sendRequest(route: string): Promise<CallerResponse> {
     const {port} = this;
     this.requestCount += 1;
     const headers = {'x-request': `q-${this.requestCount}`};
@@ -312,7 +314,7 @@
         const chunks: Buffer[] = [];
         response.on('error', () => undefined);
         response.on('data', (chunk: Buffer) => {
-          this.received += chunk.length;
+          this.receivedBytes += chunk.length;
           chunks.push(chunk);
         });
         response.on('close', () =>
@@ -320,7 +322,7 @@
             body: Buffer.concat(chunks).toString(),
             retryAfterS: secondsOf(response.headers['retry-after']),
             status: response.statusCode ?? 0,
-            whole: response.complete,
+            isComplete: response.complete,
           }),
         );
       });
@@ -334,8 +336,8 @@
     this.agent.destroy();
     this.pool[Symbol.dispose]();
     await this.quarantine[Symbol.asyncDispose]();
-    await this.limitReports[Symbol.asyncDispose]();
-    await this.totals[Symbol.asyncDispose]();
+    await this.limitReporter[Symbol.asyncDispose]();
+    await this.responseTotals[Symbol.asyncDispose]();
     await closed;
   }
 }
@@ -345,7 +347,7 @@
 }
 
 /** Polls until a condition holds. */
-export async function until(isTrue: () => boolean): Promise<void> {
+export async function waitUntil(isTrue: () => boolean): Promise<void> {
   while (!isTrue()) {
     await new Promise((resolve) => setTimeout(resolve, 2));
   }
--- a/packages/puffinturn-edge/src/__tests__/utils/LimitedFleet.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/LimitedFleet.ts
@@ -13,9 +13,9 @@
 
 import {EdgeUpstream} from '../../upstreams/EdgeUpstream';
 import type {UpstreamAdmission} from '../../upstreams/UpstreamAdmission';
-import type {AdmissionFactory} from './AdmittingEdge';
-import {edgeRecord} from './AdmittingEdge';
-import {upstreamOf} from './EdgeFixture';
+import type {AdmissionFactory} from './Admissions';
+import {edgeRecord} from './Admissions';
+import {makeUpstream} from './EdgeFixture';
 
 /** Time from a request to its response, ms. */
 const RESPONSE_MS = 50;
@@ -232,7 +232,7 @@
   private createEdge(box: string, incarnation: number): SimulatedEdge {
     const log = new SilentDecisionLog();
     const upstreams = Array.from({length: this.options.upstreams}, (_, at) => {
-      return new EdgeUpstream(upstreamOf(`i-${at}`), this.clock, log);
+      return new EdgeUpstream(makeUpstream(`i-${at}`), this.clock, log);
     });
     const admission = this.options.createAdmission({
       box,
@@ -240,7 +240,7 @@
       network: this.network,
       peers: () => this.peersOf(box),
       tolerance: {extra: 5, overage: 1.5},
-      upstreamOf: (id) => upstreams.find((each) => each.id === id),
+      findUpstream: (id) => upstreams.find((each) => each.id === id),
     });
     const limitKnownAt = new Map<string, number>();
     return {admission, box, isUp: true, incarnation, limitKnownAt, upstreams};
--- a/packages/puffinturn-edge/src/__tests__/utils/PlainDialect.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/PlainProtocol.ts
@@ -9,22 +9,22 @@
 import type {
   HeaderNames,
   PromptPart,
-  TokenBounds,
-} from '../../callers/CallerDialect';
-import {CallerDialect} from '../../callers/CallerDialect';
+  TokenCounts,
+} from '../../callers/CallerProtocol';
+import {CallerProtocol} from '../../callers/CallerProtocol';
 
 type HeaderLookup = (name: string) => string | undefined;
 
 /** Reads prompt parts from `x-parts: id:tokens,id:tokens`. */
-export class PlainDialect extends CallerDialect {
+export class PlainProtocol extends CallerProtocol {
   override readonly headers: HeaderNames = {
     deadline: 'x-deadline',
     expectedUpstream: 'x-upstream',
-    key: 'x-key',
-    lastEvent: 'last-event-id',
-    leaving: 'x-leaving',
-    limit: 'x-limit',
-    notRun: 'x-not-run',
+    credential: 'x-key',
+    lastEventId: 'last-event-id',
+    draining: 'x-leaving',
+    rateLimit: 'x-limit',
+    notExecuted: 'x-not-run',
     prefixSource: 'x-copy-from',
     priority: 'x-priority',
     requestId: 'x-id',
@@ -34,11 +34,11 @@
     team: 'x-team',
   };
 
-  override tokensOf(): TokenBounds | undefined {
+  override parseTokenCounts(): TokenCounts | undefined {
     return undefined;
   }
 
-  override partsOf(header: HeaderLookup): readonly PromptPart[] {
+  override parsePromptParts(header: HeaderLookup): readonly PromptPart[] {
     const text = header('x-parts');
     return (text?.split(',') ?? []).map((part) => {
       const [id = '', tokens = '0'] = part.split(':');
@@ -46,7 +46,7 @@
     });
   }
 
-  override priorityOf(team: number, route: number): number {
+  override computePriority(team: number, route: number): number {
     return team + route;
   }
 }
--- a/packages/puffinturn-edge/src/__tests__/utils/PlainUpstream.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/PlainUpstream.ts
@@ -16,9 +16,9 @@
 
 /** Simulated upstream with a fixed number of slots and a bounded queue. */
 export class PlainUpstream {
-  isDark = false;
+  isUnresponsive = false;
   /** Factor by which processing times are multiplied. */
-  slowTimes = 1;
+  slowdownFactor = 1;
   private busy = 0;
   private readonly waiting: (() => void)[] = [];
 
@@ -34,7 +34,7 @@
     } else {
       this.busy += 1;
     }
-    await this.clock.sleep(workMs * this.slowTimes);
+    await this.clock.sleep(workMs * this.slowdownFactor);
     const next = this.waiting.shift();
     if (next === undefined) {
       this.busy -= 1;
