--- a/packages/puffinturn-edge/src/__tests__/utils/RegionEdge.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/RegionEdge.ts
@@ -10,29 +10,32 @@
 import {Regions, REPETITION} from 'puffinturn-fleet';
 import {ManualClock, Random} from 'shared';
 
-import type {PromptPart} from '../../callers/CallerDialect';
+import type {PromptPart} from '../../callers/CallerProtocol';
 import {EdgeMetrics} from '../../EdgeMetrics';
-import {CrossingEpisodes} from '../../regions/CrossingEpisodes';
-import type {RegionCrossingParts} from '../../regions/RegionCrossing';
-import {RegionCrossing} from '../../regions/RegionCrossing';
-import type {Plan} from '../../requests/RequestPlan';
-import {Exposures} from '../../rollouts/Exposures';
+import {CrossRegionEpisodes} from '../../regions/CrossRegionEpisodes';
+import type {RegionLinkBudgetParts} from '../../regions/RegionLinkBudget';
+import {RegionLinkBudget} from '../../regions/RegionLinkBudget';
+import type {RequestPlan} from '../../requests/RequestPlan';
+import {ExposureController} from '../../rollouts/ExposureController';
 import type {EdgeUpstream} from '../../upstreams/EdgeUpstream';
-import {HomeProbes} from '../../upstreams/HomeProbes';
-import {ReturnTimes} from '../../upstreams/ReturnTimes';
-import {ExpectedTime, ShorterWait} from '../../upstreams/UpstreamChoice';
+import {LowestLatency, PowerOfTwoChoices} from '../../upstreams/LoadBalancer';
+import {RecoveryProbes} from '../../upstreams/RecoveryProbes';
+import {RetrySchedule} from '../../upstreams/RetrySchedule';
 import {UpstreamPool} from '../../upstreams/UpstreamPool';
 import type {
-  Lack,
-  RequestSize,
+  NoUpstreamReason,
+  RequestTraits,
   SelectionParts,
 } from '../../upstreams/UpstreamSelection';
-import {lackOf, selectUpstream} from '../../upstreams/UpstreamSelection';
-import {upstreamOf} from './EdgeFixture';
+import {
+  explainNoUpstream,
+  selectUpstream,
+} from '../../upstreams/UpstreamSelection';
+import {makeUpstream} from './EdgeFixture';
 import {PacedAdmission} from './PacedAdmission';
 
 /** Maps each of four halls to one of two regions. */
-export const TWO_REGIONS = {
+export const REGION_BY_HALL = {
   e1: 'east',
   e2: 'east',
   w1: 'west',
@@ -72,14 +75,16 @@
   timeoutMs: 3_000,
 };
 
-const URGENT_REQUEST: RequestSize = {
+const URGENT_REQUEST: RequestTraits = {
   bodyBytes: 1_000,
-  heldBack: new Set(),
+  deniedUpstreams: new Set(),
   isLeastUrgent: false,
 };
 
-/** Creates the RegionCrossing of an edge; tests may substitute their own. */
-export type CrossingFactory = (parts: RegionCrossingParts) => RegionCrossing;
+/** Creates the RegionLinkBudget of an edge; tests may substitute their own. */
+export type LinkBudgetFactory = (
+  parts: RegionLinkBudgetParts,
+) => RegionLinkBudget;
 
 /** Options of a RegionEdge; several edges of a test may share clock and random. */
 export interface RegionEdgeOptions {
@@ -89,7 +94,7 @@
   readonly random: Random;
   /** Number of edges in the region of this edge. */
   readonly edgeCount: number;
-  readonly createCrossing: CrossingFactory;
+  readonly createLinkBudget: LinkBudgetFactory;
 }
 
 /** Selects upstreams as an edge in hall `e1`, or another hall, of two regions. */
@@ -98,17 +103,17 @@
   readonly random: Random;
   readonly pool: UpstreamPool;
   readonly log = new KeptDecisionLog();
-  readonly crossing: RegionCrossing;
-  readonly homeProbes: HomeProbes;
+  readonly linkBudget: RegionLinkBudget;
+  readonly recoveryProbes: RecoveryProbes;
   readonly admission: PacedAdmission;
   /** Regions allowed by the newest configuration; undefined for any. */
   newestAllowedRegions: readonly string[] | undefined;
   private readonly parts: SelectionParts;
 
   constructor({
-    regionByHall = TWO_REGIONS,
+    regionByHall = REGION_BY_HALL,
     clock = new ManualClock(),
-    createCrossing = (parts) => new RegionCrossing(parts),
+    createLinkBudget = (parts) => new RegionLinkBudget(parts),
     edgeCount = 38,
     hall = 'e1',
     random = new Random(7),
@@ -117,14 +122,14 @@
     this.random = random;
     const regions = new Regions(regionByHall);
     this.pool = new UpstreamPool(clock, this.log);
-    this.crossing = createCrossing({
+    this.linkBudget = createLinkBudget({
       clock,
-      edges: () => edgeCount,
-      episodes: new CrossingEpisodes(clock, this.log),
+      countEdges: () => edgeCount,
+      episodes: new CrossRegionEpisodes(clock, this.log),
       hall,
       regions,
     });
-    this.homeProbes = new HomeProbes(clock);
+    this.recoveryProbes = new RecoveryProbes(clock);
     this.admission = new PacedAdmission({
       box: 'b',
       clock,
@@ -133,9 +138,9 @@
     });
     this.parts = {
       admission: this.admission,
-      crossing: this.crossing,
-      engineChoice: new ExpectedTime(),
-      exposures: new Exposures({
+      linkBudget: this.linkBudget,
+      engineBalancer: new LowestLatency(),
+      exposureController: new ExposureController({
         clock,
         log: this.log,
         metrics: new EdgeMetrics(),
@@ -143,13 +148,13 @@
         random,
       }),
       hall,
-      homeProbes: this.homeProbes,
-      newestRegions: () => this.newestAllowedRegions,
-      plainChoice: new ShorterWait(random),
+      recoveryProbes: this.recoveryProbes,
+      latestAllowedRegions: () => this.newestAllowedRegions,
+      plainBalancer: new PowerOfTwoChoices(random),
       pool: this.pool,
       random,
       regions,
-      returnTimes: new ReturnTimes(clock, random, () => edgeCount),
+      retrySchedule: new RetrySchedule(clock, random, () => edgeCount),
     };
   }
 
@@ -157,7 +162,7 @@
   addUpstream(id: string, service = 's'): EdgeUpstream {
     const hall = id.slice(0, 2);
     const address = `10.0.0.${this.pool.all().length}:80`;
-    const record = upstreamOf(id, {address, hall, service, slots: 6});
+    const record = makeUpstream(id, {address, hall, service, slots: 6});
     this.pool.merge([record], 'test');
     return this.upstream(id);
   }
@@ -170,45 +175,45 @@
     return found;
   }
 
-  createPlan(fields: Partial<Plan> = {}): Plan {
+  createPlan(fields: Partial<RequestPlan> = {}): RequestPlan {
     return {
-      parts: [],
+      promptParts: [],
       route: ROUTE,
       service: PLAIN_SERVICE,
       team: undefined,
-      tokens: undefined,
+      tokenCounts: undefined,
       ...fields,
     };
   }
 
   createEnginePlan(
-    parts: readonly PromptPart[],
-    fields: Partial<Plan> = {},
-  ): Plan {
-    return this.createPlan({parts, service: ENGINE_SERVICE, ...fields});
+    promptParts: readonly PromptPart[],
+    fields: Partial<RequestPlan> = {},
+  ): RequestPlan {
+    return this.createPlan({promptParts, service: ENGINE_SERVICE, ...fields});
   }
 
   select(
-    plan: Plan,
+    plan: RequestPlan,
     tried: readonly EdgeUpstream[] = [],
-    size = URGENT_REQUEST,
+    traits = URGENT_REQUEST,
   ) {
-    return selectUpstream(this.parts, plan, new Set(tried), size);
+    return selectUpstream(this.parts, plan, new Set(tried), traits);
   }
 
-  rejection(plan: Plan, size = URGENT_REQUEST): Lack {
-    return lackOf(this.parts, plan, size);
+  rejection(plan: RequestPlan, traits = URGENT_REQUEST): NoUpstreamReason {
+    return explainNoUpstream(this.parts, plan, traits);
   }
 
   /** Returns the ids selected for a number of consecutive requests. */
   selectedIds(
-    plan: Plan,
+    plan: RequestPlan,
     count: number,
-    size = URGENT_REQUEST,
+    traits = URGENT_REQUEST,
   ): ReadonlySet<string> {
     const ids = Array.from(
       {length: count},
-      () => this.select(plan, [], size)?.upstream.id ?? 'none',
+      () => this.select(plan, [], traits)?.upstream.id ?? 'none',
     );
     return new Set(ids);
   }
--- a/packages/puffinturn-edge/src/__tests__/utils/OneRegion.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/SingleRegionReference.ts
@@ -13,9 +13,9 @@
 import type {Random} from 'shared';
 import {drawByWeight, hashOf, rendezvousWeight} from 'shared';
 
-import type {PromptPart} from '../../callers/CallerDialect';
+import type {PromptPart} from '../../callers/CallerProtocol';
 import type {EdgeUpstream} from '../../upstreams/EdgeUpstream';
-import type {Placement} from '../../upstreams/UpstreamChoice';
+import type {Placement} from '../../upstreams/LoadBalancer';
 
 /** Samples two upstreams by slots and returns the one with the lower expected time. */
 export function referencePlainChoice(
@@ -31,7 +31,7 @@
   return minBy(sampled, (upstream) => {
     const otherHallMs = upstream.record.hall === hall ? 0 : 3;
     const load = 1 + upstream.inFlight / slotsOf(upstream);
-    return (40 + upstream.answerTime.ms) * load + otherHallMs;
+    return (40 + upstream.responseTime.expectedMs) * load + otherHallMs;
   });
 }
 
@@ -54,7 +54,7 @@
       const assumedTokens = upstream === rendezvousChoice ? shared : 0;
       return [
         upstream,
-        Math.max(assumedTokens, upstream.prefixes.keptOf(parts)),
+        Math.max(assumedTokens, upstream.cachedPrefixes.cachedTokens(parts)),
       ];
     }),
   );
@@ -78,7 +78,8 @@
       totalTokens(parts) - (cachedTokens.get(candidate) ?? 0) - copiedTokens,
     );
     const readMs =
-      (unreadTokens + candidate.pendingTokens) / candidate.speed.tokensPerMs;
+      (unreadTokens + candidate.pendingTokens) /
+      candidate.prefillSpeed.tokensPerMs;
     const otherHallMs = candidate.record.hall === hall ? 0 : 4;
     return readMs + copyCostMs + candidate.inFlight * 0.6 + otherHallMs;
   });
--- a/packages/puffinturn-edge/src/__tests__/utils/ServingEdge.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/TestEdge.ts
@@ -7,7 +7,7 @@
 
 /** Runs a complete edge in hall `e1` over loopback, with HTTP servers as upstreams. */
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
-import {createServer, request as sendRequest} from 'node:http';
+import {createServer, request as sendHttpRequest} from 'node:http';
 import type {AddressInfo} from 'node:net';
 
 import {errAsync} from 'neverthrow';
@@ -20,9 +20,9 @@
 import {Random, SystemClock} from 'shared';
 
 import {Edge} from '../../Edge';
-import {configurationOf, upstreamOf} from './EdgeFixture';
-import {PlainDialect} from './PlainDialect';
-import {TWO_REGIONS} from './RegionEdge';
+import {makeConfiguration, makeUpstream} from './EdgeFixture';
+import {PlainProtocol} from './PlainProtocol';
+import {REGION_BY_HALL} from './RegionEdge';
 
 const LOOPBACK = '127.0.0.1';
 
@@ -79,7 +79,7 @@
 };
 
 /** Sends a complete stream of one event. */
-export const streams: UpstreamHandler = (request, response) => {
+export const respondWithStream: UpstreamHandler = (request, response) => {
   response.writeHead(200, {
     ...sealHeaders(request),
     'content-type': 'text/event-stream',
@@ -88,7 +88,7 @@
 };
 
 /** A running edge with its upstreams, link and log. */
-export class ServingEdge implements AsyncDisposable {
+export class TestEdge implements AsyncDisposable {
   readonly receivedRequests: ReceivedRequest[] = [];
   readonly link = new UnreachableLink();
   readonly log = new KeptDecisionLog();
@@ -106,31 +106,31 @@
     this.log = log;
   }
 
-  static async open(clock: Clock = new SystemClock()): Promise<ServingEdge> {
+  static async open(clock: Clock = new SystemClock()): Promise<TestEdge> {
     const link = new UnreachableLink();
     const log = new KeptDecisionLog();
     const [callers = 0, ready = 0, metrics = 0] = await findFreePorts(3);
     const host = LOOPBACK;
     const edge = await Edge.open({
-      callers: {host, port: callers},
+      callerAddress: {host, port: callers},
       clock,
       coldTolerance: {extra: 0, overage: 1},
-      dialect: new PlainDialect(),
+      protocol: new PlainProtocol(),
       link,
       log,
-      metrics: {host, path: '/metrics', port: metrics},
+      metricsAddress: {host, path: '/metrics', port: metrics},
       random: new Random(3),
-      ready: {host, path: '/ready', port: ready},
-      regions: new Regions(TWO_REGIONS),
-      retryBound: {extra: 1_000, ratio: 1},
+      readinessAddress: {host, path: '/ready', port: ready},
+      regions: new Regions(REGION_BY_HALL),
+      retryLimit: {extra: 1_000, ratio: 1},
       seeds: () => [],
       self: {box: 'b', hall: 'e1', incarnation: '1', role: BOX_ROLE.edge},
     });
-    return new ServingEdge(edge._unsafeUnwrap(), callers, link, log);
+    return new TestEdge(edge._unsafeUnwrap(), callers, link, log);
   }
 
   /** Starts an upstream of service `s`. The first two characters of `id` are its hall. */
-  async start(id: string, handler: UpstreamHandler): Promise<void> {
+  async startUpstream(id: string, handler: UpstreamHandler): Promise<void> {
     const server = createServer((request, response) => {
       void readBody(request).then((body) => {
         const {headers} = request;
@@ -146,7 +146,7 @@
     this.servers.push(server);
     const port = await listen(server);
     const address = `${LOOPBACK}:${port}`;
-    const record = upstreamOf(id, {address, hall: id.slice(0, 2), slots: 9});
+    const record = makeUpstream(id, {address, hall: id.slice(0, 2), slots: 9});
     this.edge.pool.merge([record], 'test');
   }
 
@@ -154,7 +154,7 @@
   configure(route: Partial<Route>, team: Partial<Team> = {}): void {
     this.version += 1;
     const configuration: FleetConfiguration = {
-      ...configurationOf(this.version),
+      ...makeConfiguration(this.version),
       limits: {
         headerTimeoutMs: 5_000,
         idleTimeoutMs: 5_000,
@@ -165,15 +165,15 @@
       services: [{engine: undefined, maxConnections: 9, name: 's'}],
       teams: [{...TEAM, ...team}],
     };
-    this.edge.configure(configuration, 'test');
+    this.edge.applyConfiguration(configuration, 'test');
   }
 
   /** Sends one request and reads the complete response. */
-  ask(body: string): Promise<CallerResponse> {
+  sendRequest(body: string): Promise<CallerResponse> {
     this.requestCount += 1;
     const headers = {host: 'h', 'x-id': `r${this.requestCount}`, 'x-key': 'k'};
     return new Promise((resolve, reject) => {
-      const request = sendRequest(
+      const request = sendHttpRequest(
         {headers, host: LOOPBACK, method: 'POST', path: '/', port: this.port},
         (response) => {
           void readBody(response).then((text) => {
--- a/packages/puffinturn-edge/src/__tests__/utils/TokenFleet.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/TokenFleet.ts
@@ -22,7 +22,7 @@
 import {invariant, ManualClock, Random} from 'shared';
 
 import {Allowances} from '../../index';
-import {configurationOf} from './EdgeFixture';
+import {makeConfiguration} from './EdgeFixture';
 
 /** Name of the box that runs the core. */
 export const CORE = 'c';
@@ -85,7 +85,7 @@
   topUp(prepaidTokens: number): void {
     this.version += 1;
     const team = {keys: ['k'], name: TEAM, prepaidTokens, priority: 0};
-    const configuration = configurationOf(this.version, {teams: [team]});
+    const configuration = makeConfiguration(this.version, {teams: [team]});
     this.machine.apply({
       kind: 'configuration',
       stored: {configuration, document: 'not read by this fixture'},
@@ -136,9 +136,9 @@
     const edge = new Allowances({
       box,
       clock: this.clock,
-      controls: () => [CORE],
+      controlBoxes: () => [CORE],
       hall: hallOf(box),
-      life: lifeOf({box, incarnation}),
+      incarnationId: lifeOf({box, incarnation}),
       link: this.network.connect(box),
       log: new SilentDecisionLog(),
       peers: () => this.peers.get(box) ?? [],
--- a/packages/puffinturn-edge/src/callers/CallerDialect.ts
+++ b/packages/puffinturn-edge/src/callers/CallerProtocol.ts
@@ -16,24 +16,24 @@
   /** How long the caller waits, ms. */
   readonly deadline: string;
   /** Credential that identifies the team. */
-  readonly key: string;
+  readonly credential: string;
   readonly team: string;
   /** ID of the upstream that the request is meant for. */
   readonly expectedUpstream: string;
   readonly priority: string;
   /** ID of the last event received, to resume a stream after it. */
-  readonly lastEvent: string;
+  readonly lastEventId: string;
   /** Address of an upstream to copy the cached prompt prefix from. */
   readonly prefixSource: string;
   /** Signature of the response by the upstream. */
   readonly seal: string;
   /** Present if the upstream did not execute the request. */
-  readonly notRun: string;
+  readonly notExecuted: string;
   readonly retryAfter: string;
   /** Present if the responding upstream is draining. */
-  readonly leaving: string;
+  readonly draining: string;
   /** Rate limit of the upstream over all edges, requests per second. */
-  readonly limit: string;
+  readonly rateLimit: string;
   /** Further headers that only the edge may send to upstreams. */
   readonly reserved: readonly string[];
 }
@@ -45,26 +45,26 @@
 }
 
 /** Token counts of a request, as declared by its caller. */
-export interface TokenBounds {
-  readonly prompt: number;
+export interface TokenCounts {
+  readonly promptTokens: number;
   /** Maximum number of completion tokens. */
-  readonly most: number;
+  readonly maxCompletionTokens: number;
 }
 
 /** Header names and header parsing of a platform's protocol. */
-export abstract class CallerDialect {
+export abstract class CallerProtocol {
   abstract readonly headers: HeaderNames;
 
   /** Reads the declared token counts; undefined if the request has none. */
-  abstract tokensOf(
+  abstract parseTokenCounts(
     header: (name: string) => string | undefined,
-  ): TokenBounds | undefined;
+  ): TokenCounts | undefined;
 
   /** Reads the parts of the prompt in order; empty if the request has none. */
-  abstract partsOf(
+  abstract parsePromptParts(
     header: (name: string) => string | undefined,
   ): readonly PromptPart[];
 
   /** Computes the value of the priority header; 0 is the most urgent. */
-  abstract priorityOf(team: number, route: number): number;
+  abstract computePriority(team: number, route: number): number;
 }
--- a/packages/puffinturn-edge/src/callers/CallerRequest.ts
+++ b/packages/puffinturn-edge/src/callers/CallerRequest.ts
@@ -12,8 +12,8 @@
 import {err, ok} from 'neverthrow';
 import type {Failure} from 'shared';
 
-import type {HeaderNames} from './CallerDialect';
-import {waitForLoopIterations} from './EventLoopTurns';
+import type {HeaderNames} from './CallerProtocol';
+import {waitForLoopIterations} from './EventLoopIterations';
 
 /** The request body is incomplete or too large. */
 export type BodyFailure = Failure<'body-broken'> | Failure<'body-too-large'>;
@@ -38,7 +38,7 @@
 ]);
 
 /** True for an end-to-end header, which is forwarded. */
-export function passesOn(
+export function isEndToEndHeader(
   name: string,
   connectionHeader: string | undefined,
 ): boolean {
@@ -64,14 +64,14 @@
   /** Path and query, unchanged. */
   readonly path: string;
   /** Whether to close the connection after this response. */
-  closing = false;
+  closesConnection = false;
 
   constructor(
     readonly incoming: IncomingMessage,
     readonly response: ServerResponse,
     private readonly headerNames: HeaderNames,
     /** Estimated arrival, monotonic ms; under load, earlier than the read. */
-    readonly startedAt: number,
+    readonly arrivedAt: number,
   ) {
     this.method = incoming.method ?? 'GET';
     this.path = incoming.url ?? '/';
@@ -91,7 +91,7 @@
   }
 
   /** Whether the caller disconnected before the response was complete. */
-  get abandoned(): boolean {
+  get isAborted(): boolean {
     return this.response.destroyed && !this.response.writableFinished;
   }
 
@@ -100,9 +100,9 @@
    * has been read. Prevents forwarding requests whose caller closed the connection
    * while they were queued.
    */
-  async stays(): Promise<boolean> {
+  async isStillConnected(): Promise<boolean> {
     await waitForLoopIterations(CLOSE_DETECTION_ITERATIONS);
-    return !this.abandoned && !this.incoming.socket.readableEnded;
+    return !this.isAborted && !this.incoming.socket.readableEnded;
   }
 
   /** Reads the whole body, or fails if it is longer than `maxBytes`. */
@@ -144,7 +144,7 @@
   }
 
   /** Sends an error response, or closes the connection if it is too late for one. */
-  refuse(status: number, cause: string, retryAfterS?: number): void {
+  sendError(status: number, cause: string, retryAfterS?: number): void {
     const {response} = this;
     if (response.headersSent || response.destroyed) {
       response.destroy();
@@ -160,7 +160,7 @@
     if (this.id !== '') {
       response.setHeader(this.headerNames.requestId, this.id);
     }
-    if (!this.incoming.complete || this.closing) {
+    if (!this.incoming.complete || this.closesConnection) {
       response.setHeader('Connection', 'close');
     }
     response.end(body);
--- a/packages/puffinturn-edge/src/callers/EdgeHttp.ts
+++ b/packages/puffinturn-edge/src/callers/HttpListener.ts
@@ -15,7 +15,7 @@
 import type {Clock, Failure} from 'shared';
 import {describeError} from 'shared';
 
-import {BacklogMonitor} from './BacklogWatch';
+import {BacklogMonitor} from './BacklogMonitor';
 
 /** An IP address and port. */
 export interface HttpAddress {
--- a/packages/puffinturn-edge/src/callers/ReadLateness.ts
+++ b/packages/puffinturn-edge/src/callers/QueueWaitLimit.ts
@@ -24,7 +24,7 @@
  * `timeLimitMs` in total. The objective is not checked for waits up to
  * AGE_RESOLUTION_MS, because the estimate is not precise enough.
  */
-export function isReadLate(
+export function waitedTooLong(
   waitedMs: number,
   timeLimitMs: number,
   {objectiveMs}: Pick<Route, 'objectiveMs'>,
--- a/packages/puffinturn-edge/src/callers/RequestHead.ts
+++ b/packages/puffinturn-edge/src/callers/RequestHead.ts
@@ -14,7 +14,7 @@
  * Formats a request head in Latin-1; `headers` alternates names and values. Returns
  * undefined if a header contains an invalid character.
  */
-export function requestHead(
+export function formatRequestHead(
   method: string,
   path: string,
   headers: readonly string[],
--- a/packages/puffinturn-edge/src/callers/FinalAnswer.ts
+++ b/packages/puffinturn-edge/src/callers/RequestOutcome.ts
@@ -10,13 +10,13 @@
 import type {CallerRequest} from './CallerRequest';
 
 /** Records the first outcome of a request; later ones do not change its cause. */
-export class FinalAnswer {
+export class RequestOutcome {
   private finalCause: string | undefined;
 
   constructor(private readonly caller: CallerRequest) {}
 
   /** Whether the request has ended. */
-  get ended(): boolean {
+  get hasEnded(): boolean {
     return this.finalCause !== undefined;
   }
 
@@ -31,16 +31,16 @@
   }
 
   /** Ends the request with an error response. */
-  refuse(status: number, cause: string, retryAfterS?: number): void {
+  reject(status: number, cause: string, retryAfterS?: number): void {
     this.end(cause);
-    this.caller.refuse(status, cause, retryAfterS);
+    this.caller.sendError(status, cause, retryAfterS);
   }
 
   /**
    * Ends a request that can't be retried any more. `Retry-After` is sent only if the
    * request was certainly not executed.
    */
-  giveUp(
+  fail(
     cause: string,
     mayHaveRun: boolean,
     retryAfterS = RETRY_AFTER_BUSY_S,
@@ -49,9 +49,9 @@
       this.end(cause);
       this.caller.response.destroy();
     } else if (mayHaveRun) {
-      this.refuse(502, cause);
+      this.reject(502, cause);
     } else {
-      this.refuse(503, cause, retryAfterS);
+      this.reject(503, cause, retryAfterS);
     }
   }
 }
--- a/packages/puffinturn-edge/src/callers/CallerBody.ts
+++ b/packages/puffinturn-edge/src/callers/ResponseBodyWriter.ts
@@ -11,7 +11,7 @@
  */
 import type {ServerResponse} from 'node:http';
 
-import type {UpstreamAnswer} from '../connections/UpstreamAnswer';
+import type {UpstreamResponse} from '../connections/UpstreamResponse';
 
 const CRLF = '\r\n';
 const LAST_CHUNK = '0\r\n\r\n';
@@ -19,7 +19,7 @@
 /** Writes the head and body of one response. */
 export class ResponseBodyWriter {
   /** Upstream response that is paused until the caller's connection drains. */
-  private pausedSource: UpstreamAnswer | undefined;
+  private pausedSource: UpstreamResponse | undefined;
   private isChunked = false;
 
   constructor(private readonly response: ServerResponse) {}
@@ -34,7 +34,7 @@
   }
 
   /** Sends body bytes and pauses `source` while the caller does not read. */
-  write(bytes: Buffer, source: UpstreamAnswer): void {
+  write(bytes: Buffer, source: UpstreamResponse): void {
     const {response} = this;
     if (response.write(this.isChunked ? encodeChunk(bytes) : bytes)) {
       return;
--- a/packages/puffinturn-edge/src/callers/AnswerRelay.ts
+++ b/packages/puffinturn-edge/src/callers/ResponseRelay.ts
@@ -10,33 +10,33 @@
  * Event streams are relayed event by event, and may continue with the response of
  * another upstream after a failure.
  */
-import {EventCutter} from '../connections/EventStream';
-import type {UpstreamAnswer} from '../connections/UpstreamAnswer';
-import {WHOLE_ANSWER_BYTES} from '../EdgeConstants';
-import {ResponseBodyWriter} from './CallerBody';
+import {EventStreamSplitter} from '../connections/EventStreamSplitter';
+import type {UpstreamResponse} from '../connections/UpstreamResponse';
+import {MAX_BUFFERED_RESPONSE_BYTES} from '../EdgeConstants';
 import type {CallerRequest} from './CallerRequest';
-import {concatChunks, passesOn} from './CallerRequest';
+import {concatChunks, isEndToEndHeader} from './CallerRequest';
+import {ResponseBodyWriter} from './ResponseBodyWriter';
 
 /** Outcomes of relaying a response. */
-export const RELAY = {
+export const RELAY_OUTCOME = {
   /** The response was incomplete, discarded or of the wrong type; a retry is possible. */
-  broken: 'broken',
+  incomplete: 'broken',
   /** The request ended before the response did. */
-  stopped: 'stopped',
+  cancelled: 'stopped',
   /** The complete response was relayed. */
-  whole: 'whole',
+  complete: 'whole',
 } as const;
 
 /** An outcome of relaying a response. */
-export type RelayEnd = (typeof RELAY)[keyof typeof RELAY];
+export type RelayOutcome = (typeof RELAY_OUTCOME)[keyof typeof RELAY_OUTCOME];
 
 /** Relays the responses of one or more attempts to one caller. */
-export abstract class AnswerRelay {
+export abstract class ResponseRelay {
   /** Number of events relayed so far. */
-  events = 0;
+  eventCount = 0;
   /** Whether the response head was sent to the caller. */
-  begun = false;
-  protected isStopped = false;
+  hasStarted = false;
+  protected isCancelled = false;
   protected readonly bodyWriter: ResponseBodyWriter;
 
   constructor(
@@ -52,54 +52,63 @@
   }
 
   /** Relays one response. `discard` reads it without sending it, ahead of a retry. */
-  abstract pass(response: UpstreamAnswer, discard: boolean): Promise<RelayEnd>;
+  abstract relay(
+    response: UpstreamResponse,
+    discard: boolean,
+  ): Promise<RelayOutcome>;
 
   /** Stops relaying because the request has ended. */
-  stop(): void {
-    this.isStopped = true;
+  cancel(): void {
+    this.isCancelled = true;
   }
 
-  protected writeHead(response: UpstreamAnswer, contentLength?: number): void {
+  protected writeHead(
+    response: UpstreamResponse,
+    contentLength?: number,
+  ): void {
     const {rawHeaders, headers} = response;
     const forwardedHeaders: string[] = [];
     for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
       const name = rawHeaders[index] ?? '';
       const isContentLength = name.toLowerCase() === 'content-length';
-      if (!isContentLength && passesOn(name, headers.connection)) {
+      if (!isContentLength && isEndToEndHeader(name, headers.connection)) {
         forwardedHeaders.push(name, rawHeaders[index + 1] ?? '');
       }
     }
     if (contentLength !== undefined) {
       forwardedHeaders.push('Content-Length', String(contentLength));
     }
-    if (this.caller.closing) {
+    if (this.caller.closesConnection) {
       forwardedHeaders.push('Connection', 'close');
     }
-    this.begun = true;
+    this.hasStarted = true;
     this.onFirstByte();
     this.bodyWriter.writeHead(response.statusCode, forwardedHeaders);
   }
 }
 
 /** Buffers a response until it is complete; long responses are streamed. */
-export class WholeRelay extends AnswerRelay {
-  override pass(response: UpstreamAnswer, discard: boolean): Promise<RelayEnd> {
+export class BufferedRelay extends ResponseRelay {
+  override relay(
+    response: UpstreamResponse,
+    discard: boolean,
+  ): Promise<RelayOutcome> {
     return new Promise((resolve) => {
       const reader = new BufferedBody(response, this.bodyWriter, (length) =>
         this.writeHead(response, length),
       );
-      response.read({
-        ended: (isComplete) => {
-          if (this.isStopped) {
-            resolve(RELAY.stopped);
+      response.setReader({
+        onEnd: (isComplete) => {
+          if (this.isCancelled) {
+            resolve(RELAY_OUTCOME.cancelled);
           } else if (!isComplete || discard) {
-            resolve(RELAY.broken);
+            resolve(RELAY_OUTCOME.incomplete);
           } else {
             reader.finish();
-            resolve(RELAY.whole);
+            resolve(RELAY_OUTCOME.complete);
           }
         },
-        take: (chunk) => reader.append(chunk, !discard && !this.isStopped),
+        onData: (chunk) => reader.append(chunk, !discard && !this.isCancelled),
       });
     });
   }
@@ -112,7 +121,7 @@
   private isStreaming = false;
 
   constructor(
-    private readonly response: UpstreamAnswer,
+    private readonly response: UpstreamResponse,
     private readonly bodyWriter: ResponseBodyWriter,
     private readonly sendHead: (length?: number) => void,
   ) {}
@@ -124,7 +133,7 @@
     }
     this.bufferedBytes += chunk.length;
     this.chunks.push(chunk);
-    if (this.bufferedBytes > WHOLE_ANSWER_BYTES && mayStream) {
+    if (this.bufferedBytes > MAX_BUFFERED_RESPONSE_BYTES && mayStream) {
       this.isStreaming = true;
       this.sendHead();
       this.bodyWriter.write(Buffer.concat(this.chunks), this.response);
@@ -141,59 +150,62 @@
 }
 
 /** Relays an event stream, one complete event at a time. */
-export class StreamRelay extends AnswerRelay {
-  private readonly eventSplitter = new EventCutter();
+export class EventStreamRelay extends ResponseRelay {
+  private readonly eventSplitter = new EventStreamSplitter();
   private isHeadSent = false;
 
   override get lastEventId(): string | undefined {
-    return this.isHeadSent ? this.eventSplitter.lastId : undefined;
+    return this.isHeadSent ? this.eventSplitter.lastEventId : undefined;
   }
 
-  override pass(response: UpstreamAnswer): Promise<RelayEnd> {
+  override relay(response: UpstreamResponse): Promise<RelayOutcome> {
     // Drops a partial event left over from the previous upstream.
-    this.eventSplitter.takeRest();
+    this.eventSplitter.takeRemainder();
     const isStream =
       response.statusCode === 200 &&
       response.headers['content-type']?.startsWith('text/event-stream') ===
         true;
     if (!isStream) {
-      response.drop();
-      return Promise.resolve(RELAY.broken);
+      response.discardBody();
+      return Promise.resolve(RELAY_OUTCOME.incomplete);
     }
     return new Promise((resolve) => {
-      response.read({
-        ended: (isComplete) => resolve(this.handleEnd(response, isComplete)),
-        take: (chunk) => this.handleChunk(response, chunk),
+      response.setReader({
+        onEnd: (isComplete) => resolve(this.handleEnd(response, isComplete)),
+        onData: (chunk) => this.handleChunk(response, chunk),
       });
     });
   }
 
-  private handleChunk(response: UpstreamAnswer, chunk: Buffer): void {
-    if (this.isStopped) {
+  private handleChunk(response: UpstreamResponse, chunk: Buffer): void {
+    if (this.isCancelled) {
       return;
     }
-    const {bytes, events} = this.eventSplitter.push(chunk);
+    const {bytes, eventCount} = this.eventSplitter.push(chunk);
     if (bytes.length === 0) {
       return;
     }
-    this.events += events;
+    this.eventCount += eventCount;
     this.sendHead(response);
     this.bodyWriter.write(bytes, response);
   }
 
-  private handleEnd(response: UpstreamAnswer, isComplete: boolean): RelayEnd {
-    if (this.isStopped) {
-      return RELAY.stopped;
+  private handleEnd(
+    response: UpstreamResponse,
+    isComplete: boolean,
+  ): RelayOutcome {
+    if (this.isCancelled) {
+      return RELAY_OUTCOME.cancelled;
     }
     if (!isComplete) {
-      return RELAY.broken;
+      return RELAY_OUTCOME.incomplete;
     }
     this.sendHead(response);
-    this.bodyWriter.end(this.eventSplitter.takeRest());
-    return RELAY.whole;
+    this.bodyWriter.end(this.eventSplitter.takeRemainder());
+    return RELAY_OUTCOME.complete;
   }
 
-  private sendHead(response: UpstreamAnswer): void {
+  private sendHead(response: UpstreamResponse): void {
     if (!this.isHeadSent) {
       this.isHeadSent = true;
       this.writeHead(response);
--- a/packages/puffinturn-edge/src/connections/ConnectionPool.ts
+++ b/packages/puffinturn-edge/src/connections/ConnectionPool.ts
@@ -11,7 +11,7 @@
  */
 import type {Clock} from 'shared';
 
-import {IDLE_CONNECTION_MS} from '../EdgeConstants';
+import {IDLE_CONNECTION_TIMEOUT_MS} from '../EdgeConstants';
 import type {ConnectionOwner} from './HttpConnection';
 import {HttpConnection} from './HttpConnection';
 
@@ -69,7 +69,7 @@
     keepAliveMs: number | undefined,
   ): boolean {
     const idleLimitMs = Math.min(
-      IDLE_CONNECTION_MS,
+      IDLE_CONNECTION_TIMEOUT_MS,
       keepAliveMs === undefined ? Infinity : keepAliveMs - KEEP_ALIVE_MARGIN_MS,
     );
     if (
@@ -96,18 +96,18 @@
   }
 
   /** Closes all idle connections. New ones are opened on demand. */
-  dropIdle(): void {
+  closeIdle(): void {
     this.closeIdleWhere(() => true);
   }
 
   /** Closes idle connections and keeps no more; open requests can finish. */
-  retire(): void {
+  drain(): void {
     this.isDraining = true;
-    this.dropIdle();
+    this.closeIdle();
   }
 
   [Symbol.dispose](): void {
-    this.retire();
+    this.drain();
     for (const connection of this.connections) {
       connection[Symbol.dispose]();
     }
--- a/packages/puffinturn-edge/src/connections/EventStream.ts
+++ b/packages/puffinturn-edge/src/connections/EventStreamSplitter.ts
@@ -17,13 +17,13 @@
 /** Bytes of complete events, and their number. */
 export interface EventBatch {
   readonly bytes: Buffer;
-  readonly events: number;
+  readonly eventCount: number;
 }
 
 /** Splits one stream into complete events. */
-export class EventCutter {
+export class EventStreamSplitter {
   /** ID of the last complete event; undefined before the first event with an ID. */
-  lastId: string | undefined;
+  lastEventId: string | undefined;
   private remainder: Buffer = EMPTY;
   private pendingEventId: string | undefined;
 
@@ -47,7 +47,7 @@
       if (isBlank) {
         eventCount += 1;
         batchEnd = lineEnd + 1;
-        this.lastId = this.pendingEventId ?? this.lastId;
+        this.lastEventId = this.pendingEventId ?? this.lastEventId;
       } else {
         this.parseIdField(buffer, lineStart, lineEnd);
       }
@@ -57,11 +57,11 @@
       batchEnd === buffer.length ? EMPTY : buffer.subarray(batchEnd);
     const bytes =
       batchEnd === buffer.length ? buffer : buffer.subarray(0, batchEnd);
-    return {bytes, events: eventCount};
+    return {bytes, eventCount};
   }
 
   /** Removes and returns the bytes after the last complete event. */
-  takeRest(): Buffer {
+  takeRemainder(): Buffer {
     const {remainder} = this;
     this.remainder = EMPTY;
     return remainder;
--- a/packages/puffinturn-edge/src/connections/Exchange.ts
+++ b/packages/puffinturn-edge/src/connections/Exchange.ts
@@ -9,24 +9,28 @@
  * Sends a request to an upstream and validates the head of the response. A response that
  * does not belong to the request is discarded.
  */
-import type {HeaderNames} from '../callers/CallerDialect';
-import {requestHead} from '../callers/RequestHead';
-import {CONNECT_MS, MISDIRECTED, REJECTION_BODY_MS} from '../EdgeConstants';
+import type {HeaderNames} from '../callers/CallerProtocol';
+import {formatRequestHead} from '../callers/RequestHead';
+import {
+  CONNECT_TIMEOUT_MS,
+  MISDIRECTED_REQUEST_STATUS,
+  REJECTION_BODY_TIMEOUT_MS,
+} from '../EdgeConstants';
 import type {EdgeUpstream} from '../upstreams/EdgeUpstream';
 import type {HttpConnection, ResponseListener} from './HttpConnection';
-import type {UpstreamAnswer} from './UpstreamAnswer';
+import type {UpstreamResponse} from './UpstreamResponse';
 
 /** The head of a valid response has arrived. */
 export interface ResponseOutcome {
   readonly kind: 'answer';
-  readonly answer: UpstreamAnswer;
+  readonly response: UpstreamResponse;
 }
 
 /** Outcome of an attempt. */
 export type ExchangeOutcome =
   | ResponseOutcome
   /** The response says that the upstream did not run the request. */
-  | {readonly kind: 'rejected'; readonly answer: UpstreamAnswer}
+  | {readonly kind: 'rejected'; readonly response: UpstreamResponse}
   /** The connection failed, so nothing was sent. */
   | {readonly kind: 'unsent'; readonly cause: string}
   /** The request was sent, but no valid response arrived: it may have run. */
@@ -54,14 +58,14 @@
   private connection: HttpConnection | undefined;
   private isConnected = false;
   private abortCause: string | undefined;
-  private response: UpstreamAnswer | undefined;
+  private response: UpstreamResponse | undefined;
   private timer: NodeJS.Timeout | undefined;
   private resolve!: (outcome: ExchangeOutcome) => void;
 
   constructor(private readonly params: ExchangeParams) {
     const {body, headers, method, path, upstream} = params;
     this.outcome = new Promise((resolve) => (this.resolve = resolve));
-    const head = requestHead(method, path, headers);
+    const head = formatRequestHead(method, path, headers);
     if (head === undefined) {
       this.resolve({cause: INVALID_HEADER, kind: 'broken'});
       return;
@@ -69,7 +73,10 @@
     this.connection = upstream.connections.acquire();
     this.connection.send({body, head, method}, this);
     if (!this.isConnected) {
-      this.timer = setTimeout(() => this.abort('connect-timeout'), CONNECT_MS);
+      this.timer = setTimeout(
+        () => this.abort('connect-timeout'),
+        CONNECT_TIMEOUT_MS,
+      );
     }
   }
 
@@ -86,7 +93,7 @@
     clearTimeout(this.timer);
   }
 
-  onResponse(response: UpstreamAnswer): void {
+  onResponse(response: UpstreamResponse): void {
     this.response = response;
     this.resolve(this.classifyResponse(response));
   }
@@ -99,7 +106,7 @@
     });
   }
 
-  private classifyResponse(response: UpstreamAnswer): ExchangeOutcome {
+  private classifyResponse(response: UpstreamResponse): ExchangeOutcome {
     const {headerNames, requestId} = this.params;
     const {headers, statusCode: status} = response;
     if (status < 200) {
@@ -109,10 +116,16 @@
     if (responseRequestId !== undefined && responseRequestId !== requestId) {
       return this.discardInvalidResponse('answer-of-another-request');
     }
-    if (headers[headerNames.notRun] !== undefined || status === MISDIRECTED) {
-      response.drop();
-      setTimeout(() => this.abort('slow-rejection'), REJECTION_BODY_MS).unref();
-      return {answer: response, kind: 'rejected'};
+    if (
+      headers[headerNames.notExecuted] !== undefined ||
+      status === MISDIRECTED_REQUEST_STATUS
+    ) {
+      response.discardBody();
+      setTimeout(
+        () => this.abort('slow-rejection'),
+        REJECTION_BODY_TIMEOUT_MS,
+      ).unref();
+      return {kind: 'rejected', response};
     }
     if (headers['content-encoding'] !== undefined) {
       return this.discardInvalidResponse('encoded-answer');
@@ -124,7 +137,7 @@
     if (isSuccess && responseRequestId === undefined) {
       return this.discardInvalidResponse('no-id');
     }
-    return {answer: response, kind: 'answer'};
+    return {response, kind: 'answer'};
   }
 
   private discardInvalidResponse(cause: string): ExchangeOutcome {
--- a/packages/puffinturn-edge/src/connections/HttpConnection.ts
+++ b/packages/puffinturn-edge/src/connections/HttpConnection.ts
@@ -13,12 +13,12 @@
 import type {Socket} from 'node:net';
 import {connect} from 'node:net';
 
-import type {ResponseEvents, ResponseHead} from './AnswerParser';
-import {ResponseParser} from './AnswerParser';
-import type {ResponseSource} from './UpstreamAnswer';
-import {UpstreamAnswer} from './UpstreamAnswer';
-import type {ConnectionState} from './UpstreamConnection';
-import {getConnectionState} from './UpstreamConnection';
+import type {ConnectionState} from './ConnectionState';
+import {getConnectionState} from './ConnectionState';
+import type {ResponseEvents, ResponseHead} from './ResponseParser';
+import {ResponseParser} from './ResponseParser';
+import type {ResponseSource} from './UpstreamResponse';
+import {UpstreamResponse} from './UpstreamResponse';
 
 /** A serialized request. */
 export interface OutgoingRequest {
@@ -33,7 +33,7 @@
   /** Called when the connection is established: the request may reach the upstream. */
   onConnected(): void;
   /** Called when the head of a response arrives. */
-  onResponse(response: UpstreamAnswer): void;
+  onResponse(response: UpstreamResponse): void;
   /** Called when the connection ends before the head of a response. */
   onFailure(cause: string): void;
 }
@@ -67,7 +67,7 @@
   private readonly parser = new ResponseParser(this);
   private listener: ResponseListener | undefined;
   private method = '';
-  private response: UpstreamAnswer | undefined;
+  private response: UpstreamResponse | undefined;
   private keepAliveMs: number | undefined;
   /** Whether the current response is complete. */
   private isComplete = false;
@@ -151,7 +151,7 @@
     if (this.listener === undefined || this.isComplete) {
       return false;
     }
-    this.response = new UpstreamAnswer(head, this);
+    this.response = new UpstreamResponse(head, this);
     this.mustClose ||= !head.keepAlive;
     this.keepAliveMs = keepAliveTimeoutOf(this.response);
     this.listener.onResponse(this.response);
@@ -234,7 +234,7 @@
 }
 
 /** Timeout in the `Keep-Alive` header, ms. */
-function keepAliveTimeoutOf({headers}: UpstreamAnswer): number | undefined {
+function keepAliveTimeoutOf({headers}: UpstreamResponse): number | undefined {
   const seconds = /(?:^|[\s,;])timeout=(\d+)/i.exec(
     headers['keep-alive'] ?? '',
   )?.[1];
--- a/packages/puffinturn-edge/src/connections/AnswerExpectations.ts
+++ b/packages/puffinturn-edge/src/connections/LatencyBaselines.ts
@@ -12,14 +12,14 @@
 import {LRUCache} from 'lru-cache';
 
 /** Latency of one complete response. */
-export interface AnswerSample {
+export interface LatencySample {
   /** Prompt tokens to process before the first byte; 0 without an engine. */
-  readonly tokens: number;
+  readonly promptTokens: number;
   /** Time to the head of the response, ms. */
-  readonly firstMs: number;
+  readonly firstByteMs: number;
   /** Time to the end of the response, ms. */
-  readonly wholeMs: number;
-  readonly events: number;
+  readonly totalMs: number;
+  readonly eventCount: number;
 }
 
 /** Maximum number of routes with a baseline, per service. */
@@ -71,15 +71,15 @@
 }
 
 /** Compares response times with the baseline of their route. */
-export class AnswerExpectations {
+export class LatencyBaselines {
   private readonly routes = new LRUCache<string, RouteBaselines>({
     max: MAX_ROUTES,
   });
 
   /** Adds a response of the stable version to the baseline. */
-  learn(route: string, sample: AnswerSample): void {
+  addSample(route: string, sample: LatencySample): void {
     const baselines = this.getBaselines(route);
-    if (sample.events < MIN_STREAM_EVENTS) {
+    if (sample.eventCount < MIN_STREAM_EVENTS) {
       baselines.total.add(normalizedTotal(sample));
     } else {
       baselines.firstByte.add(normalizedFirstByte(sample));
@@ -88,9 +88,9 @@
   }
 
   /** Latency relative to the baseline (1 = equal); undefined without a baseline. */
-  ratio(route: string, sample: AnswerSample): number | undefined {
+  ratioToBaseline(route: string, sample: LatencySample): number | undefined {
     const {perEvent, firstByte, total} = this.getBaselines(route);
-    if (sample.events < MIN_STREAM_EVENTS) {
+    if (sample.eventCount < MIN_STREAM_EVENTS) {
       return ratioTo(normalizedTotal(sample), total.value);
     }
     const firstRatio = ratioTo(normalizedFirstByte(sample), firstByte.value);
@@ -115,16 +115,19 @@
   }
 }
 
-function normalizedFirstByte({firstMs, tokens}: AnswerSample): number {
-  return (firstMs + NOISE_FLOOR_MS) / promptCostMs(tokens);
+function normalizedFirstByte({
+  firstByteMs,
+  promptTokens,
+}: LatencySample): number {
+  return (firstByteMs + NOISE_FLOOR_MS) / promptCostMs(promptTokens);
 }
 
-function normalizedTotal({tokens, wholeMs}: AnswerSample): number {
-  return (wholeMs + NOISE_FLOOR_MS) / promptCostMs(tokens);
+function normalizedTotal({promptTokens, totalMs}: LatencySample): number {
+  return (totalMs + NOISE_FLOOR_MS) / promptCostMs(promptTokens);
 }
 
-function msPerEvent({events, firstMs, wholeMs}: AnswerSample): number {
-  return (wholeMs - firstMs + NOISE_FLOOR_MS) / events;
+function msPerEvent({eventCount, firstByteMs, totalMs}: LatencySample): number {
+  return (totalMs - firstByteMs + NOISE_FLOOR_MS) / eventCount;
 }
 
 function promptCostMs(tokens: number): number {
--- a/packages/puffinturn-edge/src/connections/UpstreamHeaders.ts
+++ b/packages/puffinturn-edge/src/connections/UpstreamHeaders.ts
@@ -6,17 +6,17 @@
  */
 
 /** Builds the headers of a request to an upstream. */
-import type {CallerDialect, HeaderNames} from '../callers/CallerDialect';
+import type {CallerProtocol, HeaderNames} from '../callers/CallerProtocol';
 import type {CallerRequest} from '../callers/CallerRequest';
-import {passesOn} from '../callers/CallerRequest';
-import type {Plan} from '../requests/RequestPlan';
-import type {Placement} from '../upstreams/UpstreamChoice';
+import {isEndToEndHeader} from '../callers/CallerRequest';
+import type {RequestPlan} from '../requests/RequestPlan';
+import type {Placement} from '../upstreams/LoadBalancer';
 
 /** Inputs for the headers of one attempt. */
 export interface HeaderParams {
   readonly caller: CallerRequest;
-  readonly dialect: CallerDialect;
-  readonly plan: Plan;
+  readonly protocol: CallerProtocol;
+  readonly plan: RequestPlan;
   readonly placement: Placement;
   /** Time until the deadline of the request, ms. */
   readonly remainingMs: number;
@@ -27,8 +27,8 @@
 
 /** Returns alternating names and values: the caller's headers, then the edge's. */
 export function buildUpstreamHeaders(params: HeaderParams): string[] {
-  const {bodyLength, caller, dialect, lastEventId} = params;
-  const {headers: names} = dialect;
+  const {bodyLength, caller, protocol, lastEventId} = params;
+  const {headers: names} = protocol;
   const headers = forwardedHeaders(
     caller,
     replacedNamesFor(names, lastEventId),
@@ -38,7 +38,7 @@
   headers.push(names.expectedUpstream, params.placement.upstream.id);
   addPlanHeaders(headers, params);
   if (lastEventId !== undefined) {
-    headers.push(names.lastEvent, lastEventId);
+    headers.push(names.lastEventId, lastEventId);
   }
   if (hasBody(caller)) {
     headers.push('Content-Length', String(bodyLength));
@@ -54,7 +54,7 @@
   readonly resumed: ReadonlySet<string>;
 }
 
-/** Caches the sets per dialect, as they are needed for each request. */
+/** Caches the sets per protocol, as they are needed for each request. */
 const replacedNamesCache = new WeakMap<HeaderNames, ReplacedNames>();
 
 function replacedNamesFor(
@@ -71,13 +71,13 @@
     'expect',
     names.deadline,
     names.expectedUpstream,
-    names.key,
+    names.credential,
     names.prefixSource,
     names.priority,
     names.team,
     ...names.reserved,
   ]);
-  const replaced = {initial, resumed: new Set([...initial, names.lastEvent])};
+  const replaced = {initial, resumed: new Set([...initial, names.lastEventId])};
   replacedNamesCache.set(names, replaced);
   return replaced;
 }
@@ -91,7 +91,7 @@
     const name = rawHeaders[index] ?? '';
     if (
       !replaced.has(name.toLowerCase()) &&
-      passesOn(name, headers.connection)
+      isEndToEndHeader(name, headers.connection)
     ) {
       forwarded.push(name, rawHeaders[index + 1] ?? '');
     }
@@ -101,14 +101,14 @@
 
 function addPlanHeaders(
   headers: string[],
-  {dialect, placement, plan: {route, service, team}}: HeaderParams,
+  {protocol, placement, plan: {route, service, team}}: HeaderParams,
 ): void {
-  const {headers: names} = dialect;
+  const {headers: names} = protocol;
   if (team !== undefined) {
     headers.push(names.team, team.name);
   }
   if (service.engine !== undefined) {
-    const rank = dialect.priorityOf(team?.priority ?? 0, route.priority);
+    const rank = protocol.computePriority(team?.priority ?? 0, route.priority);
     headers.push(names.priority, String(rank));
   }
   if (placement.prefixSource !== undefined) {
--- a/packages/puffinturn-edge/src/connections/UpstreamAnswer.ts
+++ b/packages/puffinturn-edge/src/connections/UpstreamResponse.ts
@@ -12,14 +12,14 @@
  */
 import type {Socket} from 'node:net';
 
-import type {ResponseHead} from './AnswerParser';
+import type {ResponseHead} from './ResponseParser';
 
 /** Callbacks for the body of a response. */
 export interface ResponseReader {
   /** Called for each chunk of the body. */
-  take(chunk: Buffer): void;
-  /** Called at the end; `whole` is false if the connection failed before it. */
-  ended(whole: boolean): void;
+  onData(chunk: Buffer): void;
+  /** Called at the end; `isComplete` is false if the connection failed before it. */
+  onEnd(isComplete: boolean): void;
 }
 
 /** The connection that carries a response, with flow control. */
@@ -31,7 +31,7 @@
 }
 
 /** A response that is being received. */
-export class UpstreamAnswer {
+export class UpstreamResponse {
   readonly statusCode: number;
   readonly rawHeaders: readonly string[];
   /** By lower-case name; repeated values are joined with commas. */
@@ -50,20 +50,20 @@
   }
 
   /** Attaches a reader and passes it the buffered chunks. */
-  read(reader: ResponseReader): void {
+  setReader(reader: ResponseReader): void {
     this.reader = reader;
     for (const chunk of this.buffered) {
-      reader.take(chunk);
+      reader.onData(chunk);
     }
     this.buffered = [];
     if (this.isComplete !== undefined) {
-      reader.ended(this.isComplete);
+      reader.onEnd(this.isComplete);
     }
   }
 
   /** Reads and discards the body, so that the connection can be reused. */
-  drop(): void {
-    this.read({ended: () => undefined, take: () => undefined});
+  discardBody(): void {
+    this.setReader({onEnd: () => undefined, onData: () => undefined});
   }
 
   /** The socket that carries the response. */
@@ -95,7 +95,7 @@
     if (this.reader === undefined) {
       this.buffered.push(chunk);
     } else {
-      this.reader.take(chunk);
+      this.reader.onData(chunk);
     }
   }
 
@@ -103,7 +103,7 @@
   end(isComplete: boolean): void {
     if (this.isComplete === undefined) {
       this.isComplete = isComplete;
-      this.reader?.ended(isComplete);
+      this.reader?.onEnd(isComplete);
     }
   }
 }
--- a/packages/puffinturn-edge/src/index.ts
+++ b/packages/puffinturn-edge/src/index.ts
@@ -9,16 +9,16 @@
 export type {
   HeaderNames,
   PromptPart,
-  TokenBounds,
-} from './callers/CallerDialect';
-export {CallerDialect} from './callers/CallerDialect';
-export type {HttpAddress, HttpListenFailure} from './callers/EdgeHttp';
-export {HttpListener} from './callers/EdgeHttp';
-export type {EventBatch} from './connections/EventStream';
-export {EventCutter} from './connections/EventStream';
+  TokenCounts,
+} from './callers/CallerProtocol';
+export {CallerProtocol} from './callers/CallerProtocol';
+export type {HttpAddress, HttpListenFailure} from './callers/HttpListener';
+export {HttpListener} from './callers/HttpListener';
+export type {EventBatch} from './connections/EventStreamSplitter';
+export {EventStreamSplitter} from './connections/EventStreamSplitter';
 export type {EdgeParts} from './Edge';
 export {Edge} from './Edge';
-export type {RetryBound} from './requests/RetryBudgets';
+export type {RetryLimit} from './requests/RetryBudgets';
 export {RouteTable} from './requests/RouteTable';
 export type {AllowancesParts, ReserveOutcome} from './tokens/Allowances';
-export {Allowances, RESERVE} from './tokens/Allowances';
+export {Allowances, RESERVE_OUTCOME} from './tokens/Allowances';
--- a/packages/puffinturn-edge/src/regions/CrossingEpisodes.ts
+++ b/packages/puffinturn-edge/src/regions/CrossRegionEpisodes.ts
@@ -9,7 +9,7 @@
 import type {Clock} from 'shared';
 import {TaskGroup} from 'shared';
 
-import {CROSSING_IDLE_TIMEOUT_MS} from './RegionConstants';
+import {EPISODE_IDLE_TIMEOUT_MS} from './RegionConstants';
 
 /** A period during which requests of a service go to other regions. */
 interface Episode {
@@ -21,7 +21,7 @@
  * Logs when requests of a service start to go to other regions and when they stop:
  * two log lines per episode, regardless of the number of requests.
  */
-export class CrossingEpisodes implements AsyncDisposable {
+export class CrossRegionEpisodes implements AsyncDisposable {
   private readonly episodes = new Map<string, Episode>();
   private readonly tasks = new TaskGroup();
 
@@ -56,8 +56,8 @@
   ): Promise<void> {
     const {clock} = this;
     const idleMs = (): number => clock.now() - episode.lastRequestAt;
-    while (!signal.aborted && idleMs() < CROSSING_IDLE_TIMEOUT_MS) {
-      await clock.sleep(CROSSING_IDLE_TIMEOUT_MS - idleMs(), signal);
+    while (!signal.aborted && idleMs() < EPISODE_IDLE_TIMEOUT_MS) {
+      await clock.sleep(EPISODE_IDLE_TIMEOUT_MS - idleMs(), signal);
     }
     this.episodes.delete(service);
     this.logChange(service, false, episode);
--- a/packages/puffinturn-edge/src/regions/RegionTraffic.ts
+++ b/packages/puffinturn-edge/src/regions/RegionByteCounter.ts
@@ -20,14 +20,14 @@
  * Counts the bytes exchanged with upstreams in other regions, headers included. Reads
  * the counters of the socket instead of summing chunks.
  */
-export class RegionTraffic {
+export class RegionByteCounter {
   /** Counts at the last update, for connections that are reused. */
   private readonly lastCounts = new WeakMap<Socket, ByteCounts>();
 
   constructor(private readonly metrics: Pick<EdgeMetrics, 'regionBytes'>) {}
 
   /** Adds the bytes of a connection since its last count to the metrics. */
-  count(socket: Socket): void {
+  recordBytes(socket: Socket): void {
     const {regionBytes} = this.metrics;
     const previous = this.lastCounts.get(socket) ?? ZERO_COUNTS;
     const current: ByteCounts = {
--- a/packages/puffinturn-edge/src/regions/RegionConstants.ts
+++ b/packages/puffinturn-edge/src/regions/RegionConstants.ts
@@ -27,27 +27,27 @@
 
 /**
  * Interval between probes of failed upstreams in the local region while another region
- * serves requests, ms. A probe delays a request by up to CONNECT_MS.
+ * serves requests, ms. A probe delays a request by up to CONNECT_TIMEOUT_MS.
  */
-export const HOME_PROBE_EVERY_MS = 2_000;
+export const LOCAL_PROBE_INTERVAL_MS = 2_000;
 
 /** Time without a request to another region after which an episode ends, ms. */
-export const CROSSING_IDLE_TIMEOUT_MS = 5_000;
+export const EPISODE_IDLE_TIMEOUT_MS = 5_000;
 
-/** Estimated size of an answer of a plain service, headers included, bytes. */
-export const PLAIN_ANSWER_BYTES = 1_200;
+/** Estimated size of a response of a plain service, headers included, bytes. */
+export const PLAIN_RESPONSE_BYTES = 1_200;
 
 /** Estimated size of a stream of about forty events with one frame each, bytes. */
-export const STREAM_ANSWER_BYTES = 5_000;
+export const STREAM_RESPONSE_BYTES = 5_000;
 
 /**
- * Maximum prompt reading speed assumed for an engine in another region, tokens per ms.
- * Its load is unknown before the first answer, so a loaded engine is assumed.
+ * Maximum prefill speed assumed for an engine in another region, tokens per ms.
+ * Its load is unknown before the first response, so a loaded engine is assumed.
  */
-export const MOST_SPEED_AWAY = 20;
+export const MAX_REMOTE_PREFILL_TOKENS_PER_MS = 20;
 
 /**
- * Minimum answer time assumed for a plain upstream in another region, ms. Without a
+ * Minimum response time assumed for a plain upstream in another region, ms. Without a
  * recent measurement it must not look faster than the local region.
  */
-export const UNMEASURED_ANSWER_MS = 150;
+export const MIN_REMOTE_RESPONSE_MS = 150;
--- a/packages/puffinturn-edge/src/regions/RegionCrossing.ts
+++ b/packages/puffinturn-edge/src/regions/RegionLinkBudget.ts
@@ -8,55 +8,55 @@
 import type {Regions} from 'puffinturn-fleet';
 import type {Clock} from 'shared';
 
-import type {Plan} from '../requests/RequestPlan';
-import type {CrossingEpisodes} from './CrossingEpisodes';
+import type {RequestPlan} from '../requests/RequestPlan';
+import type {CrossRegionEpisodes} from './CrossRegionEpisodes';
 import {
   LEAST_URGENT_RESERVE_FRACTION,
   LINK_BURST_MS,
   LINK_BYTES_PER_MS,
   LINK_DELAY_MS,
   MIN_AVAILABLE_FRACTION,
-  PLAIN_ANSWER_BYTES,
+  PLAIN_RESPONSE_BYTES,
   REQUEST_LINK_FRACTION,
-  STREAM_ANSWER_BYTES,
+  STREAM_RESPONSE_BYTES,
 } from './RegionConstants';
 
-/** Dependencies of a RegionCrossing. */
-export interface RegionCrossingParts {
+/** Dependencies of a RegionLinkBudget. */
+export interface RegionLinkBudgetParts {
   readonly hall: string;
   readonly regions: Regions;
   readonly clock: Clock;
-  readonly episodes: CrossingEpisodes;
+  readonly episodes: CrossRegionEpisodes;
   /** Number of edges in the local region, this one included. */
-  readonly edges: () => number;
+  readonly countEdges: () => number;
 }
 
 /**
  * Limits and estimates traffic to upstreams in other regions. Each edge has a token
  * bucket with an equal share of the link, so no coordination between edges is needed.
  */
-export class RegionCrossing {
+export class RegionLinkBudget {
   /** Bytes taken from the token bucket and not refilled yet. */
   private usedBytes = 0;
   private updatedAt: number;
 
-  constructor(private readonly parts: RegionCrossingParts) {
+  constructor(private readonly parts: RegionLinkBudgetParts) {
     this.updatedAt = parts.clock.now();
   }
 
   /** Whether a hall is in a region other than that of this edge. */
-  isAway(hall: string): boolean {
+  isRemote(hall: string): boolean {
     return !this.parts.regions.areTogether(this.parts.hall, hall);
   }
 
   /** Whether the bucket admits a request; the least urgent must leave a reserve. */
-  allows(isLeastUrgent: boolean): boolean {
+  hasCapacity(isLeastUrgent: boolean): boolean {
     const reserved = isLeastUrgent ? LEAST_URGENT_RESERVE_FRACTION : 0;
     return this.availableFraction > reserved;
   }
 
   /** Estimates the round trip and transfer time on the link, ms. */
-  transferMs(plan: Plan, bodyBytes: number): number {
+  estimateTransferMs(plan: RequestPlan, bodyBytes: number): number {
     const availableRate =
       LINK_BYTES_PER_MS *
       Math.max(MIN_AVAILABLE_FRACTION, this.availableFraction);
@@ -64,7 +64,7 @@
   }
 
   /** Records a request sent to another region. */
-  sent(plan: Plan, bodyBytes: number): void {
+  recordSent(plan: RequestPlan, bodyBytes: number): void {
     this.refill();
     this.usedBytes += estimateBytes(plan, bodyBytes);
     this.parts.episodes.recordRequest(plan.service.name);
@@ -77,7 +77,7 @@
   }
 
   private get bytesPerMs(): number {
-    const edges = Math.max(1, this.parts.edges());
+    const edges = Math.max(1, this.parts.countEdges());
     return (LINK_BYTES_PER_MS * REQUEST_LINK_FRACTION) / edges;
   }
 
@@ -90,9 +90,9 @@
   }
 }
 
-/** Estimates the bytes that a request and its answer use on the link. */
-function estimateBytes({service}: Plan, bodyBytes: number): number {
-  const answer =
-    service.engine === undefined ? PLAIN_ANSWER_BYTES : STREAM_ANSWER_BYTES;
-  return bodyBytes + answer;
+/** Estimates the bytes that a request and its response use on the link. */
+function estimateBytes({service}: RequestPlan, bodyBytes: number): number {
+  const responseBytes =
+    service.engine === undefined ? PLAIN_RESPONSE_BYTES : STREAM_RESPONSE_BYTES;
+  return bodyBytes + responseBytes;
 }
--- a/packages/puffinturn-edge/src/requests/Attempt.ts
+++ b/packages/puffinturn-edge/src/requests/Attempt.ts
@@ -9,33 +9,33 @@
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {Clock} from 'shared';
 
-import type {CallerDialect} from '../callers/CallerDialect';
+import type {CallerProtocol} from '../callers/CallerProtocol';
 import type {CallerRequest} from '../callers/CallerRequest';
 import type {ExchangeOutcome} from '../connections/Exchange';
 import {Exchange} from '../connections/Exchange';
-import type {UpstreamAnswer} from '../connections/UpstreamAnswer';
 import {buildUpstreamHeaders} from '../connections/UpstreamHeaders';
-import {MISDIRECTED} from '../EdgeConstants';
+import type {UpstreamResponse} from '../connections/UpstreamResponse';
+import {MISDIRECTED_REQUEST_STATUS} from '../EdgeConstants';
 import type {EdgeMetrics} from '../EdgeMetrics';
-import type {RegionCrossing} from '../regions/RegionCrossing';
-import type {Exposures} from '../rollouts/Exposures';
-import type {Observation} from '../rollouts/Observation';
+import type {RegionLinkBudget} from '../regions/RegionLinkBudget';
+import type {AttemptObserver} from '../rollouts/AttemptObserver';
+import type {ExposureController} from '../rollouts/ExposureController';
 import type {EdgeUpstream} from '../upstreams/EdgeUpstream';
-import type {HomeProbes} from '../upstreams/HomeProbes';
-import type {LimitReports} from '../upstreams/LimitReports';
-import {PromptReading} from '../upstreams/PromptReading';
-import type {Placement} from '../upstreams/UpstreamChoice';
-import {statementOf} from '../upstreams/UpstreamStatement';
-import type {Plan} from './RequestPlan';
+import type {LimitReporter} from '../upstreams/LimitReporter';
+import type {Placement} from '../upstreams/LoadBalancer';
+import {PromptPrefill} from '../upstreams/PromptPrefill';
+import type {RecoveryProbes} from '../upstreams/RecoveryProbes';
+import {parseUpstreamSignals} from '../upstreams/UpstreamSignals';
+import type {RequestPlan} from './RequestPlan';
 
 /** Dependencies of an attempt. */
 export interface AttemptParts {
   readonly clock: Clock;
-  readonly crossing: RegionCrossing;
-  readonly dialect: CallerDialect;
-  readonly exposures: Exposures;
-  readonly homeProbes: HomeProbes;
-  readonly limitReports: Pick<LimitReports, 'changed'>;
+  readonly linkBudget: RegionLinkBudget;
+  readonly protocol: CallerProtocol;
+  readonly exposureController: ExposureController;
+  readonly recoveryProbes: RecoveryProbes;
+  readonly limitReporter: Pick<LimitReporter, 'reportChange'>;
   readonly log: DecisionLog;
   readonly metrics: EdgeMetrics;
 }
@@ -49,7 +49,7 @@
   /** Time until the deadline of the request, ms. */
   readonly remainingMs: number;
   readonly placement: Placement;
-  readonly plan: Plan;
+  readonly plan: RequestPlan;
   /** ID of the last event the caller received, to resume a stream after it. */
   readonly lastEventId: string | undefined;
 }
@@ -62,7 +62,7 @@
   /** Resolves at the head of the response, or when the attempt fails. */
   readonly outcome: Promise<ExchangeOutcome>;
   /** Reports the result to the rollout of the service. */
-  readonly observation: Observation;
+  readonly observer: AttemptObserver;
   private readonly exchange: Exchange;
   private readonly upstream: EdgeUpstream;
   /** Send time, monotonic ms. */
@@ -75,16 +75,16 @@
     const {placement, plan} = params;
     this.upstream = placement.upstream;
     this.sentAt = parts.clock.now();
-    const {doubtful} = this.upstream;
-    this.recordSent(doubtful);
-    const reading = new PromptReading(parts.clock, placement, plan.parts);
-    this.observation = parts.exposures.sent(
+    const {isFailing} = this.upstream;
+    this.recordSent(isFailing);
+    const prefill = new PromptPrefill(parts.clock, placement, plan.promptParts);
+    this.observer = parts.exposureController.recordSent(
       plan,
       this.upstream,
-      reading.unread,
+      prefill.tokensToFirstEvent,
     );
     this.exchange = this.startExchange();
-    this.outcome = this.trackOutcome(reading, doubtful);
+    this.outcome = this.trackOutcome(prefill, isFailing);
   }
 
   /** Aborts the attempt. Closes the connection unless the response is complete. */
@@ -92,22 +92,22 @@
     this.exchange.abort(cause);
   }
 
-  private recordSent(doubtful: boolean): void {
-    const {crossing, homeProbes, metrics} = this.parts;
+  private recordSent(isFailing: boolean): void {
+    const {linkBudget, recoveryProbes, metrics} = this.parts;
     const {body, plan} = this.params;
     const {upstream} = this;
     upstream.inFlight += 1;
-    if (crossing.isAway(upstream.record.hall)) {
-      crossing.sent(plan, body.length);
+    if (linkBudget.isRemote(upstream.record.hall)) {
+      linkBudget.recordSent(plan, body.length);
       metrics.regionRequests.inc({service: plan.service.name});
     }
-    if (doubtful) {
-      homeProbes.sent();
+    if (isFailing) {
+      recoveryProbes.recordProbe();
     }
   }
 
   private startExchange(): Exchange {
-    const {dialect} = this.parts;
+    const {protocol} = this.parts;
     const {body, caller, remainingMs, placement, plan, lastEventId} =
       this.params;
     return new Exchange({
@@ -115,14 +115,14 @@
       headers: buildUpstreamHeaders({
         bodyLength: body.length,
         caller,
-        dialect,
+        protocol,
         remainingMs,
         placement,
         plan,
         lastEventId,
       }),
       method: caller.method,
-      headerNames: dialect.headers,
+      headerNames: protocol.headers,
       path: caller.path,
       requestId: caller.id,
       upstream: this.upstream,
@@ -130,23 +130,23 @@
   }
 
   private async trackOutcome(
-    reading: PromptReading,
-    doubtful: boolean,
+    prefill: PromptPrefill,
+    isFailing: boolean,
   ): Promise<ExchangeOutcome> {
-    const {homeProbes, metrics} = this.parts;
+    const {recoveryProbes, metrics} = this.parts;
     const {upstream} = this;
     const outcome = await this.exchange.outcome;
     const hasResponse = outcome.kind === 'answer';
-    reading.end(hasResponse);
-    if (doubtful && hasResponse) {
-      homeProbes.answered();
+    prefill.finish(hasResponse);
+    if (isFailing && hasResponse) {
+      recoveryProbes.recordSuccess();
     }
-    this.observation.began(outcome);
+    this.observer.onOutcome(outcome);
     if (!hasResponse) {
       upstream.inFlight -= 1;
     }
     if (hasResponse || outcome.kind === 'rejected') {
-      this.applyUpstreamHeaders(outcome.answer);
+      this.applyUpstreamHeaders(outcome.response);
     }
     const service = this.params.plan.service.name;
     metrics.attempts.inc({outcome: outcome.kind, service});
@@ -154,22 +154,26 @@
   }
 
   /** Applies drain, back-off and rate limit headers of a response to the upstream. */
-  private applyUpstreamHeaders(response: UpstreamAnswer): void {
+  private applyUpstreamHeaders(response: UpstreamResponse): void {
     const {statusCode: status} = response;
-    if (status === MISDIRECTED) {
+    if (status === MISDIRECTED_REQUEST_STATUS) {
       // The response comes from another upstream, so its headers don't apply here.
       return;
     }
-    const {dialect, log} = this.parts;
+    const {protocol, log} = this.parts;
     const {caller, configurationVersion} = this.params;
     const {upstream} = this;
     const {sequence, state} = upstream.record;
-    const {leaving, limit, restMs} = statementOf(response, dialect.headers);
-    const startedDraining = leaving && upstream.saysLeaving();
-    const startedBackOff = restMs !== undefined && upstream.rests(restMs);
+    const {isDraining, rateLimit, retryAfterMs} = parseUpstreamSignals(
+      response,
+      protocol.headers,
+    );
+    const startedDraining = isDraining && upstream.markDraining();
+    const startedBackOff =
+      retryAfterMs !== undefined && upstream.startBackoff(retryAfterMs);
     const {sentAt} = this;
     const limitChanged = upstream.limits.hearAnswer({
-      named: limit,
+      named: rateLimit,
       sentAt,
       status,
     });
@@ -177,10 +181,10 @@
       log.note({
         configuration: configurationVersion,
         event: 'upstream-told',
-        leaving,
+        leaving: isDraining,
         limitPerS: upstream.limits.limit.perSecond,
         request: caller.id,
-        restMs,
+        restMs: retryAfterMs,
         sequence,
         state,
         status,
@@ -188,7 +192,7 @@
       });
     }
     if (limitChanged) {
-      this.parts.limitReports.changed(upstream);
+      this.parts.limitReporter.reportChange(upstream);
     }
   }
 }
--- a/packages/puffinturn-edge/src/requests/Forwarding.ts
+++ b/packages/puffinturn-edge/src/requests/RequestForwarder.ts
@@ -10,55 +10,62 @@
  * upstreams until one responds or no retry is allowed. A request that is not repeatable
  * is retried only if the upstream did not run it.
  */
-import type {TokenFacts} from 'puffinturn-decisions';
+import type {TokenState} from 'puffinturn-decisions';
 import type {Route} from 'puffinturn-fleet';
 import {REPETITION} from 'puffinturn-fleet';
 import {fingerprintOf} from 'puffinturn-quarantine';
 
-import type {AnswerRelay} from '../callers/AnswerRelay';
-import {RELAY, StreamRelay, WholeRelay} from '../callers/AnswerRelay';
 import type {CallerRequest} from '../callers/CallerRequest';
-import {FinalAnswer} from '../callers/FinalAnswer';
-import {isReadLate} from '../callers/ReadLateness';
+import {waitedTooLong} from '../callers/QueueWaitLimit';
+import {RequestOutcome} from '../callers/RequestOutcome';
+import type {ResponseRelay} from '../callers/ResponseRelay';
+import {
+  BufferedRelay,
+  EventStreamRelay,
+  RELAY_OUTCOME,
+} from '../callers/ResponseRelay';
 import type {ExchangeOutcome, ResponseOutcome} from '../connections/Exchange';
 import {INVALID_HEADER} from '../connections/Exchange';
-import type {UpstreamAnswer} from '../connections/UpstreamAnswer';
+import type {UpstreamResponse} from '../connections/UpstreamResponse';
 import {
-  CALLER_LEFT,
-  FIRST_ERROR_STATUS,
-  MAX_UNSENT,
-  MISDIRECTED,
-  RETRY_AFTER_READ_LATE_S,
+  CALLER_DISCONNECTED,
+  MAX_CONNECT_FAILURES,
+  MIN_SERVER_ERROR_STATUS,
+  MISDIRECTED_REQUEST_STATUS,
   RETRY_AFTER_TOKENS_S,
+  RETRY_AFTER_WAITED_TOO_LONG_S,
 } from '../EdgeConstants';
-import type {RegionTraffic} from '../regions/RegionTraffic';
+import type {RegionByteCounter} from '../regions/RegionByteCounter';
+import type {ResponseTotals} from '../ResponseTotals';
 import type {Allowances, ReserveOutcome} from '../tokens/Allowances';
-import {RESERVE} from '../tokens/Allowances';
+import {RESERVE_OUTCOME} from '../tokens/Allowances';
 import {RequestTokens} from '../tokens/RequestTokens';
-import type {Totals} from '../Totals';
 import type {EdgeUpstream} from '../upstreams/EdgeUpstream';
-import type {Placement} from '../upstreams/UpstreamChoice';
-import type {RequestSize, SelectionParts} from '../upstreams/UpstreamSelection';
+import type {Placement} from '../upstreams/LoadBalancer';
+import type {
+  RequestTraits,
+  SelectionParts,
+} from '../upstreams/UpstreamSelection';
 import {
-  admissionFacts,
-  lackOf,
+  admissionContextOf,
+  explainNoUpstream,
   selectUpstream,
 } from '../upstreams/UpstreamSelection';
 import type {AttemptParts} from './Attempt';
 import {Attempt} from './Attempt';
-import type {CrashingRequests} from './CrashingRequests';
-import type {Plan} from './RequestPlan';
+import type {RequestPlan} from './RequestPlan';
 import {planRequest} from './RequestPlan';
+import type {RequestQuarantine} from './RequestQuarantine';
 import type {RetryBudgets} from './RetryBudgets';
 import type {RouteTable} from './RouteTable';
 
 /** Dependencies for forwarding a request. */
-export interface ForwardingParts extends AttemptParts, SelectionParts {
-  readonly totals: Totals;
+export interface RequestForwarderParts extends AttemptParts, SelectionParts {
+  readonly responseTotals: ResponseTotals;
   readonly allowances: Allowances;
   readonly retryBudgets: RetryBudgets;
-  readonly crashing: CrashingRequests;
-  readonly regionTraffic: RegionTraffic;
+  readonly quarantine: RequestQuarantine;
+  readonly regionByteCounter: RegionByteCounter;
 }
 
 /** Cause of the error response for a quarantined request. */
@@ -74,11 +81,11 @@
 const MIN_REMAINING_MS = 10;
 
 /** Forwards one request, with retries. */
-export class Forwarding {
-  private plan: Plan | undefined;
+export class RequestForwarder {
+  private plan: RequestPlan | undefined;
   private body: Buffer = Buffer.alloc(0);
   private currentAttempt: Attempt | undefined;
-  private relay: AnswerRelay | undefined;
+  private relay: ResponseRelay | undefined;
   private lastUpstream: EdgeUpstream | undefined;
   private readonly triedUpstreams = new Set<EdgeUpstream>();
   /** Upstreams that granted no permit for this request. */
@@ -87,14 +94,14 @@
   private unsentCount = 0;
   private mayHaveRun = false;
   private cachedFingerprint: string | undefined;
-  private readonly finalResponse: FinalAnswer;
+  private readonly requestOutcome: RequestOutcome;
 
   constructor(
-    private readonly parts: ForwardingParts,
+    private readonly parts: RequestForwarderParts,
     private readonly table: RouteTable,
     private readonly caller: CallerRequest,
   ) {
-    this.finalResponse = new FinalAnswer(caller);
+    this.requestOutcome = new RequestOutcome(caller);
   }
 
   /** Serves the request and resolves when it has ended. */
@@ -129,40 +136,44 @@
     } finally {
       clearTimeout(timer);
       const charged = tokens.settle({
-        events: this.relay?.events ?? 0,
-        passedOn: this.relay?.begun ?? false,
-        whole: this.finalResponse.cause === 'served',
+        events: this.relay?.eventCount ?? 0,
+        hasStarted: this.relay?.hasStarted ?? false,
+        isComplete: this.requestOutcome.cause === 'served',
       });
-      this.recordEnd(charged, tokens.facts);
+      this.recordEnd(charged, tokens.refusalState);
     }
   }
 
-  private createPlan(): Plan | undefined {
-    const {dialect, random} = this.parts;
+  private createPlan(): RequestPlan | undefined {
+    const {protocol, random} = this.parts;
     const fraction = random.fraction();
-    const plan = planRequest(this.caller, this.table, dialect, fraction);
+    const plan = planRequest(this.caller, this.table, protocol, fraction);
     if (plan.isErr()) {
       const {cause, retryAfterS, status} = plan.error;
-      this.finalResponse.refuse(status, cause, retryAfterS);
+      this.requestOutcome.reject(status, cause, retryAfterS);
       return undefined;
     }
     this.plan = plan.value;
-    if (this.isReadLate(plan.value.route)) {
-      this.caller.closing = true;
-      this.finalResponse.refuse(503, 'read-late', RETRY_AFTER_READ_LATE_S);
+    if (this.hasWaitedTooLong(plan.value.route)) {
+      this.caller.closesConnection = true;
+      this.requestOutcome.reject(
+        503,
+        'read-late',
+        RETRY_AFTER_WAITED_TOO_LONG_S,
+      );
       return undefined;
     }
     return plan.value;
   }
 
   /** Whether too much of the timeout had passed when the request was read. */
-  private isReadLate(route: Route): boolean {
+  private hasWaitedTooLong(route: Route): boolean {
     const timeoutMs = this.timeoutMs(route);
-    return isReadLate(timeoutMs - this.remainingMs(route), timeoutMs, route);
+    return waitedTooLong(timeoutMs - this.remainingMs(route), timeoutMs, route);
   }
 
   private remainingMs(route: Route): number {
-    const elapsedMs = this.parts.clock.now() - this.caller.startedAt;
+    const elapsedMs = this.parts.clock.now() - this.caller.arrivedAt;
     return this.timeoutMs(route) - elapsedMs;
   }
 
@@ -175,43 +186,43 @@
     const body = await this.caller.readBody(maxBodyBytes);
     if (body.isErr()) {
       if (body.error.kind === 'body-too-large') {
-        this.finalResponse.refuse(413, body.error.kind);
+        this.requestOutcome.reject(413, body.error.kind);
       } else {
-        this.finalResponse.end(body.error.kind);
+        this.requestOutcome.end(body.error.kind);
         this.caller.response.destroy();
       }
       return false;
     }
     this.body = body.value;
-    return !this.finalResponse.ended;
+    return !this.requestOutcome.hasEnded;
   }
 
   private async isCallerConnected(): Promise<boolean> {
-    if (!(await this.caller.stays())) {
-      this.finalResponse.end(CALLER_LEFT);
+    if (!(await this.caller.isStillConnected())) {
+      this.requestOutcome.end(CALLER_DISCONNECTED);
     }
-    return !this.finalResponse.ended;
+    return !this.requestOutcome.hasEnded;
   }
 
   // Tokens
 
   private async reserveTokens(tokens: RequestTokens): Promise<boolean> {
     const outcome = await tokens.reserve();
-    if (!this.finalResponse.ended && outcome !== RESERVE.held) {
+    if (!this.requestOutcome.hasEnded && outcome !== RESERVE_OUTCOME.reserved) {
       this.rejectWithoutTokens(outcome);
     }
-    return !this.finalResponse.ended;
+    return !this.requestOutcome.hasEnded;
   }
 
   private rejectWithoutTokens(
-    outcome: Exclude<ReserveOutcome, typeof RESERVE.held>,
+    outcome: Exclude<ReserveOutcome, typeof RESERVE_OUTCOME.reserved>,
   ): void {
     switch (outcome) {
-      case RESERVE.exhausted:
-        this.finalResponse.refuse(402, 'budget-exhausted');
+      case RESERVE_OUTCOME.exhausted:
+        this.requestOutcome.reject(402, 'budget-exhausted');
         return;
-      case RESERVE.unavailable:
-        this.finalResponse.refuse(
+      case RESERVE_OUTCOME.unavailable:
+        this.requestOutcome.reject(
           503,
           'budget-unreachable',
           RETRY_AFTER_TOKENS_S,
@@ -225,50 +236,45 @@
    * Rejects a quarantined request and returns false. Each retry would crash another
    * upstream, together with all requests in flight there.
    */
-  private passesQuarantine(plan: Plan): boolean {
-    const {crashing} = this.parts;
+  private passesQuarantine(plan: RequestPlan): boolean {
+    const {quarantine} = this.parts;
     if (
-      crashing.isEmpty ||
-      !crashing.isQuarantined(this.getFingerprint(plan))
+      quarantine.isEmpty ||
+      !quarantine.isQuarantined(this.getFingerprint(plan))
     ) {
       return true;
     }
     if (this.mayHaveRun) {
-      this.finalResponse.giveUp(QUARANTINED, true);
+      this.requestOutcome.fail(QUARANTINED, true);
     } else {
-      this.finalResponse.refuse(400, QUARANTINED);
+      this.requestOutcome.reject(400, QUARANTINED);
     }
     return false;
   }
 
-  private async forward(plan: Plan): Promise<void> {
+  private async forward(plan: RequestPlan): Promise<void> {
     const {parts, triedUpstreams} = this;
-    const requestSize: RequestSize = {
+    const traits: RequestTraits = {
       bodyBytes: this.body.length,
-      heldBack: this.deniedUpstreams,
+      deniedUpstreams: this.deniedUpstreams,
       isLeastUrgent: this.table.isLeastUrgent(plan.route),
     };
-    while (!this.finalResponse.ended && this.passesQuarantine(plan)) {
-      const placement = selectUpstream(
-        parts,
-        plan,
-        triedUpstreams,
-        requestSize,
-      );
+    while (!this.requestOutcome.hasEnded && this.passesQuarantine(plan)) {
+      const placement = selectUpstream(parts, plan, triedUpstreams, traits);
       if (placement === undefined) {
-        const {cause, retryAfterS} = lackOf(parts, plan, requestSize);
-        this.finalResponse.giveUp(cause, this.mayHaveRun, retryAfterS);
+        const {cause, retryAfterS} = explainNoUpstream(parts, plan, traits);
+        this.requestOutcome.fail(cause, this.mayHaveRun, retryAfterS);
         return;
       }
       if (this.remainingMs(plan.route) < MIN_REMAINING_MS) {
-        this.finalResponse.giveUp('no-time-left', this.mayHaveRun);
+        this.requestOutcome.fail('no-time-left', this.mayHaveRun);
         return;
       }
-      if (!(await this.acquirePermit(plan, placement.upstream, requestSize))) {
+      if (!(await this.acquirePermit(plan, placement.upstream, traits))) {
         continue;
       }
       if (!this.consumeRetryBudget(plan)) {
-        this.finalResponse.giveUp('retry-budget', this.mayHaveRun);
+        this.requestOutcome.fail('retry-budget', this.mayHaveRun);
         return;
       }
       const outcome = await this.startAttempt(plan, placement);
@@ -288,11 +294,11 @@
    * upstream applies to all edges together, so no edge can enforce it alone.
    */
   private async acquirePermit(
-    plan: Plan,
+    plan: RequestPlan,
     upstream: EdgeUpstream,
-    requestSize: RequestSize,
+    traits: RequestTraits,
   ): Promise<boolean> {
-    const admission = admissionFacts(plan, requestSize);
+    const admission = admissionContextOf(plan, traits);
     const admitted = this.parts.admission.admit(upstream, admission);
     if (admitted === true) {
       return true;
@@ -300,7 +306,7 @@
     const isGranted = await admitted;
     // The upstream may have started to drain or back off during the wait.
     const isAdmitted =
-      isGranted && upstream.serves && upstream.restLeftMs === 0;
+      isGranted && upstream.isServing && upstream.remainingBackoffMs === 0;
     if (!isAdmitted) {
       this.deniedUpstreams.add(upstream);
     }
@@ -308,11 +314,11 @@
       outcome: isGranted ? 'granted' : 'refused',
       service: plan.service.name,
     });
-    return isAdmitted && !this.finalResponse.ended;
+    return isAdmitted && !this.requestOutcome.hasEnded;
   }
 
   /** Takes a retry from the budget of the service, except for the first attempt. */
-  private consumeRetryBudget({service}: Plan): boolean {
+  private consumeRetryBudget({service}: RequestPlan): boolean {
     const {retryBudgets} = this.parts;
     if (this.attemptCount === 0) {
       if (this.unsentCount === 0) {
@@ -324,7 +330,7 @@
   }
 
   private startAttempt(
-    plan: Plan,
+    plan: RequestPlan,
     placement: Placement,
   ): Promise<ExchangeOutcome> {
     const {body, caller, relay, table} = this;
@@ -346,7 +352,7 @@
 
   /** Handles the outcome of an attempt. Returns true when the request has ended. */
   private async handleOutcome(
-    plan: Plan,
+    plan: RequestPlan,
     upstream: EdgeUpstream,
     outcome: ExchangeOutcome,
   ): Promise<boolean> {
@@ -355,14 +361,14 @@
         this.mayHaveRun = true;
         return this.relayResponse(plan, upstream, outcome);
       case 'rejected': {
-        const {statusCode} = outcome.answer;
-        if (statusCode === MISDIRECTED) {
+        const {statusCode} = outcome.response;
+        if (statusCode === MISDIRECTED_REQUEST_STATUS) {
           // Another upstream has this address now, so the request did not run.
           this.attemptCount -= 1;
           this.unsentCount += 1;
-          upstream.isReplaced();
+          upstream.markReplaced();
         } else {
-          upstream.full();
+          upstream.recordFull();
         }
         return this.retryOrGiveUp(
           plan,
@@ -374,38 +380,38 @@
       case 'unsent':
         this.attemptCount -= 1;
         this.unsentCount += 1;
-        if (!this.finalResponse.ended) {
-          upstream.unreachable();
+        if (!this.requestOutcome.hasEnded) {
+          upstream.recordConnectFailure();
         }
         return this.retryOrGiveUp(plan, upstream, outcome.cause, true);
       case 'broken':
         this.mayHaveRun = true;
-        if (!this.finalResponse.ended && outcome.cause !== INVALID_HEADER) {
+        if (!this.requestOutcome.hasEnded && outcome.cause !== INVALID_HEADER) {
           this.recordBrokenResponse(plan, upstream, outcome.cause);
         }
         return this.retryOrGiveUp(plan, upstream, outcome.cause, false);
     }
   }
 
-  private recordSuccess(plan: Plan, status: number): void {
-    if (status < FIRST_ERROR_STATUS) {
-      this.parts.crashing.recordSuccess(this.getFingerprint(plan));
+  private recordSuccess(plan: RequestPlan, status: number): void {
+    if (status < MIN_SERVER_ERROR_STATUS) {
+      this.parts.quarantine.recordSuccess(this.getFingerprint(plan));
     }
   }
 
   private recordBrokenResponse(
-    plan: Plan,
+    plan: RequestPlan,
     upstream: EdgeUpstream,
     cause: string,
   ): void {
-    upstream.broke(cause);
-    this.parts.crashing.recordBrokenRequest(
+    upstream.recordFailure(cause);
+    this.parts.quarantine.recordBrokenRequest(
       upstream,
       this.getFingerprint(plan),
     );
   }
 
-  private getFingerprint({team}: Plan): string {
+  private getFingerprint({team}: RequestPlan): string {
     const {body, caller} = this;
     this.cachedFingerprint ??= fingerprintOf({
       body,
@@ -422,7 +428,7 @@
    * after an error response if it had none.
    */
   private retryOrGiveUp(
-    plan: Plan,
+    plan: RequestPlan,
     upstream: EdgeUpstream,
     cause: string,
     wasNotRun: boolean,
@@ -430,14 +436,14 @@
     const {route} = plan;
     const isRepeatable = wasNotRun || route.repetition !== REPETITION.never;
     const willRetry =
-      !this.finalResponse.ended &&
+      !this.requestOutcome.hasEnded &&
       isRepeatable &&
       this.canContinueResponse(route) &&
       this.attemptCount < route.maxAttempts &&
-      this.unsentCount < MAX_UNSENT &&
+      this.unsentCount < MAX_CONNECT_FAILURES &&
       // If one more crash would quarantine the request, a retry could crash an upstream.
       (wasNotRun ||
-        !this.parts.crashing.isOneCrashFromQuarantine(
+        !this.parts.quarantine.isOneCrashFromQuarantine(
           this.getFingerprint(plan),
         ));
     this.parts.log.note({
@@ -451,8 +457,8 @@
       retry: willRetry,
       upstream: upstream.id,
     });
-    if (!willRetry && !this.finalResponse.ended) {
-      this.finalResponse.giveUp(cause, this.mayHaveRun);
+    if (!willRetry && !this.requestOutcome.hasEnded) {
+      this.requestOutcome.fail(cause, this.mayHaveRun);
     }
     return !willRetry;
   }
@@ -462,54 +468,54 @@
     const {relay} = this;
     const isResumable =
       repetition === REPETITION.resumable && relay?.lastEventId !== undefined;
-    return relay?.begun !== true || isResumable;
+    return relay?.hasStarted !== true || isResumable;
   }
 
   private async relayResponse(
-    plan: Plan,
+    plan: RequestPlan,
     upstream: EdgeUpstream,
-    {answer: response}: ResponseOutcome,
+    {response}: ResponseOutcome,
   ): Promise<boolean> {
     const relay = this.getRelay(plan, response);
     const status = response.statusCode;
     const {socket} = response;
-    const {events: eventsBefore} = relay;
+    const {eventCount: eventsBefore} = relay;
     const relayEnd = await relay
-      .pass(response, this.shouldRetryError(plan, upstream, status))
+      .relay(response, this.shouldRetryError(plan, upstream, status))
       .finally(() => (upstream.inFlight -= 1));
-    if (this.parts.crossing.isAway(upstream.record.hall)) {
-      this.parts.regionTraffic.count(socket);
+    if (this.parts.linkBudget.isRemote(upstream.record.hall)) {
+      this.parts.regionByteCounter.recordBytes(socket);
     }
-    this.currentAttempt?.observation.ended({
+    this.currentAttempt?.observer.onRelayEnd({
       end: relayEnd,
-      events: relay.events - eventsBefore,
+      events: relay.eventCount - eventsBefore,
       status,
-      timedOut: this.finalResponse.cause === 'timeout',
+      isTimedOut: this.requestOutcome.cause === 'timeout',
     });
     switch (relayEnd) {
-      case RELAY.whole:
-        if (status < FIRST_ERROR_STATUS) {
-          upstream.succeeded();
+      case RELAY_OUTCOME.complete:
+        if (status < MIN_SERVER_ERROR_STATUS) {
+          upstream.recordSuccess();
         } else {
-          upstream.answeredError();
+          upstream.recordErrorResponse();
         }
         this.recordSuccess(plan, status);
-        this.finalResponse.end('served');
+        this.requestOutcome.end('served');
         return true;
-      case RELAY.stopped:
+      case RELAY_OUTCOME.cancelled:
         return true;
-      case RELAY.broken:
+      case RELAY_OUTCOME.incomplete:
         return this.handleBrokenResponse(plan, upstream, status);
     }
   }
 
   private handleBrokenResponse(
-    plan: Plan,
+    plan: RequestPlan,
     upstream: EdgeUpstream,
     status: number,
   ): boolean {
-    if (status >= FIRST_ERROR_STATUS) {
-      upstream.answeredError();
+    if (status >= MIN_SERVER_ERROR_STATUS) {
+      upstream.recordErrorResponse();
       return this.retryOrGiveUp(plan, upstream, `status-${status}`, false);
     }
     this.currentAttempt?.abort('broke-off');
@@ -519,25 +525,28 @@
 
   /** Whether to retry an error response: only if the upstream's error rate is high. */
   private shouldRetryError(
-    {route}: Plan,
+    {route}: RequestPlan,
     upstream: EdgeUpstream,
     status: number,
   ): boolean {
     return (
-      status >= FIRST_ERROR_STATUS &&
+      status >= MIN_SERVER_ERROR_STATUS &&
       status !== 504 &&
       route.repetition !== REPETITION.never &&
       this.attemptCount < route.maxAttempts &&
-      this.parts.pool.isGrey(upstream)
+      this.parts.pool.isDegraded(upstream)
     );
   }
 
-  private getRelay({route}: Plan, response: UpstreamAnswer): AnswerRelay {
-    if (this.relay?.begun === true) {
+  private getRelay(
+    {route}: RequestPlan,
+    response: UpstreamResponse,
+  ): ResponseRelay {
+    if (this.relay?.hasStarted === true) {
       return this.relay;
     }
     const onFirstByte = (): void => {
-      const elapsedMs = this.parts.clock.now() - this.caller.startedAt;
+      const elapsedMs = this.parts.clock.now() - this.caller.arrivedAt;
       this.parts.metrics.firstByte.observe(
         {route: route.name},
         elapsedMs / 1_000,
@@ -547,32 +556,32 @@
       response.headers['content-type']?.startsWith('text/event-stream');
     this.relay =
       isStream === true && response.statusCode === 200
-        ? new StreamRelay(this.caller, onFirstByte)
-        : new WholeRelay(this.caller, onFirstByte);
+        ? new EventStreamRelay(this.caller, onFirstByte)
+        : new BufferedRelay(this.caller, onFirstByte);
     return this.relay;
   }
 
   // End of the request
 
   private onDeadline(): void {
-    if (this.finalResponse.ended) {
+    if (this.requestOutcome.hasEnded) {
       return;
     }
     const wasSent = this.mayHaveRun || this.currentAttempt !== undefined;
-    this.finalResponse.refuse(
+    this.requestOutcome.reject(
       wasSent ? 504 : 503,
       'timeout',
       wasSent ? undefined : 1,
     );
-    this.relay?.stop();
+    this.relay?.cancel();
     this.currentAttempt?.abort('timeout');
   }
 
   private onCallerClosed(): void {
-    if (!this.finalResponse.ended && this.caller.abandoned) {
-      this.finalResponse.end(CALLER_LEFT);
-      this.relay?.stop();
-      this.currentAttempt?.abort(CALLER_LEFT);
+    if (!this.requestOutcome.hasEnded && this.caller.isAborted) {
+      this.requestOutcome.end(CALLER_DISCONNECTED);
+      this.relay?.cancel();
+      this.currentAttempt?.abort(CALLER_DISCONNECTED);
     }
   }
 
@@ -582,21 +591,21 @@
     return denied.length === 0 ? undefined : denied.map(({id}) => id);
   }
 
-  private recordEnd(charged = 0, tokenFacts?: TokenFacts): void {
+  private recordEnd(charged = 0, tokenState?: TokenState): void {
     const {attemptCount, caller, plan, relay, lastUpstream, table} = this;
-    const {cause} = this.finalResponse;
-    const {clock, log, metrics, totals} = this.parts;
+    const {cause} = this.requestOutcome;
+    const {clock, log, metrics, responseTotals} = this.parts;
     const status = caller.response.headersSent ? caller.response.statusCode : 0;
     const route = plan?.route.name ?? '';
-    metrics.answers.inc({cause, route, status: String(status)});
-    totals.count(status, cause);
+    metrics.responses.inc({cause, route, status: String(status)});
+    responseTotals.recordResponse(status, cause);
     log.note({
       attempts: attemptCount,
       cause,
       charged,
       configuration: table.version,
       event: 'request-ended',
-      events: relay?.events ?? 0,
+      events: relay?.eventCount ?? 0,
       fingerprint: this.cachedFingerprint,
       heldBackBy: this.deniedUpstreamIds,
       request: caller.id,
@@ -604,8 +613,8 @@
       upstream: lastUpstream?.id,
       status,
       team: plan?.team?.name,
-      tokens: tokenFacts,
-      tookMs: Math.round(clock.now() - caller.startedAt),
+      tokens: tokenState,
+      tookMs: Math.round(clock.now() - caller.arrivedAt),
     });
   }
 }
--- a/packages/puffinturn-edge/src/requests/RequestPlan.ts
+++ b/packages/puffinturn-edge/src/requests/RequestPlan.ts
@@ -12,21 +12,21 @@
 import {regionsInBoth} from 'puffinturn-fleet';
 
 import type {
-  CallerDialect,
+  CallerProtocol,
   PromptPart,
-  TokenBounds,
-} from '../callers/CallerDialect';
+  TokenCounts,
+} from '../callers/CallerProtocol';
 import type {CallerRequest} from '../callers/CallerRequest';
-import {RETRY_AFTER_MISSING_S} from '../EdgeConstants';
+import {RETRY_AFTER_UNAVAILABLE_S} from '../EdgeConstants';
 import type {RouteTable} from './RouteTable';
 
 /** Route, team, service and limits of a request, resolved before the first attempt. */
-export interface Plan {
+export interface RequestPlan {
   readonly route: Route;
   readonly team: Team | undefined;
   readonly service: Service;
-  readonly tokens: TokenBounds | undefined;
-  readonly parts: readonly PromptPart[];
+  readonly tokenCounts: TokenCounts | undefined;
+  readonly promptParts: readonly PromptPart[];
   /** Regions that route and team both allow; undefined for all. */
   readonly allowedRegions?: readonly string[] | undefined;
 }
@@ -42,31 +42,31 @@
 export function planRequest(
   caller: CallerRequest,
   table: RouteTable,
-  dialect: CallerDialect,
+  protocol: CallerProtocol,
   fraction: number,
-): Result<Plan, Refusal> {
+): Result<RequestPlan, Refusal> {
   const host = (caller.header('host') ?? '').replace(/:\d+$/, '');
   const route = table.findRoute(host, caller.path);
   if (route === undefined) {
     return refusal(404, 'no-route');
   }
-  const team = table.findTeam(caller.header(dialect.headers.key));
+  const team = table.findTeam(caller.header(protocol.headers.credential));
   if (team === undefined && table.requiresKey(route)) {
     return refusal(401, 'unknown-key');
   }
   const service = table.pickService(route, fraction);
   if (service === undefined) {
-    return refusal(503, 'no-service', RETRY_AFTER_MISSING_S);
+    return refusal(503, 'no-service', RETRY_AFTER_UNAVAILABLE_S);
   }
   const header = (name: string) => caller.header(name);
-  const parts = dialect.partsOf(header);
+  const promptParts = protocol.parsePromptParts(header);
   return ok({
     allowedRegions: regionsInBoth(route.allowedRegions, team?.allowedRegions),
-    parts,
+    promptParts,
     route,
     service,
     team,
-    tokens: dialect.tokensOf(header),
+    tokenCounts: protocol.parseTokenCounts(header),
   });
 }
 
@@ -74,6 +74,6 @@
   status: number,
   cause: Refusal['cause'],
   retryAfterS?: number,
-): Result<Plan, Refusal> {
+): Result<RequestPlan, Refusal> {
   return err({cause, retryAfterS, status});
 }
--- a/packages/puffinturn-edge/src/requests/CrashingRequests.ts
+++ b/packages/puffinturn-edge/src/requests/RequestQuarantine.ts
@@ -23,7 +23,7 @@
 import type {Clock} from 'shared';
 import {Condition, sleepUnlessNotified, TaskGroup} from 'shared';
 
-import {askControls} from '../ControlQuestions';
+import {callControlBoxes} from '../ControlRequests';
 import type {EdgeMetrics} from '../EdgeMetrics';
 import type {EdgeUpstream} from '../upstreams/EdgeUpstream';
 
@@ -39,26 +39,26 @@
 /** Maximum number of fingerprints in one log line, which also has their count. */
 const MAX_LOGGED_FINGERPRINTS = 16;
 
-/** Dependencies of CrashingRequests. */
-export interface CrashingRequestsParts {
+/** Dependencies of RequestQuarantine. */
+export interface RequestQuarantineParts {
   readonly box: string;
   readonly clock: Clock;
   readonly link: Link;
   readonly log: DecisionLog;
   readonly metrics: EdgeMetrics;
   /** Control boxes in the order in which they are called. */
-  readonly controls: () => readonly string[];
+  readonly controlBoxes: () => readonly string[];
 }
 
 /** Quarantine state of this edge, and the reporter of crashes it has seen. */
-export class CrashingRequests implements AsyncDisposable {
+export class RequestQuarantine implements AsyncDisposable {
   private readonly evidence: CrashEvidence;
   private readonly watch: CrashWatch<EdgeUpstream>;
   private adopted = NO_QUARANTINE;
   private readonly reportPending = new Condition();
   private readonly tasks = new TaskGroup();
 
-  constructor(private readonly parts: CrashingRequestsParts) {
+  constructor(private readonly parts: RequestQuarantineParts) {
     const {clock} = parts;
     this.evidence = new CrashEvidence(clock);
     this.watch = new CrashWatch({
@@ -70,7 +70,7 @@
   }
 
   /** The newest quarantine received from another box. */
-  get quarantine(): Quarantine {
+  get current(): Quarantine {
     return this.adopted;
   }
 
@@ -164,13 +164,13 @@
   }
 
   private async sendReport(report: CrashReport): Promise<boolean> {
-    const {box, controls, link} = this.parts;
+    const {box, controlBoxes, link} = this.parts;
     const request: CrashRequest = {box, report};
-    const reply = await askControls<CrashReply>(
+    const reply = await callControlBoxes<CrashReply>(
       link,
-      controls(),
+      controlBoxes(),
       {
-        answerMs: RESPONSE_TIMEOUT_MS,
+        timeoutMs: RESPONSE_TIMEOUT_MS,
         request,
         service: FLEET_SERVICE.reportCrashes,
       },
--- a/packages/puffinturn-edge/src/requests/RetryBudgets.ts
+++ b/packages/puffinturn-edge/src/requests/RetryBudgets.ts
@@ -12,7 +12,7 @@
 import {ShareRetryBudget} from 'puffinturn-routing';
 
 /** Limit on retries of a service, over all edges. */
-export interface RetryBound {
+export interface RetryLimit {
   /** Retries per request. */
   readonly ratio: number;
   /** Additional retries per window. */
@@ -27,7 +27,7 @@
   private readonly budgets = new Map<string, ShareRetryBudget>();
 
   constructor(
-    private readonly limit: RetryBound,
+    private readonly limit: RetryLimit,
     private readonly edgeCount: () => number,
   ) {}
 
--- a/packages/puffinturn-edge/src/requests/RouteTable.ts
+++ b/packages/puffinturn-edge/src/requests/RouteTable.ts
@@ -83,7 +83,7 @@
    * Regions that this configuration allows for a route and a team, which may come from
    * another version of the configuration; undefined for all.
    */
-  allowedRegions(
+  findAllowedRegions(
     route: Route,
     team: Team | undefined,
   ): readonly string[] | undefined {
@@ -94,7 +94,7 @@
   }
 
   /** Finds a service by name. */
-  service(name: string): Service | undefined {
+  findService(name: string): Service | undefined {
     return this.services.get(name);
   }
 
@@ -107,6 +107,6 @@
   /** Selects the service of a route by weight, with `fraction` in [0, 1). */
   pickService({targets}: Route, fraction: number): Service | undefined {
     const target = drawByWeight(targets, ({weight}) => weight, fraction);
-    return target === undefined ? undefined : this.service(target.service);
+    return target === undefined ? undefined : this.findService(target.service);
   }
 }
--- a/packages/puffinturn-edge/src/rollouts/Observation.ts
+++ b/packages/puffinturn-edge/src/rollouts/AttemptObserver.ts
@@ -7,40 +7,44 @@
 
 import type {Clock} from 'shared';
 
-import type {RelayEnd} from '../callers/AnswerRelay';
-import {RELAY} from '../callers/AnswerRelay';
-import type {
-  AnswerExpectations,
-  AnswerSample,
-} from '../connections/AnswerExpectations';
+import type {RelayOutcome} from '../callers/ResponseRelay';
+import {RELAY_OUTCOME} from '../callers/ResponseRelay';
 import type {ExchangeOutcome} from '../connections/Exchange';
-import {CALLER_LEFT, FIRST_ERROR_STATUS, MISDIRECTED} from '../EdgeConstants';
-import type {AnswerOutcome, ExposureTracker} from './ExposureAccount';
-
-/** How relaying an answer ended. */
+import type {
+  LatencyBaselines,
+  LatencySample,
+} from '../connections/LatencyBaselines';
+import {
+  CALLER_DISCONNECTED,
+  MIN_SERVER_ERROR_STATUS,
+  MISDIRECTED_REQUEST_STATUS,
+} from '../EdgeConstants';
+import type {ExposureTracker, ObservedResponse} from './ExposureTracker';
+
+/** How relaying a response ended. */
 export interface RelayResult {
-  readonly end: RelayEnd;
+  readonly end: RelayOutcome;
   readonly status: number;
   /** Stream events relayed to the caller. */
   readonly events: number;
   /** Whether the request reached its deadline. */
-  readonly timedOut: boolean;
+  readonly isTimedOut: boolean;
 }
 
 /** Observes one attempt to send a request to an upstream. */
-export abstract class Observation {
-  /** Called when the upstream answers, rejects the request or fails. */
-  abstract began(outcome: ExchangeOutcome): void;
+export abstract class AttemptObserver {
+  /** Called when the upstream responds, rejects the request or fails. */
+  abstract onOutcome(outcome: ExchangeOutcome): void;
 
-  /** Called when the answer was relayed or broke off. */
-  abstract ended(end: RelayResult): void;
+  /** Called when the response was relayed or broke off. */
+  abstract onRelayEnd(end: RelayResult): void;
 }
 
 /** Records nothing; used for services without versions. */
-export class NoOpAttemptObserver extends Observation {
-  override began(): void {}
+export class NoOpAttemptObserver extends AttemptObserver {
+  override onOutcome(): void {}
 
-  override ended(): void {}
+  override onRelayEnd(): void {}
 }
 
 /** Dependencies of a VersionAttemptObserver. */
@@ -54,36 +58,36 @@
   readonly promptTokens: number;
   /** Whether the upstream is cold; its times are then not compared. */
   readonly isCold: boolean;
-  readonly expectations: AnswerExpectations;
+  readonly baselines: LatencyBaselines;
   /** Tracker of the rollout that was active when the request was sent. */
   readonly tracker: ExposureTracker | undefined;
   readonly onStopped: (tracker: ExposureTracker) => void;
 }
 
 /** Reports the outcome and duration of one attempt to the tracker of a rollout. */
-export class VersionAttemptObserver extends Observation {
+export class VersionAttemptObserver extends AttemptObserver {
   private readonly startedAt: number;
-  private firstMs = 0;
+  private firstByteMs = 0;
 
   constructor(private readonly parts: VersionAttemptObserverParts) {
     super();
     this.startedAt = parts.clock.now();
   }
 
-  override began(outcome: ExchangeOutcome): void {
-    this.firstMs = this.elapsedMs;
+  override onOutcome(outcome: ExchangeOutcome): void {
+    this.firstByteMs = this.elapsedMs;
     switch (outcome.kind) {
       case 'answer':
         this.recordOtherRequest();
         return;
       case 'broken':
         this.recordOtherRequest();
-        if (outcome.cause !== CALLER_LEFT) {
-          this.recordAnswer(true, undefined);
+        if (outcome.cause !== CALLER_DISCONNECTED) {
+          this.recordResponse(true, undefined);
         }
         return;
       case 'rejected':
-        if (outcome.answer.statusCode !== MISDIRECTED) {
+        if (outcome.response.statusCode !== MISDIRECTED_REQUEST_STATUS) {
           this.recordOtherRequest();
         }
         return;
@@ -91,12 +95,12 @@
     }
   }
 
-  override ended({end, events, status, timedOut}: RelayResult): void {
-    const isError = status >= FIRST_ERROR_STATUS;
-    if (end === RELAY.broken || isError || timedOut) {
-      this.recordAnswer(true, undefined);
-    } else if (end === RELAY.whole) {
-      this.recordCompleteAnswer(events);
+  override onRelayEnd({end, events, status, isTimedOut}: RelayResult): void {
+    const isError = status >= MIN_SERVER_ERROR_STATUS;
+    if (end === RELAY_OUTCOME.incomplete || isError || isTimedOut) {
+      this.recordResponse(true, undefined);
+    } else if (end === RELAY_OUTCOME.complete) {
+      this.recordCompleteResponse(events);
     }
   }
 
@@ -104,20 +108,22 @@
     return this.parts.clock.now() - this.startedAt;
   }
 
-  private recordCompleteAnswer(events: number): void {
-    const {isCold, expectations, isStable, route, promptTokens} = this.parts;
-    const {elapsedMs: wholeMs, firstMs} = this;
-    const sample: AnswerSample = {
-      events,
-      firstMs,
-      tokens: promptTokens,
-      wholeMs,
+  private recordCompleteResponse(eventCount: number): void {
+    const {isCold, baselines, isStable, route, promptTokens} = this.parts;
+    const {elapsedMs: totalMs, firstByteMs} = this;
+    const sample: LatencySample = {
+      eventCount,
+      firstByteMs,
+      promptTokens,
+      totalMs,
     };
-    const latencyRatio = isCold ? undefined : expectations.ratio(route, sample);
+    const latencyRatio = isCold
+      ? undefined
+      : baselines.ratioToBaseline(route, sample);
     if (isStable && !isCold) {
-      expectations.learn(route, sample);
+      baselines.addSample(route, sample);
     }
-    this.recordAnswer(false, latencyRatio);
+    this.recordResponse(false, latencyRatio);
   }
 
   /** Counts requests to other versions; those to the target are counted when sent. */
@@ -128,13 +134,13 @@
     }
   }
 
-  private recordAnswer(
+  private recordResponse(
     failed: boolean,
     latencyRatio: number | undefined,
   ): void {
     const {tracker, route, onStopped, version} = this.parts;
-    const outcome: AnswerOutcome = {failed, latencyRatio, route, version};
-    if (tracker?.recordAnswer(outcome) === true) {
+    const outcome: ObservedResponse = {failed, latencyRatio, route, version};
+    if (tracker?.recordResponse(outcome) === true) {
       onStopped(tracker);
     }
   }
--- a/packages/puffinturn-edge/src/rollouts/Exposures.ts
+++ b/packages/puffinturn-edge/src/rollouts/ExposureController.ts
@@ -16,23 +16,23 @@
 import type {Clock, Random} from 'shared';
 import {Condition, hashOf, rendezvousWeight} from 'shared';
 
-import {AnswerExpectations} from '../connections/AnswerExpectations';
+import {LatencyBaselines} from '../connections/LatencyBaselines';
 import type {EdgeMetrics} from '../EdgeMetrics';
-import type {Plan} from '../requests/RequestPlan';
+import type {RequestPlan} from '../requests/RequestPlan';
 import type {EdgeUpstream} from '../upstreams/EdgeUpstream';
 import type {UpstreamPool} from '../upstreams/UpstreamPool';
-import {ExposureTracker} from './ExposureAccount';
-import type {Observation} from './Observation';
-import {NoOpAttemptObserver, VersionAttemptObserver} from './Observation';
-import type {VersionRoles} from './VersionGate';
+import type {AttemptObserver} from './AttemptObserver';
+import {NoOpAttemptObserver, VersionAttemptObserver} from './AttemptObserver';
+import {ExposureTracker} from './ExposureTracker';
+import type {VersionRoles} from './VersionRoles';
 import {
   primaryUpstreams,
   upstreamsOfVersion,
   versionRolesOf,
-} from './VersionGate';
+} from './VersionRoles';
 
-/** Dependencies of Exposures. */
-export interface ExposuresParts {
+/** Dependencies of ExposureController. */
+export interface ExposureControllerParts {
   readonly clock: Clock;
   readonly log: DecisionLog;
   readonly metrics: EdgeMetrics;
@@ -53,7 +53,7 @@
 interface ServiceState {
   readonly versions: ServiceVersions;
   readonly roles: VersionRoles;
-  readonly expectations: AnswerExpectations;
+  readonly baselines: LatencyBaselines;
   /** Defined while a rollout is exposing or shifting. */
   readonly tracker: ExposureTracker | undefined;
 }
@@ -64,13 +64,13 @@
  * Carries out the rollouts of all services on one edge. Selects the upstreams that a
  * request may use and exposes granted requests, that is, sends them to a new version.
  */
-export class Exposures {
+export class ExposureController {
   /** Notified when rollouts change or exposure stops. */
   readonly changed = new Condition();
   private current: Rollouts = NO_ROLLOUTS;
   private services = new Map<string, ServiceState>();
 
-  constructor(private readonly parts: ExposuresParts) {}
+  constructor(private readonly parts: ExposureControllerParts) {}
 
   /** The most recently adopted rollouts. */
   get rollouts(): Rollouts {
@@ -113,8 +113,8 @@
    * Returns groups of upstreams that a request may use, in order of preference. Only
    * the first attempt may go to a new version; retries use the primary version.
    */
-  groupsFor(
-    {route, service}: Plan,
+  candidateGroups(
+    {route, service}: RequestPlan,
     serving: readonly EdgeUpstream[],
     isFirstAttempt: boolean,
   ): readonly (readonly EdgeUpstream[])[] {
@@ -147,17 +147,17 @@
   }
 
   /** Counts a sent request and returns the observer of its outcome. */
-  sent(
-    {route, service}: Plan,
-    {cold: isCold, record}: EdgeUpstream,
+  recordSent(
+    {route, service}: RequestPlan,
+    {isCold, record}: EdgeUpstream,
     promptTokens: number,
-  ): Observation {
+  ): AttemptObserver {
     const state = this.services.get(service.name);
     const version = record.version ?? UNNAMED_VERSION;
     if (state === undefined) {
       return NO_OP_OBSERVER;
     }
-    const {tracker, expectations, roles, versions} = state;
+    const {tracker, baselines, roles, versions} = state;
     if (version === roles.fallback) {
       tracker?.recordFallbackRequest();
     }
@@ -169,7 +169,7 @@
       tracker,
       clock: this.parts.clock,
       isCold,
-      expectations,
+      baselines,
       isStable: version === versions.stableVersion,
       route: route.name,
       onStopped: (stopped) => this.logStop(service.name, stopped),
@@ -185,7 +185,7 @@
       if (tracker !== undefined) {
         const {pool} = this.parts;
         const target = upstreamsOfVersion(
-          pool.serving(service),
+          pool.servingUpstreams(service),
           tracker.targetVersion,
         );
         const hasShifted =
@@ -194,7 +194,10 @@
           tracker.updateShift();
         reports.push(
           tracker.report({
-            openAtFormer: pool.openBesides(service, tracker.targetVersion),
+            openAtFormer: pool.inFlightOnOtherVersions(
+              service,
+              tracker.targetVersion,
+            ),
             shifted: hasShifted,
           }),
         );
@@ -218,7 +221,7 @@
     const existing = this.services.get(versions.service);
     return {
       tracker: this.trackerFor(versions, existing?.tracker),
-      expectations: this.expectationsFor(versions, existing),
+      baselines: this.baselinesFor(versions, existing),
       roles: versionRolesOf(versions),
       versions,
     };
@@ -244,14 +247,14 @@
         );
   }
 
-  /** Discards learned answer times when the stable version changes. */
-  private expectationsFor(
+  /** Discards learned response times when the stable version changes. */
+  private baselinesFor(
     {stableVersion}: ServiceVersions,
     existing: ServiceState | undefined,
-  ): AnswerExpectations {
+  ): LatencyBaselines {
     return existing?.versions.stableVersion === stableVersion
-      ? existing.expectations
-      : new AnswerExpectations();
+      ? existing.baselines
+      : new LatencyBaselines();
   }
 
   private logStop(service: string, tracker: ExposureTracker): void {
@@ -278,7 +281,7 @@
     Math.round(upstreams.length * EXPOSED_UPSTREAM_FRACTION),
   );
   return upstreams
-    .filter(({paused}) => !paused)
+    .filter(({isPaused}) => !isPaused)
     .sort(
       (a, b) =>
         rendezvousWeight(b.hash, serviceHash) -
--- a/packages/puffinturn-edge/src/rollouts/ExposureExchange.ts
+++ b/packages/puffinturn-edge/src/rollouts/ExposureReporter.ts
@@ -11,8 +11,8 @@
 import type {Clock} from 'shared';
 import {sleepUnlessNotified, TaskGroup} from 'shared';
 
-import {askForGrants} from '../ControlQuestions';
-import type {Exposures} from './Exposures';
+import {requestGrants} from '../ControlRequests';
+import type {ExposureController} from './ExposureController';
 
 /** Interval between reports while a rollout is active, ms. */
 const REPORT_INTERVAL_MS = 250;
@@ -26,29 +26,29 @@
 /** Interval between checks for an active rollout without a notification, ms. */
 const IDLE_POLL_INTERVAL_MS = 60_000;
 
-/** Dependencies of an ExposureExchange. */
-export interface ExposureExchangeParts {
+/** Dependencies of an ExposureReporter. */
+export interface ExposureReporterParts {
   readonly box: string;
   /** Identifies one run of this edge process. */
-  readonly life: string;
+  readonly incarnationId: string;
   readonly clock: Clock;
   readonly link: Link;
   /** Control boxes in order of preference. */
-  readonly controls: () => readonly string[];
-  readonly exposures: Exposures;
+  readonly controlBoxes: () => readonly string[];
+  readonly exposureController: ExposureController;
 }
 
 /**
  * Reports exposure to the leader through a control box and applies the grants that it
  * returns. Counts are cumulative, so the next report makes up for a lost one.
  */
-export class ExposureExchange implements AsyncDisposable {
+export class ExposureReporter implements AsyncDisposable {
   private readonly tasks = new TaskGroup();
   /** The last acknowledged reports, as JSON. */
   private lastReported = '';
   private lastReportedAt = -Infinity;
 
-  constructor(private readonly parts: ExposureExchangeParts) {
+  constructor(private readonly parts: ExposureReporterParts) {
     this.tasks.start((signal) => this.run(signal));
   }
 
@@ -57,15 +57,15 @@
   }
 
   private async run(signal: AbortSignal): Promise<void> {
-    const {clock, exposures} = this.parts;
+    const {clock, exposureController} = this.parts;
     while (!signal.aborted) {
-      if (exposures.hasActiveRollout) {
+      if (exposureController.hasActiveRollout) {
         await this.sendReports();
         await clock.sleep(REPORT_INTERVAL_MS, signal);
       } else {
         await sleepUnlessNotified(
           clock,
-          exposures.changed,
+          exposureController.changed,
           IDLE_POLL_INTERVAL_MS,
           signal,
         );
@@ -74,24 +74,25 @@
   }
 
   private async sendReports(): Promise<void> {
-    const {box, clock, controls, exposures, life, link} = this.parts;
-    const reports = exposures.reports();
+    const {box, clock, controlBoxes, exposureController, incarnationId, link} =
+      this.parts;
+    const reports = exposureController.reports();
     const serialized = JSON.stringify(reports);
     const isDue =
       clock.now() - this.lastReportedAt >= UNCHANGED_REPORT_INTERVAL_MS;
     if (serialized === this.lastReported && !isDue) {
       return;
     }
-    const request: ExposureRequest = {box, life, reports};
-    const grants = await askForGrants<readonly ExposureGrant[]>(
+    const request: ExposureRequest = {box, life: incarnationId, reports};
+    const grants = await requestGrants<readonly ExposureGrant[]>(
       link,
-      controls(),
-      {answerMs: REPLY_TIMEOUT_MS, request, service: FLEET_SERVICE.exposure},
+      controlBoxes(),
+      {timeoutMs: REPLY_TIMEOUT_MS, request, service: FLEET_SERVICE.exposure},
     );
     if (grants !== undefined) {
       this.lastReported = serialized;
       this.lastReportedAt = clock.now();
-      exposures.applyGrants(grants);
+      exposureController.applyGrants(grants);
     }
   }
 }
--- a/packages/puffinturn-edge/src/rollouts/ExposureAccount.ts
+++ b/packages/puffinturn-edge/src/rollouts/ExposureTracker.ts
@@ -11,29 +11,29 @@
 
 /** Causes for which an edge stops sending requests to the new version. */
 export const EXPOSURE_STOP_CAUSE = {
-  /** Too many consecutive bad answers. */
-  consecutiveBadAnswers: 'run',
-  /** A much higher ratio of bad answers than the stable version has. */
-  badAnswerRatio: 'share',
+  /** Too many consecutive bad responses. */
+  consecutiveBadResponses: 'run',
+  /** A much higher ratio of bad responses than the stable version has. */
+  badResponseRatio: 'share',
 } as const;
 
 /** One of EXPOSURE_STOP_CAUSE. */
 export type ExposureStopCause =
   (typeof EXPOSURE_STOP_CAUSE)[keyof typeof EXPOSURE_STOP_CAUSE];
 
-/** Consecutive bad answers of the new version after which this edge stops. */
-const MAX_CONSECUTIVE_BAD_ANSWERS = 6;
+/** Consecutive bad responses of the new version after which this edge stops. */
+const MAX_CONSECUTIVE_BAD_RESPONSES = 6;
 
-/** Bad answers needed before their ratio counts, so that chance stops no good version. */
-const MIN_BAD_ANSWERS = 8;
+/** Bad responses needed before their ratio counts, so that chance stops no good version. */
+const MIN_BAD_RESPONSES = 8;
 
-/** Ratio of bad answers allowed on top of the scaled ratio of the stable version. */
+/** Ratio of bad responses allowed on top of the scaled ratio of the stable version. */
 const BAD_RATIO_MARGIN = 0.3;
 
-/** Factor applied to the bad answer ratio of the stable version. */
+/** Factor applied to the bad response ratio of the stable version. */
 const STABLE_BAD_RATIO_FACTOR = 3;
 
-/** Multiple of the expected time above which an answer counts as bad. */
+/** Multiple of the expected time above which a response counts as bad. */
 const SLOW_LATENCY_RATIO = 4;
 
 /**
@@ -57,18 +57,18 @@
 /** Maximum credit that a route accumulates, requests. */
 const MAX_ROUTE_CREDIT = 2;
 
-/** Outcome of one answer. */
-export interface AnswerOutcome {
+/** Outcome of one response. */
+export interface ObservedResponse {
   readonly route: string;
   readonly version: string;
-  /** Whether the upstream returned an error, or the answer broke off or was lost. */
+  /** Whether the upstream returned an error, or the response broke off or was lost. */
   readonly failed: boolean;
   /** Measured time divided by the expected time; undefined if none is known. */
   readonly latencyRatio: number | undefined;
 }
 
-/** Counts the answers of one version for one route. */
-class AnswerTally {
+/** Counts the responses of one version for one route. */
+class ResponseTally {
   answers = 0;
   failures = 0;
   readonly times = [...TIME_RATIO_BOUNDS, Infinity].map(() => 0);
@@ -78,7 +78,7 @@
     readonly version: string,
   ) {}
 
-  add({failed, latencyRatio}: AnswerOutcome): void {
+  add({failed, latencyRatio}: ObservedResponse): void {
     this.answers += 1;
     this.failures += failed ? 1 : 0;
     if (!failed && latencyRatio !== undefined) {
@@ -91,19 +91,19 @@
   }
 }
 
-/** Counts good and bad answers of one version. */
-class AnswerQuality {
-  answers = 0;
-  badAnswers = 0;
+/** Counts good and bad responses of one version. */
+class ResponseQuality {
+  responses = 0;
+  badResponses = 0;
   consecutiveBad = 0;
 
   get badRatio(): number {
-    return this.answers === 0 ? 0 : this.badAnswers / this.answers;
+    return this.responses === 0 ? 0 : this.badResponses / this.responses;
   }
 
   add(isBad: boolean): void {
-    this.answers += 1;
-    this.badAnswers += isBad ? 1 : 0;
+    this.responses += 1;
+    this.badResponses += isBad ? 1 : 0;
     this.consecutiveBad = isBad ? this.consecutiveBad + 1 : 0;
   }
 }
@@ -143,7 +143,7 @@
 
 /**
  * Tracks one rollout on this edge: how many requests may still go to the new version,
- * which ones, and how both versions answer. Counts start with the rollout and never
+ * which ones, and how both versions respond. Counts start with the rollout and never
  * decrease, so that late or repeated reports are harmless.
  */
 export class ExposureTracker {
@@ -159,9 +159,9 @@
   private isShiftComplete = false;
   private stoppedUntil = -Infinity;
   private readonly routes = new Map<string, RouteExposure>();
-  private readonly tallies = new Map<string, AnswerTally>();
-  private readonly targetQuality = new AnswerQuality();
-  private readonly stableQuality = new AnswerQuality();
+  private readonly tallies = new Map<string, ResponseTally>();
+  private readonly targetQuality = new ResponseQuality();
+  private readonly stableQuality = new ResponseQuality();
   private readonly arrivalWindow: ArrivalWindow;
 
   constructor(
@@ -198,7 +198,7 @@
   /**
    * Counts an arriving request and returns whether it should go to the new version.
    * Spreads the remaining grant over the expected requests. Exposes rare routes more
-   * often, so that every route yields enough answers to compare.
+   * often, so that every route yields enough responses to compare.
    */
   tryExpose(route: string): boolean {
     const exposure = this.exposureOf(route);
@@ -256,13 +256,13 @@
     this.requests += 1;
   }
 
-  /** Records an answer; returns whether it makes this edge stop exposing requests. */
-  recordAnswer(answer: AnswerOutcome): boolean {
-    const {failed, latencyRatio = 0, route, version} = answer;
+  /** Records a response; returns whether it makes this edge stop exposing requests. */
+  recordResponse(response: ObservedResponse): boolean {
+    const {failed, latencyRatio = 0, route, version} = response;
     const key = tallyKey(route, version);
-    const tally = this.tallies.get(key) ?? new AnswerTally(route, version);
+    const tally = this.tallies.get(key) ?? new ResponseTally(route, version);
     this.tallies.set(key, tally);
-    tally.add(answer);
+    tally.add(response);
     const isTarget = version === this.targetVersion;
     const quality = isTarget ? this.targetQuality : this.stableQuality;
     quality.add(failed || latencyRatio > SLOW_LATENCY_RATIO);
@@ -308,15 +308,15 @@
   }
 
   private findStopCause(): ExposureStopCause | undefined {
-    const {consecutiveBad, badAnswers, badRatio} = this.targetQuality;
-    if (consecutiveBad >= MAX_CONSECUTIVE_BAD_ANSWERS) {
-      return EXPOSURE_STOP_CAUSE.consecutiveBadAnswers;
+    const {consecutiveBad, badResponses, badRatio} = this.targetQuality;
+    if (consecutiveBad >= MAX_CONSECUTIVE_BAD_RESPONSES) {
+      return EXPOSURE_STOP_CAUSE.consecutiveBadResponses;
     }
     const isFarWorse =
       badRatio >
       BAD_RATIO_MARGIN + STABLE_BAD_RATIO_FACTOR * this.stableQuality.badRatio;
-    return badAnswers >= MIN_BAD_ANSWERS && isFarWorse
-      ? EXPOSURE_STOP_CAUSE.badAnswerRatio
+    return badResponses >= MIN_BAD_RESPONSES && isFarWorse
+      ? EXPOSURE_STOP_CAUSE.badResponseRatio
       : undefined;
   }
 
--- a/packages/puffinturn-edge/src/tokens/Allowances.ts
+++ b/packages/puffinturn-edge/src/tokens/Allowances.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import type {DecisionLog, TeamTokens, TokenFacts} from 'puffinturn-decisions';
+import type {DecisionLog, TeamTokens, TokenState} from 'puffinturn-decisions';
 import type {
   BorrowReply,
   BorrowRequest,
@@ -19,42 +19,43 @@
 import {sleepUnlessNotified, TaskGroup} from 'shared';
 
 import {
-  ALLOWANCE_SECONDS,
-  ALLOWANCE_WAIT_MS,
-  HAND_ON_AFTER_MS,
+  HOLDER_TARGET_S,
+  MAX_TOKEN_WAIT_MS,
+  SURPLUS_BATCH_DELAY_MS,
 } from '../EdgeConstants';
 import {CoreExchange} from './CoreExchange';
 import type {TokenAccount} from './TokenAccount';
-import {TokenAccounts} from './TokenBook';
+import {TokenAccounts} from './TokenAccounts';
 import {TokenGifts} from './TokenGifts';
 import {TokenHolders} from './TokenHolders';
 import type {BorrowResult} from './TokenLoans';
 import {TokenLoans} from './TokenLoans';
 
 /** Outcomes of a reservation. */
-export const RESERVE = {
+export const RESERVE_OUTCOME = {
   /** The tokens are reserved. */
-  held: 'held',
+  reserved: 'held',
   /** The remaining budget is too small for the request. */
   exhausted: 'exhausted',
   /** Too few tokens were found, and not all boxes that may hold some answered. */
   unavailable: 'unavailable',
 } as const;
 
-/** A value of {@link RESERVE}. */
-export type ReserveOutcome = (typeof RESERVE)[keyof typeof RESERVE];
+/** A value of {@link RESERVE_OUTCOME}. */
+export type ReserveOutcome =
+  (typeof RESERVE_OUTCOME)[keyof typeof RESERVE_OUTCOME];
 
 /** Dependencies of {@link Allowances}. */
 export interface AllowancesParts {
   readonly box: string;
   readonly hall: string;
   /** Identifies this run of the edge process; a restart changes it. */
-  readonly life: string;
+  readonly incarnationId: string;
   readonly clock: Clock;
   readonly link: Link;
   readonly log: DecisionLog;
   /** Control boxes in the order in which they are asked. */
-  readonly controls: () => readonly string[];
+  readonly controlBoxes: () => readonly string[];
   /** The other edges; returns a new array after each change. */
   readonly peers: () => readonly BoxRecord[];
   /** The region of each hall; by default all halls are in one region. */
@@ -116,7 +117,7 @@
       accounts: this.accounts,
       clock,
       holders: this.holders,
-      incarnationId: parts.life,
+      incarnationId: parts.incarnationId,
       link,
     };
     this.core = new CoreExchange({...parts, ...shared});
@@ -149,7 +150,7 @@
   }
 
   /** State of a team's tokens, for the log line of a rejected request. */
-  tokenStateOf(team: string): TokenFacts {
+  tokenStateOf(team: string): TokenState {
     const {held, coreRemaining, coreRemainingAt, reserved} =
       this.accounts.getOrCreate(team);
     const age =
@@ -226,13 +227,13 @@
     const {account, tokens} = claim;
     const {clock} = this.parts;
     if (this.tryClaim(claim)) {
-      return RESERVE.held;
+      return RESERVE_OUTCOME.reserved;
     }
     if (account.isKnownExhausted(tokens, clock.now())) {
-      return RESERVE.exhausted;
+      return RESERVE_OUTCOME.exhausted;
     }
     const outcome = await acquire();
-    if (outcome === RESERVE.exhausted) {
+    if (outcome === RESERVE_OUTCOME.exhausted) {
       account.markExhausted(tokens, clock.now());
     }
     return outcome;
@@ -252,12 +253,12 @@
         withheldFraction,
       });
       if (this.tryClaim(claim)) {
-        return RESERVE.held;
+        return RESERVE_OUTCOME.reserved;
       }
       if (reply !== undefined && reply.outcome !== LOAN.lent) {
         return reply.outcome === LOAN.exhausted
-          ? RESERVE.exhausted
-          : RESERVE.unavailable;
+          ? RESERVE_OUTCOME.exhausted
+          : RESERVE_OUTCOME.unavailable;
       }
     }
     return this.acquireFromCoreOrLenders(claim);
@@ -289,8 +290,7 @@
     ) {
       return 0;
     }
-    const elapsedFraction =
-      this.core.unreachableMs / (ALLOWANCE_SECONDS * 1_000);
+    const elapsedFraction = this.core.unreachableMs / (HOLDER_TARGET_S * 1_000);
     return withheldFraction * Math.max(0, 1 - elapsedFraction);
   }
 
@@ -310,7 +310,7 @@
       withheldFraction,
     );
     const isClaimed = borrowed >= tokens && tryClaim(0);
-    return isClaimed ? RESERVE.held : RESERVE.unavailable;
+    return isClaimed ? RESERVE_OUTCOME.reserved : RESERVE_OUTCOME.unavailable;
   }
 
   /** Waits for a grant of the core and borrows from other edges. */
@@ -334,7 +334,7 @@
         () => isWaiting,
       );
     const startSequence = this.core.lastSequence;
-    const deadline = clock.now() + ALLOWANCE_WAIT_MS;
+    const deadline = clock.now() + MAX_TOKEN_WAIT_MS;
     this.accounts.refillNeeded.notify();
     let borrowing = this.core.isCoreReachable ? undefined : borrow();
     while (clock.now() < deadline && !this.tasks.ended) {
@@ -345,7 +345,7 @@
         this.tasks.signal,
       );
       if (this.tryClaim(claim)) {
-        return RESERVE.held;
+        return RESERVE_OUTCOME.reserved;
       }
       const hasAnswered = this.core.hasAnsweredSince(startSequence);
       if (hasAnswered && this.exceedsCoreRemaining(account, tokens)) {
@@ -356,13 +356,15 @@
     const hasCoreAnswered = this.core.hasAnsweredSince(startSequence);
     const {allAnswered} = await (borrowing ?? borrow());
     if (this.tryClaim(claim)) {
-      return RESERVE.held;
+      return RESERVE_OUTCOME.reserved;
     }
     const isExhausted =
       hasCoreAnswered &&
       allAnswered &&
       this.exceedsCoreRemaining(account, tokens);
-    return isExhausted ? RESERVE.exhausted : RESERVE.unavailable;
+    return isExhausted
+      ? RESERVE_OUTCOME.exhausted
+      : RESERVE_OUTCOME.unavailable;
   }
 
   /** Whether the missing tokens exceed what the core can still grant. */
@@ -406,7 +408,7 @@
     );
     return {
       given,
-      outcome: outcome === RESERVE.held ? LOAN.lent : LOAN[outcome],
+      outcome: outcome === RESERVE_OUTCOME.reserved ? LOAN.lent : LOAN[outcome],
     };
   }
 
@@ -420,7 +422,7 @@
         SURPLUS_CHECK_INTERVAL_MS,
         signal,
       );
-      await clock.sleep(HAND_ON_AFTER_MS, signal);
+      await clock.sleep(SURPLUS_BATCH_DELAY_MS, signal);
       if (!signal.aborted && !this.isClosing) {
         await this.gifts.giveSurplus();
       }
--- a/packages/puffinturn-edge/src/tokens/CoreExchange.ts
+++ b/packages/puffinturn-edge/src/tokens/CoreExchange.ts
@@ -15,17 +15,17 @@
 import type {Clock} from 'shared';
 import {sleepUnlessNotified} from 'shared';
 
-import {askForGrants} from '../ControlQuestions';
+import {requestGrants} from '../ControlRequests';
 import {
-  ALLOWANCE_TICK_MS,
-  EXCHANGE_AGAIN_MS,
-  EXCHANGE_MS,
-  HOLD_AFTER_MS,
-  REFILL_BELOW,
-  RETURN_ABOVE,
+  ALLOWANCE_CHECK_INTERVAL_MS,
+  EXCHANGE_RETRY_DELAY_MS,
+  EXCHANGE_TIMEOUT_MS,
+  HOLDER_START_DELAY_MS,
+  REFILL_TARGET_RATIO,
+  RETURN_TARGET_RATIO,
 } from '../EdgeConstants';
 import type {TokenAccount} from './TokenAccount';
-import type {TokenAccounts} from './TokenBook';
+import type {TokenAccounts} from './TokenAccounts';
 import type {TokenHolders} from './TokenHolders';
 
 /** A holder reports its spending above this fraction of its target balance. */
@@ -45,7 +45,7 @@
   readonly clock: Clock;
   readonly link: Link;
   /** Control boxes in the order in which they are asked. */
-  readonly controls: () => readonly string[];
+  readonly controlBoxes: () => readonly string[];
   readonly accounts: TokenAccounts;
   readonly holders: TokenHolders;
 }
@@ -120,7 +120,7 @@
         await sleepUnlessNotified(
           clock,
           accounts.refillNeeded,
-          ALLOWANCE_TICK_MS,
+          ALLOWANCE_CHECK_INTERVAL_MS,
           signal,
         );
       }
@@ -172,9 +172,12 @@
     const isCoreEmpty =
       account.coreRemaining !== undefined && account.coreRemaining <= 0;
     // After a start the list of edges is incomplete, so the holders still change.
-    const isSettled = clock.now() - this.startedAt > HOLD_AFTER_MS;
+    const isSettled = clock.now() - this.startedAt > HOLDER_START_DELAY_MS;
     const shouldRefill =
-      isHolder && isSettled && free < target * REFILL_BELOW && !isCoreEmpty;
+      isHolder &&
+      isSettled &&
+      free < target * REFILL_TARGET_RATIO &&
+      !isCoreEmpty;
     if (shortfall > 0 || shouldRefill) {
       const missing = isHolder ? Math.ceil(target - free) : 0;
       return this.createAsk(
@@ -185,7 +188,7 @@
       );
     }
     const surplus = Math.floor(free - target);
-    const isAboveThreshold = free > target * RETURN_ABOVE;
+    const isAboveThreshold = free > target * RETURN_TARGET_RATIO;
     if (
       isHolder &&
       isAboveThreshold &&
@@ -239,14 +242,14 @@
         this.applyGrants(grants);
         return;
       }
-      await this.parts.clock.sleep(EXCHANGE_AGAIN_MS, signal);
+      await this.parts.clock.sleep(EXCHANGE_RETRY_DELAY_MS, signal);
     }
   }
 
   private async exchange(
     asks: readonly AllowanceAsk[],
   ): Promise<readonly AllowanceGrant[] | undefined> {
-    const {box, controls, incarnationId, link} = this.parts;
+    const {box, controlBoxes, incarnationId, link} = this.parts;
     const {sequence} = this;
     const request: AllowanceRequest = {
       asks,
@@ -254,9 +257,9 @@
       holder: incarnationId,
       sequence,
     };
-    return askForGrants<readonly AllowanceGrant[]>(link, controls(), {
-      answerMs: EXCHANGE_MS,
-      onSilent: () => (this.isReachable = false),
+    return requestGrants<readonly AllowanceGrant[]>(link, controlBoxes(), {
+      timeoutMs: EXCHANGE_TIMEOUT_MS,
+      onUnanswered: () => (this.isReachable = false),
       request,
       service: FLEET_SERVICE.allowance,
     });
--- a/packages/puffinturn-edge/src/tokens/RequestTokens.ts
+++ b/packages/puffinturn-edge/src/tokens/RequestTokens.ts
@@ -5,18 +5,18 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import type {TokenFacts} from 'puffinturn-decisions';
+import type {TokenState} from 'puffinturn-decisions';
 
-import type {Plan} from '../requests/RequestPlan';
+import type {RequestPlan} from '../requests/RequestPlan';
 import type {Allowances, ReserveOutcome} from './Allowances';
-import {RESERVE} from './Allowances';
+import {RESERVE_OUTCOME} from './Allowances';
 
 /** What a request is charged for at its end. */
 export interface RequestCost {
   /** Whether any part of an upstream's response was sent to the caller. */
-  readonly passedOn: boolean;
-  /** Whether the whole response was sent to the caller. */
-  readonly whole: boolean;
+  readonly hasStarted: boolean;
+  /** Whether the complete response was sent to the caller. */
+  readonly isComplete: boolean;
   /** Events sent to the caller. */
   readonly events: number;
 }
@@ -34,13 +34,13 @@
 
   constructor(
     private readonly allowances: Allowances,
-    private readonly plan: Plan,
+    private readonly plan: RequestPlan,
     /** Whether it belongs to the lowest priority class that uses tokens. */
     private readonly isLeastUrgent = false,
   ) {}
 
   /** Token state behind a refused reservation; undefined if none was refused. */
-  get facts(): TokenFacts | undefined {
+  get refusalState(): TokenState | undefined {
     const {team} = this.plan;
     return this.isRefused && team !== undefined
       ? this.allowances.tokenStateOf(team.name)
@@ -49,19 +49,20 @@
 
   /** Reserves the maximum cost of the request if it is charged to a budget. */
   async reserve(): Promise<ReserveOutcome> {
-    const {service, team, tokens} = this.plan;
+    const {service, team, tokenCounts} = this.plan;
     const isMetered =
       service.engine !== undefined && team?.prepaidTokens !== undefined;
-    if (!isMetered || tokens === undefined) {
-      return RESERVE.held;
+    if (!isMetered || tokenCounts === undefined) {
+      return RESERVE_OUTCOME.reserved;
     }
-    const maxTokens = tokens.prompt + tokens.most;
+    const maxTokens =
+      tokenCounts.promptTokens + tokenCounts.maxCompletionTokens;
     const outcome = await this.allowances.reserve(
       team.name,
       maxTokens,
       this.isLeastUrgent,
     );
-    if (outcome === RESERVE.held) {
+    if (outcome === RESERVE_OUTCOME.reserved) {
       this.reservedTokens = maxTokens;
     } else {
       this.isRefused = true;
@@ -84,13 +85,17 @@
    * The cost in tokens. A request whose caller received nothing costs nothing;
    * otherwise lost responses would exhaust the budget early.
    */
-  private computeCharge({events, passedOn, whole}: RequestCost): number {
-    const {service, tokens} = this.plan;
-    if (!passedOn || tokens === undefined) {
+  private computeCharge({events, hasStarted, isComplete}: RequestCost): number {
+    const {service, tokenCounts} = this.plan;
+    if (!hasStarted || tokenCounts === undefined) {
       return 0;
     }
-    const producedEvents = events + (whole ? 0 : UNDELIVERED_EVENTS_CHARGED);
+    const producedEvents =
+      events + (isComplete ? 0 : UNDELIVERED_EVENTS_CHARGED);
     const outputTokens = producedEvents * (service.engine?.tokensPerEvent ?? 1);
-    return tokens.prompt + Math.min(tokens.most, outputTokens);
+    return (
+      tokenCounts.promptTokens +
+      Math.min(tokenCounts.maxCompletionTokens, outputTokens)
+    );
   }
 }
--- a/packages/puffinturn-edge/src/tokens/TokenAccount.ts
+++ b/packages/puffinturn-edge/src/tokens/TokenAccount.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import {DEMAND_WINDOW_MS, EXHAUSTED_MS} from '../EdgeConstants';
+import {DEMAND_TIME_CONSTANT_MS, EXHAUSTED_CACHE_MS} from '../EdgeConstants';
 
 /** Lower bound of the measured fraction of the demand window. */
 const MIN_MEASURED_FRACTION = 0.3;
@@ -120,7 +120,10 @@
     this.held += amount;
     this.unreportedLent -= amount;
     this.recordDemand(
-      -Math.min(amount, this.demandPerSecond * (DEMAND_WINDOW_MS / 1_000)),
+      -Math.min(
+        amount,
+        this.demandPerSecond * (DEMAND_TIME_CONSTANT_MS / 1_000),
+      ),
       now,
     );
   }
@@ -133,19 +136,19 @@
 
   /** Applies the exponential decay of the demand. */
   decayDemand(elapsedMs: number): void {
-    this.demandPerSecond *= Math.exp(-elapsedMs / DEMAND_WINDOW_MS);
+    this.demandPerSecond *= Math.exp(-elapsedMs / DEMAND_TIME_CONSTANT_MS);
   }
 
   /** Demand in tokens per second, corrected for a short measuring time. */
   demandRate(now: number): number {
     const measuredMs = now - this.firstDemandAt;
-    const fraction = 1 - Math.exp(-measuredMs / DEMAND_WINDOW_MS);
+    const fraction = 1 - Math.exp(-measuredMs / DEMAND_TIME_CONSTANT_MS);
     return this.demandPerSecond / Math.max(MIN_MEASURED_FRACTION, fraction);
   }
 
   /** Records that the core and all edges have too few tokens for a request. */
   markExhausted(tokens: number, now: number): void {
-    this.exhaustedUntil = now + EXHAUSTED_MS;
+    this.exhaustedUntil = now + EXHAUSTED_CACHE_MS;
     this.minExhaustedTokens = tokens;
   }
 
@@ -156,7 +159,7 @@
 
   private recordDemand(amount: number, now: number): void {
     this.firstDemandAt = Math.min(this.firstDemandAt, now);
-    const change = (amount * 1_000) / DEMAND_WINDOW_MS;
+    const change = (amount * 1_000) / DEMAND_TIME_CONSTANT_MS;
     this.demandPerSecond = Math.max(0, this.demandPerSecond + change);
   }
 }
--- a/packages/puffinturn-edge/src/tokens/TokenBook.ts
+++ b/packages/puffinturn-edge/src/tokens/TokenAccounts.ts
@@ -10,10 +10,10 @@
 import {Condition} from 'shared';
 
 import {
-  ALLOWANCE_FLOOR_SHARE,
-  ALLOWANCE_SECONDS,
-  FLOAT_SECONDS,
-  REFILL_BELOW,
+  HOLDER_TARGET_S,
+  MIN_TARGET_BUDGET_FRACTION,
+  NON_HOLDER_TARGET_S,
+  REFILL_TARGET_RATIO,
 } from '../EdgeConstants';
 import {TokenAccount} from './TokenAccount';
 import type {TokenHolders} from './TokenHolders';
@@ -105,13 +105,13 @@
   targetBalance(account: TokenAccount): number {
     const demandRate = account.demandRate(this.clock.now());
     if (!this.holders.isHolder(account.team)) {
-      return Math.ceil(demandRate * FLOAT_SECONDS);
+      return Math.ceil(demandRate * NON_HOLDER_TARGET_S);
     }
     const {hallCount, ownHallShare} = this.holders;
-    const minimum = account.prepaid * ALLOWANCE_FLOOR_SHARE * ownHallShare;
+    const minimum = account.prepaid * MIN_TARGET_BUDGET_FRACTION * ownHallShare;
     // Halls can borrow from each other, so they share the largest request.
     const largest = account.largestRequest / Math.max(1, hallCount);
-    const demand = demandRate * ALLOWANCE_SECONDS;
+    const demand = demandRate * HOLDER_TARGET_S;
     const target = Math.max(minimum, largest, demand);
     return Math.ceil(Math.min(target, account.maxHeld));
   }
@@ -136,7 +136,7 @@
   }
 
   private notifyIfLow(account: TokenAccount): void {
-    if (account.free < this.targetBalance(account) * REFILL_BELOW) {
+    if (account.free < this.targetBalance(account) * REFILL_TARGET_RATIO) {
       this.refillNeeded.notify();
     }
   }
--- a/packages/puffinturn-edge/src/tokens/TokenGifts.ts
+++ b/packages/puffinturn-edge/src/tokens/TokenGifts.ts
@@ -11,9 +11,9 @@
 import type {Link} from 'puffinturn-wire';
 import type {Clock} from 'shared';
 
-import {BORROW_MS} from '../EdgeConstants';
+import {BORROW_TIMEOUT_MS} from '../EdgeConstants';
 import type {TokenAccount} from './TokenAccount';
-import type {TokenAccounts} from './TokenBook';
+import type {TokenAccounts} from './TokenAccounts';
 import type {TokenHolders} from './TokenHolders';
 
 /** Smallest surplus that is given to a holder, tokens. */
@@ -199,7 +199,7 @@
         box,
         FLEET_SERVICE.give,
         request,
-        BORROW_MS,
+        BORROW_TIMEOUT_MS,
       );
       if (answer.isOk()) {
         return offerResult(request, answer.value as GiveReply, mayHaveArrived);
--- a/packages/puffinturn-edge/src/tokens/TokenLoans.ts
+++ b/packages/puffinturn-edge/src/tokens/TokenLoans.ts
@@ -12,9 +12,9 @@
 import type {Clock} from 'shared';
 import {TaskGroup} from 'shared';
 
-import {BORROW_MS, GATHER_MS} from '../EdgeConstants';
+import {BORROW_TIMEOUT_MS, HOLDER_BORROW_TIMEOUT_MS} from '../EdgeConstants';
 import type {TokenAccount} from './TokenAccount';
-import type {TokenAccounts} from './TokenBook';
+import type {TokenAccounts} from './TokenAccounts';
 import type {TokenHolders} from './TokenHolders';
 
 /** Edges that are asked for tokens at the same time. */
@@ -99,7 +99,7 @@
       team: account.team,
       want: need + accounts.targetBalance(account),
     };
-    const timeoutMs = gather ? GATHER_MS : BORROW_MS;
+    const timeoutMs = gather ? HOLDER_BORROW_TIMEOUT_MS : BORROW_TIMEOUT_MS;
     const answer = await link.call(
       lender,
       FLEET_SERVICE.borrow,
@@ -202,7 +202,7 @@
         lender,
         FLEET_SERVICE.borrow,
         {...request, outcomeOnly: true} satisfies BorrowRequest,
-        GATHER_MS,
+        HOLDER_BORROW_TIMEOUT_MS,
       );
       if (answer.isOk()) {
         this.creditLoan(lender, account, answer.value as BorrowReply);
--- a/packages/puffinturn-edge/src/upstreams/KeptPrefixes.ts
+++ b/packages/puffinturn-edge/src/upstreams/CachedPrefixes.ts
@@ -8,7 +8,7 @@
 /** Prompt prefixes that an upstream is assumed to have cached. */
 import {LRUCache} from 'lru-cache';
 
-import type {PromptPart} from '../callers/CallerDialect';
+import type {PromptPart} from '../callers/CallerProtocol';
 
 /** Maximum number of prefixes tracked per upstream. */
 const MAX_PREFIXES = 512;
@@ -32,14 +32,14 @@
   private readonly cachedKeys = new LRUCache<string, true>({max: MAX_PREFIXES});
 
   /** Records that the upstream has processed a prompt. */
-  sent(parts: readonly PromptPart[]): void {
+  recordPrompt(parts: readonly PromptPart[]): void {
     for (const {key} of prefixesOf(parts)) {
       this.cachedKeys.set(key, true);
     }
   }
 
   /** Number of tokens at the start of a prompt that are assumed to be cached. */
-  keptOf(parts: readonly PromptPart[]): number {
+  cachedTokens(parts: readonly PromptPart[]): number {
     let cachedTokens = 0;
     for (const {key, tokens} of prefixesOf(parts)) {
       if (!this.cachedKeys.has(key)) {
--- a/packages/puffinturn-edge/src/upstreams/EdgeUpstream.ts
+++ b/packages/puffinturn-edge/src/upstreams/EdgeUpstream.ts
@@ -15,14 +15,14 @@
 
 import {ConnectionPool} from '../connections/ConnectionPool';
 import {
-  BROKEN_BEFORE_PAUSE,
-  FIRST_PAUSE_MS,
-  FULL_PAUSE_MS,
-  LONGEST_PAUSE_MS,
+  FAILURES_BEFORE_BACKOFF,
+  INITIAL_BACKOFF_MS,
+  MAX_BACKOFF_MS,
+  NO_CAPACITY_BACKOFF_MS,
 } from '../EdgeConstants';
-import {ResponseTime} from './AnswerTime';
-import {CachedPrefixes} from './KeptPrefixes';
-import {PrefillSpeed} from './ReadingSpeed';
+import {CachedPrefixes} from './CachedPrefixes';
+import {PrefillSpeed} from './PrefillSpeed';
+import {ResponseTime} from './ResponseTime';
 
 /** Weight of one response in the error rate, from 0 to 1. */
 const ERROR_WEIGHT = 0.08;
@@ -41,11 +41,11 @@
   /** Hash of the id, for rendezvous hashing. */
   readonly hash: number;
   /** Prompt prefixes that the upstream is assumed to have cached. */
-  readonly prefixes = new CachedPrefixes();
+  readonly cachedPrefixes = new CachedPrefixes();
   /** Observed prefill speed, which includes the load of other callers. */
-  readonly speed: PrefillSpeed;
+  readonly prefillSpeed: PrefillSpeed;
   /** Observed response time, which includes the load of other callers. */
-  readonly answerTime: ResponseTime;
+  readonly responseTime: ResponseTime;
   /** The request rate limit that the upstream states. */
   readonly limits: LimitStatements;
   readonly host: string;
@@ -55,7 +55,7 @@
    */
   errorRate = 0;
   /** Whether a new incarnation replaced this one without a drain being announced. */
-  supplanted = false;
+  isSuperseded = false;
   private consecutiveFailures = 0;
   private hasAnnouncedDrain = false;
   private backoffUntil = -Infinity;
@@ -72,8 +72,8 @@
     private readonly onStopServing: () => void = () => undefined,
   ) {
     this.hash = hashOf(record.id);
-    this.answerTime = new ResponseTime(clock);
-    this.speed = new PrefillSpeed(clock);
+    this.responseTime = new ResponseTime(clock);
+    this.prefillSpeed = new PrefillSpeed(clock);
     this.limits = new LimitStatements(clock);
     const separator = record.address.lastIndexOf(':');
     this.host = record.address.slice(0, separator);
@@ -91,39 +91,39 @@
   }
 
   /** Whether the upstream accepts new requests. */
-  get serves(): boolean {
-    return !this.leaves && !this.wasReplaced;
+  get isServing(): boolean {
+    return !this.isLeaving && !this.wasReplaced;
   }
 
   /** Whether the upstream is warming up and takes only a limited request rate. */
-  get cold(): boolean {
+  get isCold(): boolean {
     return this.clock.now() < this.coldUntil;
   }
 
   /** Extends the warm-up to at least the given time of the monotonic clock, ms. */
-  turnsCold(until: number): void {
+  markCold(until: number): void {
     this.coldUntil = Math.max(this.coldUntil, until);
   }
 
   /** Whether the upstream is temporarily excluded from load balancing. */
-  get paused(): boolean {
+  get isPaused(): boolean {
     return this.clock.now() < this.pausedUntil;
   }
 
   /** Whether the last requests failed several times in a row. */
-  get doubtful(): boolean {
-    return this.consecutiveFailures >= BROKEN_BEFORE_PAUSE;
+  get isFailing(): boolean {
+    return this.consecutiveFailures >= FAILURES_BEFORE_BACKOFF;
   }
 
   /** Records a complete error response, which may be caused by the request itself. */
-  answeredError(): void {
+  recordErrorResponse(): void {
     this.errorRate += (1 - this.errorRate) * ERROR_WEIGHT;
   }
 
   /** Records a complete successful response and ends any pause. */
-  succeeded(): void {
+  recordSuccess(): void {
     this.errorRate -= this.errorRate * ERROR_WEIGHT;
-    if (this.consecutiveFailures >= BROKEN_BEFORE_PAUSE) {
+    if (this.consecutiveFailures >= FAILURES_BEFORE_BACKOFF) {
       this.logHealth(true, 'answered');
     }
     this.consecutiveFailures = 0;
@@ -131,9 +131,9 @@
   }
 
   /** Records a failed connection attempt and pauses the upstream. */
-  unreachable(): void {
+  recordConnectFailure(): void {
     this.consecutiveFailures = Math.max(
-      BROKEN_BEFORE_PAUSE,
+      FAILURES_BEFORE_BACKOFF,
       this.consecutiveFailures + 1,
     );
     this.pause('unreachable');
@@ -143,9 +143,9 @@
    * Records a truncated, corrupt or error response; pauses the upstream after several
    * in a row.
    */
-  broke(cause: string): void {
+  recordFailure(cause: string): void {
     this.consecutiveFailures += 1;
-    if (this.consecutiveFailures >= BROKEN_BEFORE_PAUSE) {
+    if (this.consecutiveFailures >= FAILURES_BEFORE_BACKOFF) {
       this.pause(cause);
     }
   }
@@ -154,16 +154,16 @@
    * Records a request that was rejected for lack of capacity, and pauses the upstream
    * briefly.
    */
-  full(): void {
-    this.answerTime.recordFull();
+  recordFull(): void {
+    this.responseTime.recordFull();
     this.pausedUntil = Math.max(
       this.pausedUntil,
-      this.clock.now() + FULL_PAUSE_MS,
+      this.clock.now() + NO_CAPACITY_BACKOFF_MS,
     );
   }
 
   /** Remaining back-off that the upstream requested, ms; 0 if there is none. */
-  get restLeftMs(): number {
+  get remainingBackoffMs(): number {
     return Math.max(0, this.backoffUntil - this.clock.now());
   }
 
@@ -172,8 +172,8 @@
    * ended by a successful request, and it holds even if no other upstream is left.
    * Returns false if a back-off was already in effect.
    */
-  rests(durationMs: number): boolean {
-    const isStart = this.restLeftMs === 0;
+  startBackoff(durationMs: number): boolean {
+    const isStart = this.remainingBackoffMs === 0;
     this.backoffUntil = Math.max(
       this.backoffUntil,
       this.clock.now() + durationMs,
@@ -184,10 +184,10 @@
   /**
    * Records that a response announced the drain of the upstream. A later heartbeat
    * doesn't reverse this, because it may have been sent before the announcement.
-   * Returns false if the upstream was already leaving.
+   * Returns false if the upstream was already draining.
    */
-  saysLeaving(): boolean {
-    const wasServing = !this.leaves;
+  markDraining(): boolean {
+    const wasServing = !this.isLeaving;
     if (!this.hasAnnouncedDrain) {
       this.hasAnnouncedDrain = true;
       this.onStopServing();
@@ -215,23 +215,23 @@
   /**
    * Identifies this incarnation among those of all upstreams; the same at every edge.
    */
-  get life(): string {
+  get incarnationId(): string {
     const {bornAt, id} = this.record;
     return `${id} ${bornAt ?? ''}`;
   }
 
   /** Whether the upstream is draining or gone. */
-  get leaves(): boolean {
+  get isLeaving(): boolean {
     return this.hasAnnouncedDrain || this.record.state !== UPSTREAM_STATE.ready;
   }
 
   /** Records that a new incarnation replaced this one. */
   markSuperseded(): void {
-    this.supplanted ||= !this.leaves;
+    this.isSuperseded ||= !this.isLeaving;
   }
 
   /** Records that another upstream now serves at this address. */
-  isReplaced(): void {
+  markReplaced(): void {
     this.wasReplaced = true;
     this.markSuperseded();
     this.onStopServing();
@@ -239,8 +239,8 @@
   }
 
   /** Closes idle connections; requests in flight complete. */
-  retire(): void {
-    this.connections.retire();
+  drainConnections(): void {
+    this.connections.drain();
   }
 
   [Symbol.dispose](): void {
@@ -249,8 +249,9 @@
 
   private pause(cause: string): void {
     const doubledMs =
-      FIRST_PAUSE_MS * 2 ** (this.consecutiveFailures - BROKEN_BEFORE_PAUSE);
-    const pauseMs = Math.min(LONGEST_PAUSE_MS, doubledMs);
+      INITIAL_BACKOFF_MS *
+      2 ** (this.consecutiveFailures - FAILURES_BEFORE_BACKOFF);
+    const pauseMs = Math.min(MAX_BACKOFF_MS, doubledMs);
     this.pausedUntil = this.clock.now() + pauseMs;
     this.logHealth(false, cause);
   }
--- a/packages/puffinturn-edge/src/upstreams/LimitReports.ts
+++ b/packages/puffinturn-edge/src/upstreams/LimitReporter.ts
@@ -12,7 +12,7 @@
 import type {Clock} from 'shared';
 import {Condition, sleepUnlessNotified, TaskGroup} from 'shared';
 
-import {askControls} from '../ControlQuestions';
+import {callControlBoxes} from '../ControlRequests';
 import type {EdgeUpstream} from './EdgeUpstream';
 import type {UpstreamAdmission} from './UpstreamAdmission';
 import type {UpstreamPool} from './UpstreamPool';
@@ -32,7 +32,7 @@
   readonly box: string;
   readonly clock: Clock;
   /** Control boxes, in the order in which they are tried. */
-  readonly controls: () => readonly string[];
+  readonly controlBoxes: () => readonly string[];
   readonly link: Link;
   readonly pool: UpstreamPool;
 }
@@ -42,7 +42,7 @@
  * the edge that grants permits, and in batches to a control box, which distributes them
  * to all edges.
  */
-export class LimitReports implements AsyncDisposable {
+export class LimitReporter implements AsyncDisposable {
   /** Reports not yet accepted by a control box, by upstream id. */
   private readonly pending = new Map<string, LimitReport>();
   private readonly pendingAdded = new Condition();
@@ -53,7 +53,7 @@
   }
 
   /** Reports the limit of an upstream after a response changed it. */
-  changed(upstream: EdgeUpstream): void {
+  reportChange(upstream: EdgeUpstream): void {
     const {admission, pool} = this.options;
     const {id, limits, record} = upstream;
     pool.recordLimit(upstream);
@@ -85,12 +85,17 @@
   }
 
   private async sendPending(): Promise<void> {
-    const {box, controls, link} = this.options;
+    const {box, controlBoxes, link} = this.options;
     const reports = [...this.pending.values()];
     const request: LimitsRequest = {box, reports};
     const service = FLEET_SERVICE.reportLimits;
-    const question = {answerMs: RESPONSE_TIMEOUT_MS, request, service};
-    const reply = await askControls(link, controls(), question, () => true);
+    const controlRequest = {timeoutMs: RESPONSE_TIMEOUT_MS, request, service};
+    const reply = await callControlBoxes(
+      link,
+      controlBoxes(),
+      controlRequest,
+      () => true,
+    );
     if (reply === undefined) {
       return;
     }
--- a/packages/puffinturn-edge/src/upstreams/UpstreamChoice.ts
+++ b/packages/puffinturn-edge/src/upstreams/LoadBalancer.ts
@@ -10,11 +10,11 @@
 import type {Random} from 'shared';
 import {drawByWeight, hashOf, rendezvousWeight} from 'shared';
 
-import type {PromptPart} from '../callers/CallerDialect';
-import {BOUNDED_LOAD} from '../EdgeConstants';
+import type {PromptPart} from '../callers/CallerProtocol';
+import {MAX_LOAD_FACTOR} from '../EdgeConstants';
 import {
-  MOST_SPEED_AWAY,
-  UNMEASURED_ANSWER_MS,
+  MAX_REMOTE_PREFILL_TOKENS_PER_MS,
+  MIN_REMOTE_RESPONSE_MS,
 } from '../regions/RegionConstants';
 import type {EdgeUpstream} from './EdgeUpstream';
 
@@ -53,7 +53,7 @@
   ): EdgeUpstream | undefined;
 
   /** Returns the chosen upstream and the source of a cached prefix to copy. */
-  place(
+  choosePlacement(
     candidates: readonly EdgeUpstream[],
     context: BalancingContext,
   ): Placement | undefined {
@@ -65,7 +65,7 @@
 }
 
 /** Chooses the upstream with the fewest requests of this edge in flight. */
-export class LeastInFlight extends LoadBalancer {
+export class LeastRequests extends LoadBalancer {
   constructor(private readonly random: Random) {
     super();
   }
@@ -116,7 +116,7 @@
  * takes the one with the lower expected response time. Measured response times account
  * for the load of other edges, which this edge can't see otherwise.
  */
-export class ShorterWait extends LoadBalancer {
+export class PowerOfTwoChoices extends LoadBalancer {
   constructor(private readonly random: Random) {
     super();
   }
@@ -152,15 +152,20 @@
   upstream: EdgeUpstream,
   {hall, regionLink}: BalancingContext,
 ): number {
-  const {answerTime, inFlight, record} = upstream;
+  const {responseTime, inFlight, record} = upstream;
   const loadFactor = 1 + inFlight / slotCount(upstream);
   if (regionLink?.isRemote(upstream) === true) {
-    const responseMs = Math.max(UNMEASURED_ANSWER_MS, answerTime.ms);
+    const responseMs = Math.max(
+      MIN_REMOTE_RESPONSE_MS,
+      responseTime.expectedMs,
+    );
     return (BASE_RESPONSE_MS + responseMs) * loadFactor + regionLink.transferMs;
   }
   const hallPenaltyMs =
     record.hall === hall ? 0 : CROSS_HALL_RESPONSE_PENALTY_MS;
-  return (BASE_RESPONSE_MS + answerTime.ms) * loadFactor + hallPenaltyMs;
+  return (
+    (BASE_RESPONSE_MS + responseTime.expectedMs) * loadFactor + hallPenaltyMs
+  );
 }
 
 /**
@@ -174,7 +179,8 @@
   ): EdgeUpstream | undefined {
     const key = hashOf(sharedKey(parts));
     const total = candidates.reduce((sum, {inFlight}) => sum + inFlight, 0);
-    const bound = (total / Math.max(1, candidates.length)) * BOUNDED_LOAD + 1;
+    const bound =
+      (total / Math.max(1, candidates.length)) * MAX_LOAD_FACTOR + 1;
     const underBound = candidates.filter(({inFlight}) => inFlight <= bound);
     return minBy(underBound, ({hash}) => -rendezvousWeight(hash, key));
   }
@@ -209,15 +215,15 @@
  * An upstream of another region is chosen only if it is faster despite the link. A longer
  * cached prefix there doesn't count.
  */
-export class ExpectedTime extends LoadBalancer {
+export class LowestLatency extends LoadBalancer {
   override choose(
     candidates: readonly EdgeUpstream[],
     context: BalancingContext,
   ): EdgeUpstream | undefined {
-    return this.place(candidates, context)?.upstream;
+    return this.choosePlacement(candidates, context)?.upstream;
   }
 
-  override place(
+  override choosePlacement(
     candidates: readonly EdgeUpstream[],
     context: BalancingContext,
   ): Placement | undefined {
@@ -261,7 +267,7 @@
       const assumedTokens = upstream === rendezvousUpstream ? shared : 0;
       const cachedTokens = Math.max(
         assumedTokens,
-        upstream.prefixes.keptOf(parts),
+        upstream.cachedPrefixes.cachedTokens(parts),
       );
       return {cachedTokens, upstream};
     });
@@ -271,11 +277,11 @@
       copyMsPerToken === undefined ? undefined : bestHolder(holders);
     const estimates = holders.map((holder): LatencyEstimate => {
       const {upstream} = holder;
-      const {inFlight, pendingTokens, record, speed} = upstream;
+      const {inFlight, pendingTokens, record, prefillSpeed} = upstream;
       const isRemote = regionLink?.isRemote(upstream) === true;
       const tokensPerMs = isRemote
-        ? Math.min(MOST_SPEED_AWAY, speed.tokensPerMs)
-        : speed.tokensPerMs;
+        ? Math.min(MAX_REMOTE_PREFILL_TOKENS_PER_MS, prefillSpeed.tokensPerMs)
+        : prefillSpeed.tokensPerMs;
       const copiedTokens = tokensToCopy(holder, copySource);
       const copyTotalMs =
         copiedTokens === 0
--- a/packages/puffinturn-edge/src/upstreams/ReadingSpeed.ts
+++ b/packages/puffinturn-edge/src/upstreams/PrefillSpeed.ts
@@ -8,7 +8,7 @@
 /** Prefill speed of an upstream, derived from the time to the first token. */
 import type {Clock} from 'shared';
 
-import {DecayingAverage} from './FadingAverage';
+import {DecayingAverage} from './DecayingAverage';
 
 /** Speed assumed without samples, tokens/ms. */
 const DEFAULT_TOKENS_PER_MS = 45;
@@ -44,7 +44,7 @@
   }
 
   /** Records a prefill; short prompts are ignored. */
-  measured(tokens: number, durationMs: number): void {
+  recordPrefill(tokens: number, durationMs: number): void {
     if (tokens < MIN_SAMPLE_TOKENS) {
       return;
     }
--- a/packages/puffinturn-edge/src/upstreams/PromptReading.ts
+++ b/packages/puffinturn-edge/src/upstreams/PromptPrefill.ts
@@ -8,14 +8,14 @@
 /** Prefill of one prompt, from sending the request to the first response event. */
 import type {Clock} from 'shared';
 
-import type {PromptPart} from '../callers/CallerDialect';
-import type {Placement} from './UpstreamChoice';
+import type {PromptPart} from '../callers/CallerProtocol';
+import type {Placement} from './LoadBalancer';
 
 /**
  * Counts the pending tokens of a prompt at its upstream and measures the time to the first
  * event. Create it when the request is sent.
  */
-export class PromptReading {
+export class PromptPrefill {
   private readonly startedAt: number;
   /** Prompt tokens that the upstream must process before the first event. */
   private readonly uncachedTokens: number;
@@ -29,7 +29,8 @@
   ) {
     const {copiedTokens, upstream} = placement;
     const promptTokens = prompt.reduce((sum, {tokens}) => sum + tokens, 0);
-    const cachedTokens = upstream.prefixes.keptOf(prompt) + copiedTokens;
+    const cachedTokens =
+      upstream.cachedPrefixes.cachedTokens(prompt) + copiedTokens;
     this.uncachedTokens = Math.max(0, promptTokens - cachedTokens);
     this.queuedTokens = upstream.pendingTokens;
     this.startedAt = clock.now();
@@ -37,22 +38,22 @@
   }
 
   /** Tokens to process before the first event, including those of earlier prompts. */
-  get unread(): number {
+  get tokensToFirstEvent(): number {
     return this.queuedTokens + this.uncachedTokens;
   }
 
-  /** Releases the pending tokens and, if the upstream answered, records its speed. */
-  end(hasAnswered: boolean): void {
+  /** Releases the pending tokens and, if the upstream responded, records its speed. */
+  finish(hasResponse: boolean): void {
     const {upstream} = this.placement;
     upstream.pendingTokens -= this.uncachedTokens;
-    if (hasAnswered) {
+    if (hasResponse) {
       const durationMs = this.clock.now() - this.startedAt;
-      upstream.answerTime.measured(durationMs);
-      upstream.speed.measured(
+      upstream.responseTime.recordDuration(durationMs);
+      upstream.prefillSpeed.recordPrefill(
         this.queuedTokens + this.uncachedTokens,
         durationMs,
       );
-      upstream.prefixes.sent(this.prompt);
+      upstream.cachedPrefixes.recordPrompt(this.prompt);
     }
   }
 }
--- a/packages/puffinturn-edge/src/upstreams/HomeProbes.ts
+++ b/packages/puffinturn-edge/src/upstreams/RecoveryProbes.ts
@@ -11,13 +11,13 @@
  */
 import type {Clock} from 'shared';
 
-import {HOME_PROBE_EVERY_MS} from '../regions/RegionConstants';
+import {LOCAL_PROBE_INTERVAL_MS} from '../regions/RegionConstants';
 
 /**
  * Allows one probe of a failing upstream per interval, because a probe delays its request
  * until the connection times out. A successful probe allows the next one at once.
  */
-export class HomeProbes {
+export class RecoveryProbes {
   private nextProbeAt = -Infinity;
 
   constructor(private readonly clock: Clock) {}
@@ -28,12 +28,12 @@
   }
 
   /** Records that a probe was sent. */
-  sent(): void {
-    this.nextProbeAt = this.clock.now() + HOME_PROBE_EVERY_MS;
+  recordProbe(): void {
+    this.nextProbeAt = this.clock.now() + LOCAL_PROBE_INTERVAL_MS;
   }
 
   /** Records that a probe succeeded. */
-  answered(): void {
+  recordSuccess(): void {
     this.nextProbeAt = -Infinity;
   }
 }
--- a/packages/puffinturn-edge/src/upstreams/AnswerTime.ts
+++ b/packages/puffinturn-edge/src/upstreams/ResponseTime.ts
@@ -8,7 +8,7 @@
 /** Response times of an upstream of a plain service. */
 import type {Clock} from 'shared';
 
-import {DecayingAverage} from './FadingAverage';
+import {DecayingAverage} from './DecayingAverage';
 
 /** Weight of one response in the average, from 0 to 1. */
 const SAMPLE_WEIGHT = 0.35;
@@ -34,17 +34,20 @@
   }
 
   /** The expected response time, ms; 0 if no response was recorded recently. */
-  get ms(): number {
+  get expectedMs(): number {
     return this.average.value;
   }
 
   /** Records the duration of one response. */
-  measured(durationMs: number): void {
-    this.average.addSample(durationMs, this.ms === 0 ? 1 : SAMPLE_WEIGHT);
+  recordDuration(durationMs: number): void {
+    this.average.addSample(
+      durationMs,
+      this.expectedMs === 0 ? 1 : SAMPLE_WEIGHT,
+    );
   }
 
   /** Records a request that was rejected because the queue is full. */
   recordFull(): void {
-    this.measured(Math.max(FULL_QUEUE_MS, this.ms));
+    this.recordDuration(Math.max(FULL_QUEUE_MS, this.expectedMs));
   }
 }
--- a/packages/puffinturn-edge/src/upstreams/ReturnTimes.ts
+++ b/packages/puffinturn-edge/src/upstreams/RetrySchedule.ts
@@ -17,7 +17,7 @@
  * Assigns `Retry-After` times at the rate at which requests are served, so that rejected
  * callers don't all retry at the same moment.
  */
-export class ReturnTimes {
+export class RetrySchedule {
   /** Retry time assigned to the last rejected caller, by service. */
   private readonly lastRetryAt = new Map<string, number>();
 
--- a/packages/puffinturn-edge/src/upstreams/UpstreamAdmission.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamAdmission.ts
@@ -73,24 +73,27 @@
 ): boolean {
   return (
     rateOf(upstream.limits.limit) < Infinity ||
-    (coldStart !== undefined && upstream.cold)
+    (coldStart !== undefined && upstream.isCold)
   );
 }
 
 /** Maximum requests per second of an upstream at present; Infinity if unlimited. */
 export function maxRequestRate(
-  {cold, limits}: EdgeUpstream,
+  {isCold, limits}: EdgeUpstream,
   {coldStart}: Pick<AdmissionContext, 'coldStart'>,
 ): number {
-  return boundOf(limits.limit, cold ? coldStart?.requestsPerSecond : undefined);
+  return boundOf(
+    limits.limit,
+    isCold ? coldStart?.requestsPerSecond : undefined,
+  );
 }
 
 function permitRequestFor(
-  {cold, id, limits, record}: EdgeUpstream,
+  {isCold, id, limits, record}: EdgeUpstream,
   {coldStart, isLeastUrgent}: AdmissionContext,
 ): PermitQuestion {
   return {
-    coldPerSecond: cold ? coldStart?.requestsPerSecond : undefined,
+    coldPerSecond: isCold ? coldStart?.requestsPerSecond : undefined,
     isLeastUrgent,
     limit: limits.limit,
     upstream: {hall: record.hall, id},
--- a/packages/puffinturn-edge/src/upstreams/UpstreamPool.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamPool.ts
@@ -52,7 +52,7 @@
   /** Upstreams by address, the most recently added one last. */
   private readonly byAddress = new Map<string, EdgeUpstream[]>();
   /** Removed upstreams that may still have requests in flight. */
-  private readonly retired = new Set<EdgeUpstream>();
+  private readonly removed = new Set<EdgeUpstream>();
   /** Serving upstreams by service, cached until any upstream changes. */
   private readonly servingCache = new Map<string, readonly EdgeUpstream[]>();
   private activeEvacuations = NO_EVACUATIONS;
@@ -91,7 +91,7 @@
    * returns to service are treated as freshly started: they may have become cold without
    * a heartbeat having reported it.
    */
-  evacuate(
+  applyEvacuations(
     update: Evacuations,
     source: string,
     coldMsOf: (service: string) => number,
@@ -106,7 +106,7 @@
     const now = this.clock.now();
     for (const upstream of this.byId.values()) {
       if (returnedHalls.includes(upstream.record.hall)) {
-        upstream.turnsCold(now + coldMsOf(upstream.record.service));
+        upstream.markCold(now + coldMsOf(upstream.record.service));
       }
     }
     this.log.note({
@@ -119,7 +119,7 @@
   }
 
   /** Upstreams of a service that accept new requests. */
-  serving(service: string): readonly EdgeUpstream[] {
+  servingUpstreams(service: string): readonly EdgeUpstream[] {
     const cached = this.servingCache.get(service);
     if (cached !== undefined) {
       return cached;
@@ -133,7 +133,7 @@
     const {halls} = this.activeEvacuations;
     return (this.byService.get(service) ?? []).filter(
       (upstream) =>
-        upstream.serves &&
+        upstream.isServing &&
         this.isLatestAtAddress(upstream) &&
         !halls.includes(upstream.record.hall),
     );
@@ -146,20 +146,22 @@
    */
   private isLatestAtAddress(upstream: EdgeUpstream): boolean {
     const siblings = this.byAddress.get(upstream.record.address) ?? [];
-    const latest = siblings.findLast(({serves}) => serves);
+    const latest = siblings.findLast(({isServing}) => isServing);
     return latest === undefined || latest === upstream;
   }
 
   /** Whether the error rate of an upstream is far above that of its service. */
-  isGrey({errorRate, record}: EdgeUpstream): boolean {
-    return errorRate > degradedErrorThreshold(this.serving(record.service));
+  isDegraded({errorRate, record}: EdgeUpstream): boolean {
+    return (
+      errorRate > degradedErrorThreshold(this.servingUpstreams(record.service))
+    );
   }
 
   /**
    * Requests of this edge in flight at upstreams of other versions than the given one.
    */
-  openBesides(service: string, version: string): number {
-    const upstreams = [...(this.byService.get(service) ?? []), ...this.retired];
+  inFlightOnOtherVersions(service: string, version: string): number {
+    const upstreams = [...(this.byService.get(service) ?? []), ...this.removed];
     return upstreams
       .filter(({record}) => record.service === service)
       .filter(({record}) => record.version !== version)
@@ -180,7 +182,7 @@
   }
 
   /** Number of upstreams that state a rate limit. */
-  get limitedUpstreams(): number {
+  get limitedUpstreamCount(): number {
     return this.all().filter(({limits}) => rateOf(limits.limit) < Infinity)
       .length;
   }
@@ -198,9 +200,9 @@
   }
 
   /** Closes all idle connections, which the peers may have closed unnoticed. */
-  dropIdle(): void {
+  closeIdleConnections(): void {
     for (const {connections} of this.byId.values()) {
-      connections.dropIdle();
+      connections.closeIdle();
     }
   }
 
@@ -210,7 +212,7 @@
   }
 
   [Symbol.dispose](): void {
-    for (const upstream of [...this.byId.values(), ...this.retired]) {
+    for (const upstream of [...this.byId.values(), ...this.removed]) {
       upstream[Symbol.dispose]();
     }
   }
@@ -230,7 +232,7 @@
         this.servingCache.clear();
       }
       known.record = record;
-      known.turnsCold(this.table.coldUntil(record.id));
+      known.markCold(this.table.coldUntil(record.id));
     } else {
       this.remove(record.id);
       this.add(record).inheritStateFrom(known);
@@ -261,10 +263,10 @@
    * request that is still open there might never complete.
    */
   private disposePreviousIncarnations(record: UpstreamRecord): void {
-    for (const upstream of this.retired) {
-      const {id, record: retiredRecord} = upstream;
-      if (id === record.id && compareLives(retiredRecord, record) < 0) {
-        this.retired.delete(upstream);
+    for (const upstream of this.removed) {
+      const {id, record: removedRecord} = upstream;
+      if (id === record.id && compareLives(removedRecord, record) < 0) {
+        this.removed.delete(upstream);
         upstream[Symbol.dispose]();
       }
     }
@@ -274,7 +276,7 @@
     const upstream = new EdgeUpstream(record, this.clock, this.log, () =>
       this.servingCache.clear(),
     );
-    upstream.turnsCold(this.table.coldUntil(record.id));
+    upstream.markCold(this.table.coldUntil(record.id));
     this.servingCache.clear();
     this.byId.set(record.id, upstream);
     addTo(this.byService, record.service, upstream);
@@ -292,15 +294,15 @@
     removeFrom(this.byService, upstream.record.service, upstream);
     removeFrom(this.byAddress, upstream.record.address, upstream);
     upstream.record = {...upstream.record, state: UPSTREAM_STATE.gone};
-    upstream.retire();
+    upstream.drainConnections();
     this.forgetFinished();
-    this.retired.add(upstream);
+    this.removed.add(upstream);
   }
 
   private forgetFinished(): void {
-    for (const upstream of this.retired) {
+    for (const upstream of this.removed) {
       if (upstream.inFlight === 0) {
-        this.retired.delete(upstream);
+        this.removed.delete(upstream);
       }
     }
   }
--- a/packages/puffinturn-edge/src/upstreams/UpstreamSelection.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamSelection.ts
@@ -12,17 +12,17 @@
 import type {Regions, Route, Team} from 'puffinturn-fleet';
 import type {Random} from 'shared';
 
-import {RETRY_AFTER_BUSY_S, RETRY_AFTER_MISSING_S} from '../EdgeConstants';
-import type {RegionCrossing} from '../regions/RegionCrossing';
-import type {Plan} from '../requests/RequestPlan';
-import type {Exposures} from '../rollouts/Exposures';
+import {RETRY_AFTER_BUSY_S, RETRY_AFTER_UNAVAILABLE_S} from '../EdgeConstants';
+import type {RegionLinkBudget} from '../regions/RegionLinkBudget';
+import type {RequestPlan} from '../requests/RequestPlan';
+import type {ExposureController} from '../rollouts/ExposureController';
 import type {EdgeUpstream} from './EdgeUpstream';
-import type {HomeProbes} from './HomeProbes';
-import type {ReturnTimes} from './ReturnTimes';
-import {toRetryAfterSeconds} from './ReturnTimes';
+import type {LoadBalancer, Placement, RegionLink} from './LoadBalancer';
+import type {RecoveryProbes} from './RecoveryProbes';
+import type {RetrySchedule} from './RetrySchedule';
+import {toRetryAfterSeconds} from './RetrySchedule';
 import type {AdmissionContext, UpstreamAdmission} from './UpstreamAdmission';
 import {maxRequestRate} from './UpstreamAdmission';
-import type {LoadBalancer, Placement, RegionLink} from './UpstreamChoice';
 import type {UpstreamPool} from './UpstreamPool';
 import {degradedErrorThreshold} from './UpstreamPool';
 
@@ -31,32 +31,32 @@
   readonly hall: string;
   readonly random: Random;
   readonly pool: UpstreamPool;
-  readonly engineChoice: LoadBalancer;
-  readonly plainChoice: LoadBalancer;
+  readonly engineBalancer: LoadBalancer;
+  readonly plainBalancer: LoadBalancer;
   readonly admission: UpstreamAdmission;
-  readonly returnTimes: ReturnTimes;
-  readonly exposures: Exposures;
+  readonly retrySchedule: RetrySchedule;
+  readonly exposureController: ExposureController;
   readonly regions: Regions;
-  readonly crossing: RegionCrossing;
-  readonly homeProbes: HomeProbes;
+  readonly linkBudget: RegionLinkBudget;
+  readonly recoveryProbes: RecoveryProbes;
   /** Regions allowed by the latest configuration; undefined for all. */
-  readonly newestRegions: (
+  readonly latestAllowedRegions: (
     route: Route,
     team: Team | undefined,
   ) => readonly string[] | undefined;
 }
 
 /** Properties of a request that its selection depends on. */
-export interface RequestSize {
+export interface RequestTraits {
   readonly bodyBytes: number;
   /** Whether the request has the lowest priority. */
   readonly isLeastUrgent: boolean;
   /** Upstreams for which a permit was denied to this request. */
-  readonly heldBack: ReadonlySet<EdgeUpstream>;
+  readonly deniedUpstreams: ReadonlySet<EdgeUpstream>;
 }
 
 /** Why no upstream was found for a request, and when to retry. */
-export interface Lack {
+export interface NoUpstreamReason {
   readonly cause:
     | 'no-upstream'
     | 'no-upstream-in-region'
@@ -75,15 +75,19 @@
 /** Selects the next upstream for a request; returns undefined if none is left. */
 export function selectUpstream(
   deps: SelectionParts,
-  plan: Plan,
+  plan: RequestPlan,
   tried: ReadonlySet<EdgeUpstream>,
-  request: RequestSize,
+  request: RequestTraits,
 ): Placement | undefined {
-  const all = deps.pool.serving(plan.service.name);
+  const all = deps.pool.servingUpstreams(plan.service.name);
   // Filter by region first, so that canaries are chosen from permitted upstreams only.
   const allowed = allowedUpstreams(deps, plan, all);
   const isFirst = tried.size === 0;
-  for (const group of deps.exposures.groupsFor(plan, allowed, isFirst)) {
+  for (const group of deps.exposureController.candidateGroups(
+    plan,
+    allowed,
+    isFirst,
+  )) {
     const placement = selectFrom(deps, plan, tried, request, group);
     if (placement !== undefined) {
       return placement;
@@ -94,21 +98,21 @@
 
 function selectFrom(
   deps: SelectionParts,
-  plan: Plan,
+  plan: RequestPlan,
   tried: ReadonlySet<EdgeUpstream>,
-  request: RequestSize,
+  request: RequestTraits,
   allowed: readonly EdgeUpstream[],
 ): Placement | undefined {
-  const {engineChoice, hall, plainChoice} = deps;
-  const {parts: prompt, service} = plan;
+  const {engineBalancer, hall, plainBalancer} = deps;
+  const {promptParts, service} = plan;
   const reachable = reachableUpstreams(deps, allowed, request);
-  const admission = admissionFacts(plan, request);
+  const admission = admissionContextOf(plan, request);
   const untried = reachable
     .filter((upstream) => !tried.has(upstream))
     .filter(
       (upstream) => upstreamWaitMs(deps, admission, request, upstream) === 0,
     );
-  const unpaused = untried.filter(({paused}) => !paused);
+  const unpaused = untried.filter(({isPaused}) => !isPaused);
   const errorThreshold = degradedErrorThreshold(allowed);
   const trusted = unpaused.filter(
     (upstream) => !shouldSkipFailing(deps, upstream),
@@ -127,25 +131,25 @@
   if (candidates === undefined) {
     return undefined;
   }
-  const choice = service.engine === undefined ? plainChoice : engineChoice;
-  return choice.place(candidates, {
+  const choice = service.engine === undefined ? plainBalancer : engineBalancer;
+  return choice.choosePlacement(candidates, {
     hall,
-    parts: prompt,
+    parts: promptParts,
     service,
     regionLink: regionLinkFor(deps, plan, request),
   });
 }
 
 /** Explains why no upstream was selected for a request. */
-export function lackOf(
+export function explainNoUpstream(
   deps: SelectionParts,
-  plan: Plan,
-  request: RequestSize,
-): Lack {
-  const serving = deps.pool.serving(plan.service.name);
+  plan: RequestPlan,
+  request: RequestTraits,
+): NoUpstreamReason {
+  const serving = deps.pool.servingUpstreams(plan.service.name);
   const allowed = allowedUpstreams(deps, plan, serving);
   const retryAfterS =
-    allowed.length === 0 ? RETRY_AFTER_MISSING_S : RETRY_AFTER_BUSY_S;
+    allowed.length === 0 ? RETRY_AFTER_UNAVAILABLE_S : RETRY_AFTER_BUSY_S;
   if (allowed.length < serving.length) {
     return {cause: 'no-upstream-in-region', retryAfterS};
   }
@@ -153,7 +157,7 @@
   if (reachable.length < allowed.length) {
     return {cause: 'region-link-full', retryAfterS};
   }
-  const admission = admissionFacts(plan, request);
+  const admission = admissionContextOf(plan, request);
   const waits = allowed.map((upstream) =>
     upstreamWaitMs(deps, admission, request, upstream),
   );
@@ -161,23 +165,23 @@
   if (allowed.length === 0 || waitMs === 0) {
     return {cause: 'no-upstream', retryAfterS: RETRY_AFTER_BUSY_S};
   }
-  if (allowed.every(({restLeftMs}) => restLeftMs > 0)) {
+  if (allowed.every(({remainingBackoffMs}) => remainingBackoffMs > 0)) {
     return {cause: 'upstreams-rest', retryAfterS: toRetryAfterSeconds(waitMs)};
   }
   const rate = allowed
-    .filter(({restLeftMs}) => restLeftMs === 0)
+    .filter(({remainingBackoffMs}) => remainingBackoffMs === 0)
     .reduce((sum, upstream) => sum + maxRequestRate(upstream, admission), 0);
   const {name} = plan.service;
   return {
     cause: 'upstreams-limited',
-    retryAfterS: deps.returnTimes.nextRetryAfterS(name, waitMs, rate),
+    retryAfterS: deps.retrySchedule.nextRetryAfterS(name, waitMs, rate),
   };
 }
 
 /** Returns the properties of a request that its admission depends on. */
-export function admissionFacts(
-  {service: {coldStart}}: Plan,
-  {isLeastUrgent}: RequestSize,
+export function admissionContextOf(
+  {service: {coldStart}}: RequestPlan,
+  {isLeastUrgent}: RequestTraits,
 ): AdmissionContext {
   return {coldStart, isLeastUrgent};
 }
@@ -187,11 +191,11 @@
  * it started with and the latest one, so that a retry respects regions removed meanwhile.
  */
 function allowedUpstreams(
-  {newestRegions, regions}: SelectionParts,
-  {allowedRegions, route, team}: Plan,
+  {latestAllowedRegions, regions}: SelectionParts,
+  {allowedRegions, route, team}: RequestPlan,
   serving: readonly EdgeUpstream[],
 ): readonly EdgeUpstream[] {
-  const newest = newestRegions(route, team);
+  const newest = latestAllowedRegions(route, team);
   if (allowedRegions === undefined && newest === undefined) {
     return serving;
   }
@@ -203,25 +207,25 @@
 
 /** Upstreams of the local region, and of others while the link has capacity. */
 function reachableUpstreams(
-  {crossing, regions}: SelectionParts,
+  {linkBudget, regions}: SelectionParts,
   upstreams: readonly EdgeUpstream[],
-  {isLeastUrgent}: RequestSize,
+  {isLeastUrgent}: RequestTraits,
 ): readonly EdgeUpstream[] {
-  return !regions.several || crossing.allows(isLeastUrgent)
+  return !regions.several || linkBudget.hasCapacity(isLeastUrgent)
     ? upstreams
-    : upstreams.filter(({record: {hall}}) => !crossing.isAway(hall));
+    : upstreams.filter(({record: {hall}}) => !linkBudget.isRemote(hall));
 }
 
 /** Describes the link to other regions; undefined if there is only one region. */
 function regionLinkFor(
-  {crossing, regions}: SelectionParts,
-  plan: Plan,
-  {bodyBytes}: RequestSize,
+  {linkBudget, regions}: SelectionParts,
+  plan: RequestPlan,
+  {bodyBytes}: RequestTraits,
 ): RegionLink | undefined {
   return regions.several
     ? {
-        transferMs: crossing.transferMs(plan, bodyBytes),
-        isRemote: ({record: {hall}}) => crossing.isAway(hall),
+        transferMs: linkBudget.estimateTransferMs(plan, bodyBytes),
+        isRemote: ({record: {hall}}) => linkBudget.isRemote(hall),
       }
     : undefined;
 }
@@ -230,12 +234,12 @@
 function upstreamWaitMs(
   {admission}: SelectionParts,
   context: AdmissionContext,
-  {heldBack}: RequestSize,
+  {deniedUpstreams}: RequestTraits,
   upstream: EdgeUpstream,
 ): number {
-  const permitRetryMs = heldBack.has(upstream) ? MIN_PERMIT_WAIT_MS : 0;
+  const permitRetryMs = deniedUpstreams.has(upstream) ? MIN_PERMIT_WAIT_MS : 0;
   const permitMs = admission.waitMs(upstream, context);
-  return Math.max(upstream.restLeftMs, permitMs, permitRetryMs);
+  return Math.max(upstream.remainingBackoffMs, permitMs, permitRetryMs);
 }
 
 /**
@@ -246,15 +250,15 @@
   {regions}: SelectionParts,
   tried: ReadonlySet<EdgeUpstream>,
 ): boolean {
-  return regions.several && [...tried].some(({doubtful}) => doubtful);
+  return regions.several && [...tried].some(({isFailing}) => isFailing);
 }
 
 /** Whether an upstream is failing and no probe of it is due. */
 function shouldSkipFailing(
-  {homeProbes, regions}: SelectionParts,
-  {doubtful}: EdgeUpstream,
+  {recoveryProbes, regions}: SelectionParts,
+  {isFailing}: EdgeUpstream,
 ): boolean {
-  return regions.several && doubtful && !homeProbes.isAllowed;
+  return regions.several && isFailing && !recoveryProbes.isAllowed;
 }
 
 /**
--- a/packages/puffinturn-edge/src/upstreams/UpstreamStatement.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamSignals.ts
@@ -8,27 +8,27 @@
 /** Signals in the response headers of an upstream. */
 import {restMsOf} from 'shared';
 
-import type {HeaderNames} from '../callers/CallerDialect';
-import type {UpstreamAnswer} from '../connections/UpstreamAnswer';
+import type {HeaderNames} from '../callers/CallerProtocol';
+import type {UpstreamResponse} from '../connections/UpstreamResponse';
 
 /** Signals that an upstream sends about its own state. */
 export interface UpstreamSignals {
   /** Whether the upstream is draining and accepts no new requests. */
-  readonly leaving: boolean;
+  readonly isDraining: boolean;
   /** Back-off requested from this edge, ms; undefined if none. */
-  readonly restMs: number | undefined;
+  readonly retryAfterMs: number | undefined;
   /** Raw header value of the request rate limit for all edges, requests/s. */
-  readonly limit: string | undefined;
+  readonly rateLimit: string | undefined;
 }
 
 /** Reads the signals from the headers of a response. */
-export function statementOf(
-  {headers, statusCode}: UpstreamAnswer,
+export function parseUpstreamSignals(
+  {headers, statusCode}: UpstreamResponse,
   headerNames: HeaderNames,
 ): UpstreamSignals {
   return {
-    leaving: headers[headerNames.leaving] !== undefined,
-    restMs: restMsOf(statusCode, headers[headerNames.retryAfter]),
-    limit: headers[headerNames.limit],
+    isDraining: headers[headerNames.draining] !== undefined,
+    retryAfterMs: restMsOf(statusCode, headers[headerNames.retryAfter]),
+    rateLimit: headers[headerNames.rateLimit],
   };
 }
--- a/packages/puffinturn-gateway/src/CrashingRequests.ts
+++ b/packages/puffinturn-gateway/src/CrashingRequests.ts
@@ -32,14 +32,14 @@
 /** An upstream as the watch over crashes sees it. */
 class Watched {
   /** Nothing tells lives of these upstreams apart. */
-  readonly supplanted = false;
-  readonly life: string;
+  readonly isSuperseded = false;
+  readonly incarnationId: string;
 
   constructor(readonly upstream: Upstream) {
-    this.life = upstreamId(upstream.pool, upstream.name);
+    this.incarnationId = upstreamId(upstream.pool, upstream.name);
   }
 
-  get leaves(): boolean {
+  get isLeaving(): boolean {
     return this.upstream.leaving;
   }
 }
--- a/packages/puffinturn-quarantine/src/CrashWatch.ts
+++ b/packages/puffinturn-quarantine/src/CrashWatch.ts
@@ -27,11 +27,11 @@
 /** One life of an upstream. */
 export interface WatchedUpstream {
   /** Names that life among all lives of all upstreams. */
-  readonly life: string;
+  readonly incarnationId: string;
   /** Whether it, or somebody for it, said that it leaves. */
-  readonly leaves: boolean;
+  readonly isLeaving: boolean;
   /** Whether another life took its place though it never said so. */
-  readonly supplanted: boolean;
+  readonly isSuperseded: boolean;
 }
 
 /** What a CrashWatch is made of. */
@@ -54,12 +54,12 @@
 
   /** Notes that a request broke off at an upstream. */
   broke(upstream: Upstream, fingerprint: string): void {
-    const known = this.broken.get(upstream.life);
+    const known = this.broken.get(upstream.incarnationId);
     if (known !== undefined) {
       known.add(fingerprint);
       return;
     }
-    this.broken.set(upstream.life, new Set([fingerprint]));
+    this.broken.set(upstream.incarnationId, new Set([fingerprint]));
     this.tasks.start((signal) => this.examine(upstream, signal));
   }
 
@@ -72,14 +72,14 @@
     signal: AbortSignal,
   ): Promise<void> {
     const {clock, crashed, probe} = this.parts;
-    const {life} = upstream;
+    const {incarnationId} = upstream;
     await clock.sleep(PROBE_AFTER_MS, signal);
     const state = await probe(upstream);
-    const fingerprints = [...(this.broken.get(life) ?? [])];
-    this.broken.delete(life);
-    const isAbsent = state === LISTENER.refused && !upstream.leaves;
-    if (isAbsent || upstream.supplanted) {
-      crashed({fingerprints, life}, upstream);
+    const fingerprints = [...(this.broken.get(incarnationId) ?? [])];
+    this.broken.delete(incarnationId);
+    const isAbsent = state === LISTENER.refused && !upstream.isLeaving;
+    if (isAbsent || upstream.isSuperseded) {
+      crashed({fingerprints, life: incarnationId}, upstream);
     }
   }
 }
