--- a/packages/puffinturn-quarantine/src/CrashWatch.ts
+++ b/packages/puffinturn-quarantine/src/CrashWatch.ts
@@ -27,11 +27,11 @@
 /** One incarnation of an upstream. */
 export interface WatchedUpstream {
   /** Incarnation id, unique among all upstreams. */
-  readonly life: string;
+  readonly incarnationId: string;
   /** Whether its shutdown was announced. */
-  readonly leaves: boolean;
+  readonly isLeaving: boolean;
   /** Whether another incarnation replaced it without an announced shutdown. */
-  readonly supplanted: boolean;
+  readonly isSuperseded: boolean;
 }
 
 /** Dependencies of a CrashWatch. */
@@ -55,12 +55,12 @@
 
   /** Records a request whose connection broke and schedules a probe. */
   broke(upstream: Upstream, fingerprint: string): void {
-    const existing = this.interrupted.get(upstream.life);
+    const existing = this.interrupted.get(upstream.incarnationId);
     if (existing !== undefined) {
       existing.add(fingerprint);
       return;
     }
-    this.interrupted.set(upstream.life, new Set([fingerprint]));
+    this.interrupted.set(upstream.incarnationId, new Set([fingerprint]));
     this.tasks.start((signal) => this.checkForCrash(upstream, signal));
   }
 
@@ -74,13 +74,13 @@
     signal: AbortSignal,
   ): Promise<void> {
     const {clock, crashed, probe} = this.parts;
-    const {life: incarnation} = upstream;
+    const {incarnationId: incarnation} = upstream;
     await clock.sleep(PROBE_DELAY_MS, signal);
     const state = await probe(upstream);
     const fingerprints = [...(this.interrupted.get(incarnation) ?? [])];
     this.interrupted.delete(incarnation);
-    const hasStopped = state === LISTENER.refused && !upstream.leaves;
-    if (hasStopped || upstream.supplanted) {
+    const hasStopped = state === LISTENER.refused && !upstream.isLeaving;
+    if (hasStopped || upstream.isSuperseded) {
       crashed({fingerprints, life: incarnation}, upstream);
     }
   }
