--- a/packages/puffinturn-policy/src/Expression.ts
+++ b/packages/puffinturn-policy/src/Expression.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Policy expressions in CEL (Common Expression Language), by cel-js. */
+/** Compiles policy expressions in CEL (Common Expression Language). */
 import type {ParseResult} from '@marcbachmann/cel-js';
 import {Environment} from '@marcbachmann/cel-js';
 import type {Result} from 'neverthrow';
@@ -14,40 +14,40 @@
 import {describeError} from 'shared';
 
 import {
+  MAX_EXPRESSION_COMPREHENSIONS,
   MAX_EXPRESSION_DEPTH,
-  MAX_EXPRESSION_LOOPS,
   MAX_EXPRESSION_NODES,
 } from './PolicyConstants';
 import {RequestView} from './PolicyRequest';
 
-const LOOP_PATTERN = /\.\s*(all|exists|exists_one|map|filter)\s*\(/g;
+const COMPREHENSION_PATTERN = /\.\s*(all|exists|exists_one|map|filter)\s*\(/g;
 
-/** What expressions are evaluated over. */
+/** Variables of an expression. */
 export interface ExpressionContext {
   readonly request: RequestView;
-  /** Units that each budget had left when this box last heard. */
+  /** Last known remaining units by budget. */
   readonly budget: ReadonlyMap<string, bigint>;
   readonly time: Date;
 }
 
-/** What an expression must give. */
+/** Result type of an expression. */
 export type ExpressionType = 'bool' | 'string';
 
-/** An expression that does not parse or has the wrong type. */
+/** Syntax or type error of an expression. */
 export interface ExpressionFailure extends Failure<'expression'> {
-  /** Where in the expression, from 1. */
+  /** Column of the error, from 1. */
   readonly column: number;
 }
 
-/** An expression that failed on one request. */
+/** Runtime error of an expression for one request. */
 export type EvaluationFailure = Failure<'evaluation'>;
 
-/** A checked expression. */
+/** A compiled and type-checked expression. */
 export type Expression<Value> = (
   context: ExpressionContext,
 ) => Result<Value, EvaluationFailure>;
 
-const environment = new Environment({
+const celEnvironment = new Environment({
   limits: {
     maxAstNodes: MAX_EXPRESSION_NODES,
     maxDepth: MAX_EXPRESSION_DEPTH,
@@ -76,61 +76,69 @@
   return {column, kind: 'expression', message};
 }
 
-interface RangedError {
+/** Fields of the errors that cel-js throws. */
+interface CelError {
   readonly summary?: string;
   readonly range?: {readonly start: number};
 }
 
-function fromError(error: unknown): ExpressionFailure {
-  const {range, summary} = error as RangedError;
+function toExpressionFailure(error: unknown): ExpressionFailure {
+  const {range, summary} = error as CelError;
   const message = summary ?? describeError(error);
   return expressionFailure(message, (range?.start ?? 0) + 1);
 }
 
 function parse(text: string): Result<ParseResult, ExpressionFailure> {
-  const loops = text.match(LOOP_PATTERN)?.length ?? 0;
-  if (loops > MAX_EXPRESSION_LOOPS) {
-    const message = `${loops} loops; at most ${MAX_EXPRESSION_LOOPS} are allowed`;
+  const comprehensionCount = text.match(COMPREHENSION_PATTERN)?.length ?? 0;
+  if (comprehensionCount > MAX_EXPRESSION_COMPREHENSIONS) {
+    const message = `${comprehensionCount} comprehensions exceed the maximum of ${MAX_EXPRESSION_COMPREHENSIONS}`;
     return err(expressionFailure(message));
   }
   try {
-    return ok(environment.parse(text));
+    return ok(celEnvironment.parse(text));
   } catch (error) {
-    return err(fromError(error));
+    return err(toExpressionFailure(error));
   }
 }
 
-/** Parses and type-checks an expression. */
+/** Parses an expression and checks its syntax and result type. */
 export function compileExpression<Value extends boolean | string>(
   text: string,
-  type: ExpressionType,
+  expectedType: ExpressionType,
 ): Result<Expression<Value>, ExpressionFailure> {
   return parse(text).andThen((parsed) => {
     const check = parsed.check();
     if (!check.valid) {
-      return err(fromError(check.error));
+      return err(toExpressionFailure(check.error));
     }
-    const found = String(check.type);
-    if (found !== type && found !== 'dyn') {
-      return err(expressionFailure(`gives ${found}; wanted ${type}`));
+    const actualType = String(check.type);
+    if (actualType !== expectedType && actualType !== 'dyn') {
+      return err(
+        expressionFailure(
+          `result type is ${actualType}, expected ${expectedType}`,
+        ),
+      );
     }
-    return ok(evaluatorOf<Value>(parsed, type));
+    return ok(createEvaluator<Value>(parsed, expectedType));
   });
 }
 
-function evaluatorOf<Value>(
+function createEvaluator<Value>(
   parsed: ParseResult,
-  type: ExpressionType,
+  expectedType: ExpressionType,
 ): Expression<Value> {
-  const wanted = type === 'bool' ? 'boolean' : 'string';
+  const jsType = expectedType === 'bool' ? 'boolean' : 'string';
   return (context) => {
     try {
       const value: unknown = parsed(context as never);
-      return typeof value === wanted
+      return typeof value === jsType
         ? ok(value as Value)
-        : err({kind: 'evaluation', message: `gave a ${typeof value}`});
+        : err({
+            kind: 'evaluation',
+            message: `unexpected result of type ${typeof value}`,
+          });
     } catch (error) {
-      const {summary} = error as RangedError;
+      const {summary} = error as CelError;
       const message = summary ?? describeError(error);
       return err({kind: 'evaluation', message});
     }
--- a/packages/puffinturn-policy/src/PolicyConstants.ts
+++ b/packages/puffinturn-policy/src/PolicyConstants.ts
@@ -5,25 +5,25 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Bounds on policy expressions, so that none can hold a box up. */
+/** Limits of policy expressions, so that none can block the event loop of a box. */
 
-/** Nodes of one expression at most. */
+/** Maximum number of AST nodes of an expression. */
 export const MAX_EXPRESSION_NODES = 500;
 
-/** Nesting of one expression at most. */
+/** Maximum nesting depth of an expression. */
 export const MAX_EXPRESSION_DEPTH = 40;
 
-/** Loops (all, exists, map, filter, …) in one expression at most. */
-export const MAX_EXPRESSION_LOOPS = 2;
+/** Maximum number of comprehensions (`all`, `exists`, `map`, `filter`) in an expression. */
+export const MAX_EXPRESSION_COMPREHENSIONS = 2;
 
-/** Elements of a list in the request body that an expression may see. */
+/** Lists in the request body are truncated to this number of elements. */
 export const MAX_LIST_ELEMENTS = 256;
 
-/** Characters of a text in the request body that an expression may see. */
+/** Strings in the request body are truncated to this number of characters. */
 export const MAX_TEXT_LENGTH = 10_000;
 
-/** Levels of the request body that an expression may see. */
+/** Maximum nesting depth of the request body; deeper objects and lists become null. */
 export const MAX_BODY_DEPTH = 8;
 
-/** Longest business key that an expression may give, characters. */
+/** Maximum length of a business key from an expression, characters. */
 export const MAX_KEY_LENGTH = 300;
--- a/packages/puffinturn-policy/src/PolicyRequest.ts
+++ b/packages/puffinturn-policy/src/PolicyRequest.ts
@@ -5,34 +5,34 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** What a policy may look at. */
+/** Requests as policy expressions see them. */
 import {
   MAX_BODY_DEPTH,
   MAX_LIST_ELEMENTS,
   MAX_TEXT_LENGTH,
 } from './PolicyConstants';
 
-/** The request as the gateway gives it. */
+/** A request that is checked against the policies. */
 export interface PolicyRequest {
   readonly team: string;
-  /** Empty for calls of plain services. */
+  /** Empty for service requests. */
   readonly model: string;
   /** Empty for model requests. */
   readonly service: string;
   readonly method: string;
   readonly path: string;
-  /** Names in lower case. */
+  /** Names are in lower case. */
   readonly headers: Readonly<Record<string, string>>;
   readonly body: unknown;
-  /** Upper bound of the prompt, tokens; 0 for plain services. */
+  /** Upper bound of the prompt length, tokens; 0 for service requests. */
   readonly promptTokens: number;
-  /** Completion tokens asked for; 0 when not given. */
+  /** Requested maximum of completion tokens; 0 if not given. */
   readonly maxTokens: number;
-  /** The caller's own key; empty when there is none. */
+  /** Idempotency key of the caller; empty if there is none. */
   readonly key: string;
 }
 
-/** The type `Request` of expressions; integers are bigint there. */
+/** The CEL type `Request`; CEL represents integers as bigint. */
 export class RequestView {
   readonly team: string;
   readonly model: string;
@@ -52,15 +52,15 @@
     this.method = request.method;
     this.path = request.path;
     this.headers = request.headers;
-    this.body = boundedValue(request.body, MAX_BODY_DEPTH);
+    this.body = truncateValue(request.body, MAX_BODY_DEPTH);
     this.promptTokens = BigInt(request.promptTokens);
     this.maxTokens = BigInt(request.maxTokens);
     this.key = request.key;
   }
 }
 
-/** A copy of a JSON value cut to what expressions may see. */
-function boundedValue(value: unknown, depth: number): unknown {
+/** Copies a JSON value, truncated to the limits of the request body. */
+function truncateValue(value: unknown, depth: number): unknown {
   if (typeof value === 'string') {
     return value.length > MAX_TEXT_LENGTH
       ? value.slice(0, MAX_TEXT_LENGTH)
@@ -75,11 +75,11 @@
   if (Array.isArray(value)) {
     return value
       .slice(0, MAX_LIST_ELEMENTS)
-      .map((item) => boundedValue(item, depth - 1));
+      .map((item) => truncateValue(item, depth - 1));
   }
   const copy: Record<string, unknown> = {};
   for (const [name, item] of Object.entries(value)) {
-    copy[name] = boundedValue(item, depth - 1);
+    copy[name] = truncateValue(item, depth - 1);
   }
   return copy;
 }
--- a/packages/puffinturn-policy/src/PolicySet.ts
+++ b/packages/puffinturn-policy/src/PolicySet.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Decides requests by the policies in force: the first rule that matches. */
+/** Evaluates the policies for a request: the first matching rule decides. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 import type {
@@ -28,23 +28,23 @@
 import type {PolicyRequest} from './PolicyRequest';
 import {RequestView} from './PolicyRequest';
 
-/** What a rule says about a request that may run. */
+/** Decision of a rule that allows a request. */
 export interface PolicyDecision {
-  /** The rule, as `policy/rule`. */
+  /** Name of the rule, as `policy/rule`. */
   readonly rule: string;
   readonly budget: string;
   readonly pool: string;
   readonly priority: number;
   readonly deadlineMs: number;
-  /** Whether the request may run at most once. */
+  /** Whether the request must run at most once. */
   readonly marked: boolean;
-  /** A business key that the rule derives. */
+  /** Business key that the rule derives from the request. */
   readonly key: string | undefined;
   readonly maxTokens: number | undefined;
   readonly hedge: boolean;
 }
 
-/** Why a policy does not let a request run. */
+/** Why a request is not allowed. */
 export type PolicyFailure =
   | (Failure<'evaluation-failed'> & {readonly rule: string})
   | Failure<'no-rule'>
@@ -68,11 +68,11 @@
 
 type CompiledRule = CompiledAllow | CompiledRefuse;
 
-/** Policies in force, compiled. */
+/** The compiled rules of all policies, in the order of evaluation. */
 export class PolicySet {
   private constructor(private readonly rules: readonly CompiledRule[]) {}
 
-  /** Compiles the policies among `declarations`; removed ones are left out. */
+  /** Compiles the policies in `declarations`; skips deleted policies. */
   static compile(
     declarations: readonly Declaration[],
   ): Result<PolicySet, Problem[]> {
@@ -86,9 +86,9 @@
     const problems: Problem[] = [];
     const rules: CompiledRule[] = [];
     for (const {name, spec} of policies) {
-      for (const [position, rule] of spec.rules.entries()) {
-        const place = new RulePlace(name, position, problems);
-        const compiled = compileRule(`${name}/${rule.name}`, rule, place);
+      for (const [index, rule] of spec.rules.entries()) {
+        const compiler = new RuleCompiler(name, index, problems);
+        const compiled = compileRule(`${name}/${rule.name}`, rule, compiler);
         if (compiled !== undefined) {
           rules.push(compiled);
         }
@@ -97,7 +97,7 @@
     return problems.length > 0 ? err(problems) : ok(new PolicySet(rules));
   }
 
-  /** Decides one request. A rule that fails refuses the request. */
+  /** Evaluates the rules for a request; a rule that fails refuses it. */
   decide(
     request: PolicyRequest,
     budget: ReadonlyMap<string, bigint>,
@@ -105,21 +105,24 @@
   ): Result<PolicyDecision, PolicyFailure> {
     const context = {budget, request: new RequestView(request), time};
     for (const rule of this.rules) {
-      const matched = rule.when(context);
-      if (matched.isErr()) {
-        return err(evaluationFailed(rule.name, matched.error.message));
+      const condition = rule.when(context);
+      if (condition.isErr()) {
+        return err(evaluationFailure(rule.name, condition.error.message));
       }
-      if (matched.value) {
+      if (condition.value) {
         return rule.action === 'allow'
-          ? decideAllowed(rule, context)
-          : err(refused(rule));
+          ? evaluateAllowRule(rule, context)
+          : err(refusal(rule));
       }
     }
-    return err({kind: 'no-rule', message: 'no rule allows this request'});
+    return err({
+      kind: 'no-rule',
+      message: 'no policy rule matches the request',
+    });
   }
 }
 
-/** Problems of one policy, as `puffinturn check` and `apply` show them. */
+/** Returns the problems of one policy, with `file` as their location. */
 export function checkPolicy(
   declaration: Declaration,
   file: string,
@@ -130,14 +133,15 @@
   );
 }
 
-class RulePlace {
+/** Compiles the expressions of one rule and collects their problems. */
+class RuleCompiler {
   constructor(
-    private readonly policy: string,
-    private readonly position: number,
+    private readonly policyName: string,
+    private readonly ruleIndex: number,
     private readonly problems: Problem[],
   ) {}
 
-  /** Compiles one field, noting its problem. */
+  /** Compiles the expression of a field; adds a problem if it is invalid. */
   compile<Value extends boolean | string>(
     field: string,
     text: string,
@@ -145,19 +149,19 @@
   ): Expression<Value> | undefined {
     return compileExpression<Value>(text, type).match(
       (expression): Expression<Value> | undefined => expression,
-      (failure) => this.note(field, text, failure),
+      (failure) => this.addProblem(field, text, failure),
     );
   }
 
-  private note(
+  private addProblem(
     field: string,
     text: string,
     failure: ExpressionFailure,
   ): undefined {
     this.problems.push({
-      file: `policy/${this.policy}`,
+      file: `policy/${this.policyName}`,
       found: `${text} (column ${failure.column})`,
-      path: `/spec/rules/${this.position}/${field}`,
+      path: `/spec/rules/${this.ruleIndex}/${field}`,
       wanted: `a CEL expression: ${failure.message}`,
     });
     return undefined;
@@ -167,44 +171,46 @@
 function compileRule(
   name: string,
   rule: AllowRule | RefuseRule,
-  place: RulePlace,
+  compiler: RuleCompiler,
 ): CompiledRule | undefined {
-  const when = place.compile<boolean>('when', rule.when, 'bool');
+  const when = compiler.compile<boolean>('when', rule.when, 'bool');
   if (rule.action === 'refuse') {
     return when && {action: 'refuse', name, rule, when};
   }
-  const budget = place.compile<string>('budget', rule.budget, 'string');
+  const budget = compiler.compile<string>('budget', rule.budget, 'string');
   const key =
     rule.key === undefined
       ? undefined
-      : place.compile<string>('key', rule.key, 'string');
+      : compiler.compile<string>('key', rule.key, 'string');
   return when && budget && {action: 'allow', budget, key, name, rule, when};
 }
 
-function evaluationFailed(rule: string, message: string): PolicyFailure {
+function evaluationFailure(rule: string, message: string): PolicyFailure {
   return {kind: 'evaluation-failed', message: `${rule}: ${message}`, rule};
 }
 
-function refused({name, rule}: CompiledRefuse): PolicyFailure {
+function refusal({name, rule}: CompiledRefuse): PolicyFailure {
   return {kind: 'refused', message: rule.reason, rule: name};
 }
 
-function decideAllowed(
+function evaluateAllowRule(
   {budget, key, name, rule}: CompiledAllow,
   context: ExpressionContext,
 ): Result<PolicyDecision, PolicyFailure> {
   const budgetName = budget(context);
   if (budgetName.isErr()) {
-    return err(evaluationFailed(name, budgetName.error.message));
+    return err(evaluationFailure(name, budgetName.error.message));
   }
-  const derived = key?.(context);
-  if (derived !== undefined && derived.isErr()) {
-    return err(evaluationFailed(name, derived.error.message));
+  const keyResult = key?.(context);
+  if (keyResult !== undefined && keyResult.isErr()) {
+    return err(evaluationFailure(name, keyResult.error.message));
   }
-  const derivedKey = derived?.value;
+  const derivedKey = keyResult?.value;
   const length = derivedKey?.length ?? 1;
   if (length === 0 || length > MAX_KEY_LENGTH) {
-    return err(evaluationFailed(name, `a key of ${length} characters`));
+    return err(
+      evaluationFailure(name, `invalid key length: ${length} characters`),
+    );
   }
   return ok({
     budget: budgetName.value,
--- a/packages/puffinturn-policy/src/__tests__/unit/PolicySet.test.ts
+++ b/packages/puffinturn-policy/src/__tests__/unit/PolicySet.test.ts
@@ -5,6 +5,10 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against requests that are allowed by the wrong rule or by a rule that fails, and
+ * against expressions without a bound on their cost.
+ */
 import fc from 'fast-check';
 import type {Declaration} from 'puffinturn-settings';
 
@@ -55,7 +59,7 @@
 }
 
 describe('PolicySet', () => {
-  test('the first rule that matches decides, in the order of policies', () => {
+  test('applies the first matching rule in the order of the policies', () => {
     const refuse = {
       action: 'refuse',
       name: 'late',
@@ -68,7 +72,7 @@
     expect(second._unsafeUnwrapErr().kind).toBe('refused');
   });
 
-  test('body, headers, budgets and time can be looked at', () => {
+  test('gives expressions the body, headers, budgets and time', () => {
     const when =
       'request.body.urgent && request.headers["x-shift"] == "morning" && budget["b"] > 4 && time.getFullYear() == 1970';
     const decision = decide([
@@ -77,22 +81,22 @@
     expect(decision).toMatchObject({key: 'A-1', marked: true});
   });
 
-  test('what no rule matches is refused', () => {
+  test('refuses a request that matches no rule', () => {
     const decision = decide([policy([ALLOW])], {...REQUEST, service: 'x'});
     expect(decision._unsafeUnwrapErr().kind).toBe('no-rule');
   });
 
-  test('a rule that fails on a request refuses it', () => {
+  test('refuses a request if a rule fails on it', () => {
     const rule = {...ALLOW, when: 'request.body.missing == "x"'};
     const decision = decide([policy([rule])]);
     expect(decision._unsafeUnwrapErr().kind).toBe('evaluation-failed');
   });
 
-  test('problems name file, path and column', () => {
+  test('reports the file, path and column of a problem', () => {
     const rule = {
       ...ALLOW,
       budget: 'request.promptTokens',
-      when: 'request.nope',
+      when: 'request.unknown',
     };
     const problems = checkPolicy(policy([rule]), 'p.json');
     expect(problems.map(({file, path}) => [file, path])).toEqual([
@@ -102,7 +106,7 @@
     expect(problems[0]?.found).toContain('column 9');
   });
 
-  test('expressions are bounded in size and loops', () => {
+  test('rejects expressions with too many nodes or comprehensions', () => {
     const long = Array.from({length: 400}, () => 'true').join(' && ');
     const nested =
       'request.body.a.all(x, request.body.b.all(y, request.body.c.all(z, true)))';
@@ -111,7 +115,7 @@
     }
   });
 
-  test('any body gives a decision or a typed failure', () => {
+  test('returns a decision or a typed failure for any body', () => {
     const rule = {...ALLOW, key: 'request.body.order'};
     const policies = [policy([rule])];
     fc.assert(
--- a/packages/puffinturn-policy/src/index.ts
+++ b/packages/puffinturn-policy/src/index.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Policies: who may spend what, which go first, which never repeat. */
+/** Policies: rules that allow or refuse requests and set their budget, pool and priority. */
 export type {PolicyRequest} from './PolicyRequest';
 export type {PolicyDecision, PolicyFailure} from './PolicySet';
 export {checkPolicy, PolicySet} from './PolicySet';
--- a/packages/puffinturn-routing/src/Choice.ts
+++ b/packages/puffinturn-routing/src/Choice.ts
@@ -5,117 +5,121 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** How one of several upstreams is chosen. */
+/** Load balancing policies: select the upstream of a request. */
 import type {Random} from 'shared';
 
 import type {PrefixIndex} from './PrefixIndex';
-import {PREFIX_LOAD_BOUND, PREFIX_SAVING} from './RoutingConstants';
+import {CACHED_PREFIX_SAVING, MAX_PREFIX_LOAD_RATIO} from './RoutingConstants';
 import type {Upstream} from './Upstream';
 
-/** What a choice may look at. */
-export interface ChoiceContext {
+/** Properties of the request and time of the selection. */
+export interface SelectionContext {
+  /** Current time, ms of the box's clock. */
   readonly now: number;
-  /** Hashes of the prompt's blocks, each over all before it. */
-  readonly prefix: readonly string[];
+  /** Hashes of the blocks of the prompt; each also covers the blocks before it. */
+  readonly blockHashes: readonly string[];
 }
 
-/** Picks an upstream. All candidates may be used; there is at least one. */
+/** Selects one of the candidates; there is at least one. */
 export abstract class Choice {
-  abstract choose(
+  abstract select(
     candidates: readonly Upstream[],
-    context: ChoiceContext,
+    context: SelectionContext,
   ): Upstream | undefined;
 }
 
-/** Baseline: any upstream. */
+/** Baseline: a random upstream. */
 export class RandomChoice extends Choice {
   constructor(private readonly random: Random) {
     super();
   }
 
-  override choose(candidates: readonly Upstream[]): Upstream | undefined {
+  override select(candidates: readonly Upstream[]): Upstream | undefined {
     return this.random.pick(candidates);
   }
 }
 
-/** Baseline: each upstream in turn. */
+/** Baseline: the upstreams in turn. */
 export class RoundRobinChoice extends Choice {
-  private turn = 0;
+  private position = 0;
 
-  override choose(candidates: readonly Upstream[]): Upstream | undefined {
-    this.turn += 1;
-    return candidates[this.turn % candidates.length];
+  override select(candidates: readonly Upstream[]): Upstream | undefined {
+    this.position += 1;
+    return candidates[this.position % candidates.length];
   }
 }
 
-/** Baseline: the upstream with the fewest requests of this box. */
+/** Baseline: the upstream with the fewest in-flight requests of this box. */
 export class LeastInFlightChoice extends Choice {
   constructor(private readonly random: Random) {
     super();
   }
 
-  override choose(candidates: readonly Upstream[]): Upstream | undefined {
-    const fewest = Math.min(...candidates.map(({inFlight}) => inFlight));
+  override select(candidates: readonly Upstream[]): Upstream | undefined {
+    const minInFlight = Math.min(...candidates.map(({inFlight}) => inFlight));
     return this.random.pick(
-      candidates.filter(({inFlight}) => inFlight === fewest),
+      candidates.filter(({inFlight}) => inFlight === minInFlight),
     );
   }
 }
 
 /**
- * The upstream with the least expected first-token time, from its load, its
- * observed speed and the part of the prompt that it has cached. Among a few
- * random candidates and the holder of the prefix, so that boxes with the same
- * stale news do not all pick the same one.
+ * Selects the upstream with the lowest expected time to first token, given its load, its
+ * latency and the cached share of the prompt. It compares a random sample and the
+ * upstreams that have the prompt cached, so that boxes with the same stale load reports
+ * select different upstreams.
  */
 export class ExpectedTimeChoice extends Choice {
   constructor(
     private readonly random: Random,
-    private readonly prefixes: PrefixIndex,
-    private readonly samples = 4,
+    private readonly prefixIndex: PrefixIndex,
+    private readonly sampleSize = 4,
   ) {
     super();
   }
 
-  override choose(
+  override select(
     candidates: readonly Upstream[],
-    context: ChoiceContext,
+    context: SelectionContext,
   ): Upstream | undefined {
-    const {now, prefix} = context;
-    const cached = this.prefixes.cachedShare(candidates, prefix);
-    const meanLoad = meanOf(candidates.map((one) => usedShare(one, now)));
+    const {blockHashes, now} = context;
+    const cachedShares = this.prefixIndex.cachedShares(candidates, blockHashes);
+    const meanUtilization = mean(
+      candidates.map((candidate) => utilization(candidate, now)),
+    );
     let best: Upstream | undefined;
-    let bestTime = Infinity;
-    for (const candidate of this.sample(candidates, cached)) {
-      const share = cached.get(candidate) ?? 0;
-      const crowded =
-        usedShare(candidate, now) > PREFIX_LOAD_BOUND * meanLoad + 0.1;
-      const saving = crowded ? 0 : share * PREFIX_SAVING;
-      const time = expectedTime(candidate, now) * (1 - saving);
-      if (time < bestTime) {
+    let bestFirstTokenMs = Infinity;
+    for (const candidate of this.sampleCandidates(candidates, cachedShares)) {
+      const cachedShare = cachedShares.get(candidate) ?? 0;
+      const isOverloaded =
+        utilization(candidate, now) >
+        MAX_PREFIX_LOAD_RATIO * meanUtilization + 0.1;
+      const saving = isOverloaded ? 0 : cachedShare * CACHED_PREFIX_SAVING;
+      const firstTokenMs = expectedFirstTokenMs(candidate, now) * (1 - saving);
+      if (firstTokenMs < bestFirstTokenMs) {
         best = candidate;
-        bestTime = time;
+        bestFirstTokenMs = firstTokenMs;
       }
     }
     return best;
   }
 
-  private sample(
+  private sampleCandidates(
     candidates: readonly Upstream[],
-    cached: ReadonlyMap<Upstream, number>,
+    cachedShares: ReadonlyMap<Upstream, number>,
   ): ReadonlySet<Upstream> {
-    if (candidates.length <= this.samples) {
+    if (candidates.length <= this.sampleSize) {
       return new Set(candidates);
     }
     const sampled = new Set<Upstream>();
-    while (sampled.size < this.samples) {
-      const one = this.random.pick(candidates);
-      if (one !== undefined) {
-        sampled.add(one);
+    while (sampled.size < this.sampleSize) {
+      const candidate = this.random.pick(candidates);
+      if (candidate !== undefined) {
+        sampled.add(candidate);
       }
     }
-    for (const [upstream, share] of cached) {
-      if (share > 0) {
+    for (const [upstream, cachedShare] of cachedShares) {
+      if (cachedShare > 0) {
         sampled.add(upstream);
       }
     }
@@ -123,17 +127,18 @@
   }
 }
 
-function meanOf(values: readonly number[]): number {
+function mean(values: readonly number[]): number {
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-function usedShare(upstream: Upstream, now: number): number {
-  return upstream.load(now) / upstream.spec.slots;
+function utilization(upstream: Upstream, now: number): number {
+  return upstream.estimateLoad(now) / upstream.spec.slots;
 }
 
-/** Grows slowly while slots are free and steeply once requests must queue. */
-function expectedTime(upstream: Upstream, now: number): number {
-  const used = (upstream.load(now) + 1) / upstream.spec.slots;
-  const queueing = Math.max(0, used - 1);
-  return upstream.firstTokenMs * (0.2 + used + 4 * queueing);
+/** Expected time to first token, ms; rises steeply once no slot is free. */
+function expectedFirstTokenMs(upstream: Upstream, now: number): number {
+  const utilizationAfter =
+    (upstream.estimateLoad(now) + 1) / upstream.spec.slots;
+  const excess = Math.max(0, utilizationAfter - 1);
+  return upstream.firstTokenMs * (0.2 + utilizationAfter + 4 * excess);
 }
--- a/packages/puffinturn-routing/src/Hedge.ts
+++ b/packages/puffinturn-routing/src/Hedge.ts
@@ -5,12 +5,12 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** When a slow request is sent to a second upstream. */
+/** Decides when a slow request is hedged, that is, also sent to a second upstream. */
 import type {Histogram} from 'hdr-histogram-js';
 import {build} from 'hdr-histogram-js';
 
 import {ShareRetryBudget} from './RetryBudget';
-import {HEDGE_SHARE} from './RoutingConstants';
+import {HEDGE_RATIO} from './RoutingConstants';
 
 const MIN_OBSERVATIONS = 50;
 const WINDOW_OBSERVATIONS = 2_000;
@@ -25,36 +25,36 @@
   });
 }
 
-/** Learns a pool's first-token times and allows a bounded share of hedges. */
+/** Hedging policy of a pool: delays hedges to a high percentile and bounds their number. */
 export class Hedge {
   private current = newHistogram();
-  private former: Histogram | undefined;
+  private previous: Histogram | undefined;
   private readonly budget: ShareRetryBudget;
 
-  constructor(share = HEDGE_SHARE) {
-    this.budget = new ShareRetryBudget(share, 1);
+  constructor(ratio = HEDGE_RATIO) {
+    this.budget = new ShareRetryBudget(ratio, 1);
   }
 
-  /** Notes a first-token time. */
+  /** Records a time to first token and adds the request to the hedge budget. */
   observe(firstTokenMs: number): void {
     this.budget.earn();
     const value = Math.min(MAX_TRACKED_MS, Math.max(1, firstTokenMs));
     this.current.recordValue(Math.round(value));
     if (this.current.totalCount >= WINDOW_OBSERVATIONS) {
-      this.former = this.current;
+      this.previous = this.current;
       this.current = newHistogram();
     }
   }
 
-  /** Time after which a second upstream may be tried, ms. */
+  /** Delay before a request is hedged, ms; `Infinity` until enough responses are recorded. */
   get afterMs(): number {
-    const known = this.former ?? this.current;
-    return known.totalCount < MIN_OBSERVATIONS
+    const histogram = this.previous ?? this.current;
+    return histogram.totalCount < MIN_OBSERVATIONS
       ? Infinity
-      : known.getValueAtPercentile(HEDGE_PERCENTILE);
+      : histogram.getValueAtPercentile(HEDGE_PERCENTILE);
   }
 
-  /** Takes one hedge from the budget. */
+  /** Takes one hedge from the budget; false if it is exhausted. */
   spend(): boolean {
     return this.budget.spend();
   }
--- a/packages/puffinturn-routing/src/Limit.ts
+++ b/packages/puffinturn-routing/src/Limit.ts
@@ -5,99 +5,99 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** How many requests of this box may run on an upstream at once. */
+/** Concurrency limits of one box per upstream. */
 import type {Clock} from 'shared';
 
 import {
-  LIMIT_DECREASE,
-  LIMIT_HEADROOM,
-  LIMIT_PAUSE_MS,
-  LIMIT_TARGET_SHARE,
+  LATE_FIRST_TOKEN_SHARE,
+  LIMIT_DECREASE_FACTOR,
+  LIMIT_DECREASE_INTERVAL_MS,
+  MAX_LIMIT_SHARE,
   MIN_LIMIT_SHARE,
 } from './RoutingConstants';
 import type {Upstream} from './Upstream';
 
-/** Live boxes that share the upstreams, this one included. */
+/** Returns the number of live boxes, this one included. */
 export type BoxCount = () => number;
 
-/** Bounds the requests of this box on each upstream. */
+/** Limits the concurrent requests of this box per upstream. */
 export abstract class Limit {
-  /** Requests that this box may have there in all. */
-  abstract allowed(upstream: Upstream): number;
+  /** Maximum number of requests that this box may have in flight on an upstream. */
+  abstract maxInFlight(upstream: Upstream): number;
 
-  /** Notes a first-token time against the pool's target. */
-  abstract observe(
+  /** Records a time to first token and the pool's target for it. */
+  abstract recordFirstToken(
     upstream: Upstream,
     firstTokenMs: number,
     targetMs: number,
   ): void;
 }
 
-/** Baseline: every box may fill an equal share of the slots. */
+/** Baseline: an equal share of the slots for every box. */
 export class StaticLimit extends Limit {
-  constructor(private readonly boxes: BoxCount) {
+  constructor(private readonly boxCount: BoxCount) {
     super();
   }
 
-  override allowed({spec}: Upstream): number {
-    return Math.max(1, Math.floor(spec.slots / this.boxes()));
+  override maxInFlight({spec}: Upstream): number {
+    return Math.max(1, Math.floor(spec.slots / this.boxCount()));
   }
 
-  override observe(): void {}
+  override recordFirstToken(): void {}
 }
 
 /**
- * A limit for the whole fleet on each upstream that shrinks while first tokens
- * come late and grows back slowly, less what the other boxes use. A box always
- * keeps a small share, so that one that joins is not shut out.
+ * An AIMD limit per upstream for the whole fleet, less the requests of the other boxes.
+ * It decreases when first tokens are late. Every box keeps a minimum share, so that
+ * a new box is not starved.
  */
 export class AdaptiveLimit extends Limit {
-  private readonly limits = new Map<Upstream, number>();
-  private readonly loweredAt = new Map<Upstream, number>();
+  private readonly fleetLimits = new Map<Upstream, number>();
+  private readonly decreasedAt = new Map<Upstream, number>();
 
   constructor(
-    private readonly boxes: BoxCount,
+    private readonly boxCount: BoxCount,
     private readonly clock: Clock,
   ) {
     super();
   }
 
-  override allowed(upstream: Upstream): number {
+  override maxInFlight(upstream: Upstream): number {
     const limit = this.fleetLimit(upstream);
-    const floor = Math.max(1, Math.floor(limit / (2 * this.boxes())));
-    return Math.max(floor, Math.floor(limit - upstream.othersInFlight));
+    const ownShare = Math.max(1, Math.floor(limit / (2 * this.boxCount())));
+    return Math.max(ownShare, Math.floor(limit - upstream.othersInFlight));
   }
 
-  override observe(
+  override recordFirstToken(
     upstream: Upstream,
     firstTokenMs: number,
     targetMs: number,
   ): void {
     const {slots} = upstream.spec;
     const limit = this.fleetLimit(upstream);
-    const late = firstTokenMs > targetMs * LIMIT_TARGET_SHARE;
-    const next = late
-      ? this.lowered(upstream, limit)
+    const isLate = firstTokenMs > targetMs * LATE_FIRST_TOKEN_SHARE;
+    const nextLimit = isLate
+      ? this.decrease(upstream, limit)
       : limit + slots / limit / 4;
-    const lowest = Math.max(1, slots * MIN_LIMIT_SHARE);
-    this.limits.set(
+    const minLimit = Math.max(1, slots * MIN_LIMIT_SHARE);
+    this.fleetLimits.set(
       upstream,
-      Math.max(lowest, Math.min(slots * LIMIT_HEADROOM, next)),
+      Math.max(minLimit, Math.min(slots * MAX_LIMIT_SHARE, nextLimit)),
     );
   }
 
-  /** Lowers at most once in a while, as answers in flight are late together. */
-  private lowered(upstream: Upstream, limit: number): number {
+  /** Decreases the limit once per interval, as concurrent responses are late together. */
+  private decrease(upstream: Upstream, limit: number): number {
     const now = this.clock.now();
-    const last = this.loweredAt.get(upstream) ?? -Infinity;
-    if (now - last < LIMIT_PAUSE_MS) {
+    const lastDecreaseAt = this.decreasedAt.get(upstream) ?? -Infinity;
+    if (now - lastDecreaseAt < LIMIT_DECREASE_INTERVAL_MS) {
       return limit;
     }
-    this.loweredAt.set(upstream, now);
-    return limit * LIMIT_DECREASE;
+    this.decreasedAt.set(upstream, now);
+    return limit * LIMIT_DECREASE_FACTOR;
   }
 
   private fleetLimit(upstream: Upstream): number {
-    return this.limits.get(upstream) ?? upstream.spec.slots;
+    return this.fleetLimits.get(upstream) ?? upstream.spec.slots;
   }
 }
--- a/packages/puffinturn-routing/src/PrefixIndex.ts
+++ b/packages/puffinturn-routing/src/PrefixIndex.ts
@@ -6,81 +6,89 @@
  */
 
 /**
- * Which upstreams probably hold which prompt prefixes. Learned from requests
- * that this box sent and from cache events, which come late and with gaps.
+ * Estimates which upstreams have which prompt prefixes cached, from the requests of this
+ * box and from cache events, which may be late or lost.
  */
 import {LRUCache} from 'lru-cache';
 import xxhash from 'xxhash-wasm';
 
 import {
   MAX_PREFIX_BLOCKS,
-  PREFIX_BLOCK_BYTES,
-  PREFIX_INDEX_BLOCKS,
-  PRESUMED_SHARES,
-  RENDEZVOUS_BLOCK,
+  PREFIX_BLOCK_LENGTH,
+  PREFIX_INDEX_CAPACITY,
+  RENDEZVOUS_BLOCK_INDEX,
+  RENDEZVOUS_CACHED_SHARES,
 } from './RoutingConstants';
 import type {Upstream} from './Upstream';
 
 const {h64ToString} = await xxhash();
 
-/** Hashes of a prompt's blocks; each covers all blocks before it too. */
+/** Hashes of the blocks of a prompt; each also covers the blocks before it. */
 export function prefixBlocks(prompt: string): string[] {
   const blocks: string[] = [];
-  let former = '';
-  const whole = Math.floor(prompt.length / PREFIX_BLOCK_BYTES);
-  for (let at = 0; at < Math.min(whole, MAX_PREFIX_BLOCKS); at += 1) {
-    const start = at * PREFIX_BLOCK_BYTES;
-    const block = prompt.slice(start, start + PREFIX_BLOCK_BYTES);
-    former = h64ToString(former + block);
-    blocks.push(former);
+  let previousHash = '';
+  const blockCount = Math.floor(prompt.length / PREFIX_BLOCK_LENGTH);
+  for (
+    let index = 0;
+    index < Math.min(blockCount, MAX_PREFIX_BLOCKS);
+    index += 1
+  ) {
+    const start = index * PREFIX_BLOCK_LENGTH;
+    const block = prompt.slice(start, start + PREFIX_BLOCK_LENGTH);
+    previousHash = h64ToString(previousHash + block);
+    blocks.push(previousHash);
   }
   return blocks;
 }
 
-/** The first upstreams by a hash of prompt start and name. */
-function presumedHolders(
+/** First upstreams of the rendezvous order for the start of the prompt. */
+function rendezvousHolders(
   candidates: readonly Upstream[],
-  prefix: readonly string[],
+  blockHashes: readonly string[],
 ): Upstream[] {
-  const start = prefix[Math.min(RENDEZVOUS_BLOCK, prefix.length - 1)] ?? '';
+  const startHash =
+    blockHashes[Math.min(RENDEZVOUS_BLOCK_INDEX, blockHashes.length - 1)] ?? '';
   return candidates
-    .map((upstream) => ({hash: h64ToString(start + upstream.name), upstream}))
+    .map((upstream) => ({
+      hash: h64ToString(startHash + upstream.name),
+      upstream,
+    }))
     .sort((a, b) => (a.hash < b.hash ? -1 : 1))
-    .slice(0, PRESUMED_SHARES.length)
+    .slice(0, RENDEZVOUS_CACHED_SHARES.length)
     .map(({upstream}) => upstream);
 }
 
-/** See the module comment. */
+/** Index from prompt blocks to the upstreams that probably have them cached. */
 export class PrefixIndex {
-  private readonly holders: LRUCache<string, Set<string>>;
-  private readonly sequences = new Map<string, number>();
+  private readonly holdersByBlock: LRUCache<string, Set<string>>;
+  private readonly nextSequences = new Map<string, number>();
 
-  constructor(capacity = PREFIX_INDEX_BLOCKS) {
-    this.holders = new LRUCache({max: capacity});
+  constructor(capacity = PREFIX_INDEX_CAPACITY) {
+    this.holdersByBlock = new LRUCache({max: capacity});
   }
 
   /**
-   * Share of a prompt that each candidate probably has cached. Where nothing
-   * is known, all boxes presume the same few upstreams, by rendezvous hashing
-   * of the prompt's start, so that they need not tell each other.
+   * Share of a prompt that each candidate probably has cached. For a prompt that is not
+   * in the index, rendezvous hashing lets all boxes select the same upstreams without
+   * communication.
    */
-  cachedShare(
+  cachedShares(
     candidates: readonly Upstream[],
-    prefix: readonly string[],
+    blockHashes: readonly string[],
   ): Map<Upstream, number> {
     const shares = new Map<Upstream, number>();
-    if (prefix.length === 0) {
+    if (blockHashes.length === 0) {
       return shares;
     }
-    presumedHolders(candidates, prefix).forEach((upstream, rank) =>
-      shares.set(upstream, PRESUMED_SHARES[rank] ?? 0),
+    rendezvousHolders(candidates, blockHashes).forEach((upstream, rank) =>
+      shares.set(upstream, RENDEZVOUS_CACHED_SHARES[rank] ?? 0),
     );
-    const found = prefix.map((block) => this.holders.get(block));
+    const holders = blockHashes.map((block) => this.holdersByBlock.get(block));
     for (const candidate of candidates) {
       const {name} = candidate;
-      const missing = found.findIndex((names) => names?.has(name) !== true);
-      const held = missing === -1 ? prefix.length : missing;
-      const share = held / prefix.length;
+      const firstMiss = holders.findIndex((names) => names?.has(name) !== true);
+      const cachedBlocks = firstMiss === -1 ? blockHashes.length : firstMiss;
+      const share = cachedBlocks / blockHashes.length;
       if (share > (shares.get(candidate) ?? 0)) {
         shares.set(candidate, share);
       }
@@ -88,34 +96,34 @@
     return shares;
   }
 
-  /** Notes that an upstream has just computed a prompt. */
-  learn(upstream: string, prefix: readonly string[]): void {
-    for (const block of prefix) {
-      const names = this.holders.get(block) ?? new Set();
-      this.holders.set(block, names.add(upstream));
+  /** Records that an upstream has processed a prompt. */
+  learn(upstream: string, blockHashes: readonly string[]): void {
+    for (const block of blockHashes) {
+      const names = this.holdersByBlock.get(block) ?? new Set();
+      this.holdersByBlock.set(block, names.add(upstream));
     }
   }
 
-  /** Takes over cache events; a gap in their numbers forgets the upstream. */
-  noteEvents(
+  /** Applies cache evictions; a gap in the sequence numbers removes the upstream. */
+  applyCacheEvents(
     upstream: string,
-    firstNumber: number,
-    removed: readonly string[],
-    nextNumber: number,
+    firstSequence: number,
+    removedBlocks: readonly string[],
+    nextSequence: number,
   ): void {
-    const expected = this.sequences.get(upstream);
-    if (expected !== undefined && expected !== firstNumber) {
-      this.forget(upstream);
+    const expectedSequence = this.nextSequences.get(upstream);
+    if (expectedSequence !== undefined && expectedSequence !== firstSequence) {
+      this.removeUpstream(upstream);
     }
-    this.sequences.set(upstream, nextNumber);
-    for (const block of removed) {
-      this.holders.get(block)?.delete(upstream);
+    this.nextSequences.set(upstream, nextSequence);
+    for (const block of removedBlocks) {
+      this.holdersByBlock.get(block)?.delete(upstream);
     }
   }
 
-  /** Forgets all that is known of an upstream. */
-  forget(upstream: string): void {
-    for (const names of this.holders.values()) {
+  /** Removes an upstream from all blocks. */
+  removeUpstream(upstream: string): void {
+    for (const names of this.holdersByBlock.values()) {
       names.delete(upstream);
     }
   }
--- a/packages/puffinturn-routing/src/RetryBudget.ts
+++ b/packages/puffinturn-routing/src/RetryBudget.ts
@@ -5,39 +5,39 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Bounds retries and hedges, so that trouble is not amplified. */
+/** Bounds retries and hedged requests, so that failures do not multiply the load. */
 import type {Random} from 'shared';
 
 import {
-  BACKOFF_MS,
+  INITIAL_BACKOFF_MS,
   MAX_BACKOFF_MS,
-  RETRY_RESERVE,
-  RETRY_SHARE,
+  RETRY_BURST,
+  RETRY_RATIO,
 } from './RoutingConstants';
 
-/** Whether one more retry may be made. */
+/** Limits the number of retries. */
 export abstract class RetryBudget {
-  /** Notes a first attempt. */
+  /** Adds the first attempt of a request to the budget. */
   abstract earn(): void;
 
-  /** Takes one retry; false when there is none left. */
+  /** Takes one retry from the budget; false if it is exhausted. */
   abstract spend(): boolean;
 }
 
-/** Retries as a share of the requests, with a small reserve. */
+/** A token bucket that each request fills by a fraction of a retry. */
 export class ShareRetryBudget extends RetryBudget {
   private tokens: number;
 
   constructor(
-    private readonly share = RETRY_SHARE,
-    private readonly reserve = RETRY_RESERVE,
+    private readonly ratio = RETRY_RATIO,
+    private readonly burst = RETRY_BURST,
   ) {
     super();
-    this.tokens = reserve;
+    this.tokens = burst;
   }
 
   override earn(): void {
-    this.tokens = Math.min(this.reserve, this.tokens + this.share);
+    this.tokens = Math.min(this.burst, this.tokens + this.ratio);
   }
 
   override spend(): boolean {
@@ -49,7 +49,7 @@
   }
 }
 
-/** Baseline: always one more. */
+/** Baseline: allows every retry. */
 export class UnlimitedRetryBudget extends RetryBudget {
   override earn(): void {}
 
@@ -58,8 +58,11 @@
   }
 }
 
-/** Pause before a retry: exponential with full jitter, ms. */
+/** Delay before a retry, ms: exponential back-off with full jitter. */
 export function backoffMs(attempt: number, random: Random): number {
-  const longest = Math.min(MAX_BACKOFF_MS, BACKOFF_MS * 2 ** attempt);
-  return random.fraction() * longest;
+  const maxDelayMs = Math.min(
+    MAX_BACKOFF_MS,
+    INITIAL_BACKOFF_MS * 2 ** attempt,
+  );
+  return random.fraction() * maxDelayMs;
 }
--- a/packages/puffinturn-routing/src/Router.ts
+++ b/packages/puffinturn-routing/src/Router.ts
@@ -6,9 +6,8 @@
  */
 
 /**
- * Gives requests a place on an upstream of their pool: at once when there is
- * room, else in the order of the queue, or not at all when the deadline cannot
- * be met. A place ends when its lease is disposed.
+ * Assigns requests to the upstreams of one pool. Requests are queued while no upstream has
+ * a free slot, and rejected when they cannot meet their deadline.
  */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
@@ -16,380 +15,416 @@
 import type {Clock, Failure} from 'shared';
 
 import type {Choice} from './Choice';
-import {Circuit} from './Circuit';
+import {CircuitBreaker} from './CircuitBreaker';
 import type {Limit} from './Limit';
+import type {QueuedRequest, RequestQueue} from './RequestQueue';
 import {
   MAX_EJECTED_SHARE,
-  MAX_WAITING,
-  STANDING_MS,
-  STANDING_WAIT_SHARE,
+  MAX_QUEUED_REQUESTS,
+  STANDING_QUEUE_MS,
+  STANDING_QUEUE_WAIT_SHARE,
 } from './RoutingConstants';
 import {Upstream} from './Upstream';
-import type {WaitingQueue, WaitingRequest} from './WaitingQueue';
 
-/** A request for a place. */
-export interface PlaceRequest extends Omit<WaitingRequest, 'since'> {
+/** A request for a slot on an upstream. */
+export interface PlaceRequest extends Omit<QueuedRequest, 'enqueuedAt'> {
+  /** Hashes of the blocks of the prompt; each also covers the blocks before it. */
   readonly prefix: readonly string[];
-  /** Upstreams that this request has tried. */
+  /** Names of the upstreams that this request has already tried. */
   readonly avoid: ReadonlySet<string>;
-  /** Aborted when the caller has gone. */
+  /** Aborted when the caller disconnects. */
   readonly signal?: AbortSignal | undefined;
 }
 
-/** Why there is no place. Nothing was sent anywhere. */
-export type PlaceFailure =
+/** Why no slot was assigned. The request was not sent. */
+export type AcquireFailure =
   | (Failure<'overloaded'> & {readonly retryAfterMs: number})
   | Failure<'caller-gone'>
   | Failure<'no-upstream'>;
 
-/** What a router is made of. */
+/** Dependencies and settings of a router. */
 export interface RouterParts {
   readonly pool: string;
   readonly clock: Clock;
   readonly choice: Choice;
   readonly limit: Limit;
-  readonly queue: WaitingQueue<Waiter>;
-  /** First-token target, ms. */
+  readonly queue: RequestQueue<Waiter>;
+  /** Target of the time to first token, ms. */
   readonly targetMs: number;
-  /** Whether a request that cannot meet its deadline is refused early. */
+  /** Whether a request that cannot meet its deadline is rejected early; true by default. */
   readonly refusesEarly?: boolean;
 }
 
-interface Waiter extends WaitingRequest {
+/** A queued request and the callback that settles its promise. */
+interface Waiter extends QueuedRequest {
   readonly request: PlaceRequest;
-  readonly settle: (result: Result<Place, PlaceFailure>) => void;
+  readonly settle: (result: Result<Place, AcquireFailure>) => void;
 }
 
-interface Member {
+interface UpstreamEntry {
   readonly upstream: Upstream;
-  readonly circuit: Circuit;
+  readonly circuitBreaker: CircuitBreaker;
 }
 
-const THROUGHPUT_SMOOTHING = 0.05;
+const RELEASE_INTERVAL_EWMA_WEIGHT = 0.05;
 
-/** A place on an upstream. */
+/** A slot on an upstream for one request; disposal releases it. */
 export class Place implements Disposable {
-  private ended = false;
+  private isReleased = false;
 
   constructor(
     readonly upstream: Upstream,
-    private readonly circuit: Circuit,
+    private readonly circuitBreaker: CircuitBreaker,
     private readonly limit: Limit,
     private readonly targetMs: number,
-    private readonly onEnd: () => void,
+    private readonly onRelease: () => void,
   ) {
     upstream.inFlight += 1;
     upstream.sentSinceReport += 1;
-    circuit.sent();
+    circuitBreaker.recordRequest();
   }
 
-  /** Whether the upstream takes no new work any more. */
+  /** Whether the upstream is draining. */
   get isLeaving(): boolean {
     return this.upstream.leaving;
   }
 
-  /** Notes the time to the first token or answer. */
+  /** Records the time to the first token or response. */
   answered(firstTokenMs: number): void {
-    this.circuit.succeeded();
-    this.upstream.observe(firstTokenMs);
-    this.limit.observe(this.upstream, firstTokenMs, this.targetMs);
+    this.circuitBreaker.recordSuccess();
+    this.upstream.recordFirstToken(firstTokenMs);
+    this.limit.recordFirstToken(this.upstream, firstTokenMs, this.targetMs);
   }
 
-  /** Notes that the upstream failed. */
+  /** Records a failure of the upstream. */
   failed(): void {
-    this.circuit.failed();
+    this.circuitBreaker.recordFailure();
   }
 
-  /** Ends the place where nothing was sent: it tells nothing of how long requests take. */
+  /** Releases the slot without a request, which leaves the release interval unchanged. */
   giveBack(): void {
-    if (!this.ended) {
-      this.ended = true;
+    if (!this.isReleased) {
+      this.isReleased = true;
       this.upstream.inFlight -= 1;
       this.upstream.sentSinceReport -= 1;
-      this.circuit.unsent();
+      this.circuitBreaker.cancelRequest();
     }
   }
 
   [Symbol.dispose](): void {
-    if (!this.ended) {
-      this.ended = true;
+    if (!this.isReleased) {
+      this.isReleased = true;
       this.upstream.inFlight -= 1;
-      this.onEnd();
+      this.onRelease();
     }
   }
 }
 
-/** See the module comment. */
+/** Assigns requests to the upstreams of one pool. */
 export class Router {
-  private readonly members = new Map<string, Member>();
-  /** Moving average of the time between two places that end, ms. */
-  private endIntervalMs: number | undefined;
-  private lastEnd = 0;
-  /** Since when the queue has been long without a break. */
-  private longSince: number | undefined;
+  private readonly entries = new Map<string, UpstreamEntry>();
+  /** EWMA of the time between two releases of slots, ms. */
+  private releaseIntervalMs: number | undefined;
+  private lastReleaseAt = 0;
+  /** Start of the period in which the queue has been long, ms. */
+  private standingSince: number | undefined;
 
   constructor(private readonly parts: RouterParts) {}
 
-  /** Upstreams that are known. */
+  /** All upstreams of the pool. */
   get upstreams(): Upstream[] {
-    return [...this.members.values()].map(({upstream}) => upstream);
+    return [...this.entries.values()].map(({upstream}) => upstream);
   }
 
-  /** Requests that wait. */
+  /** Number of queued requests. */
   get waiting(): number {
     return this.parts.queue.size;
   }
 
-  /** Takes over the declared upstreams; state of those that stay is kept. */
+  /** Sets the upstreams of the pool; those that remain keep their state. */
   declare(specs: readonly UpstreamSpec[]): void {
     const names = new Set(specs.map(({name}) => name));
-    for (const name of this.members.keys()) {
+    for (const name of this.entries.keys()) {
       if (!names.has(name)) {
-        this.members.delete(name);
+        this.entries.delete(name);
       }
     }
     for (const spec of specs) {
-      const known = this.members.get(spec.name);
-      if (known !== undefined) {
-        known.upstream.spec = spec;
+      const existing = this.entries.get(spec.name);
+      if (existing !== undefined) {
+        existing.upstream.spec = spec;
         continue;
       }
       const upstream = new Upstream(this.parts.pool, spec, this.parts.clock);
-      const circuit = new Circuit(this.parts.clock);
-      this.members.set(spec.name, {circuit, upstream});
+      const circuitBreaker = new CircuitBreaker(this.parts.clock);
+      this.entries.set(spec.name, {circuitBreaker, upstream});
     }
     this.serveWaiting();
   }
 
-  /** Marks upstreams as leaving or not, by name. */
-  markLeaving(isLeaving: (name: string) => boolean): void {
-    for (const {upstream} of this.members.values()) {
-      upstream.leaving = isLeaving(upstream.name);
+  /** Sets which upstreams are draining. */
+  markLeaving(isDraining: (name: string) => boolean): void {
+    for (const {upstream} of this.entries.values()) {
+      upstream.leaving = isDraining(upstream.name);
     }
     this.serveWaiting();
   }
 
-  /** A place, at once or after a wait. */
-  acquire(request: PlaceRequest): Promise<Result<Place, PlaceFailure>> {
-    const usable = this.usable();
-    if (usable.length === 0) {
-      return Promise.resolve(err(this.unserved()));
+  /** Resolves with a slot at once or after queueing, or with the reason of the rejection. */
+  acquire(request: PlaceRequest): Promise<Result<Place, AcquireFailure>> {
+    const available = this.getAvailableEntries();
+    if (available.length === 0) {
+      return Promise.resolve(err(this.unavailableFailure()));
     }
-    const place = this.parts.queue.size === 0 ? this.place(request) : undefined;
-    if (place !== undefined) {
-      return Promise.resolve(ok(place));
+    const slot =
+      this.parts.queue.size === 0 ? this.tryReserve(request) : undefined;
+    if (slot !== undefined) {
+      return Promise.resolve(ok(slot));
     }
-    const refusal = this.earlyRefusal(request);
-    return refusal === undefined
-      ? this.wait(request)
-      : Promise.resolve(err(refusal));
+    const failure = this.checkAdmission(request);
+    return failure === undefined
+      ? this.enqueue(request)
+      : Promise.resolve(err(failure));
   }
 
-  /**
-   * Gives free places to waiting requests. While all upstreams rest, none comes free
-   * before the first rest ends, and those that wait are refused at once.
-   */
+  /** Assigns free slots to queued requests; rejects them all if all upstreams are paused. */
   serveWaiting(): void {
     const {queue} = this.parts;
-    if (queue.size > 0 && this.restLeftMs !== undefined) {
-      this.refuseWaiting(this.unserved());
+    if (queue.size > 0 && this.remainingPauseMs !== undefined) {
+      this.rejectQueued(this.unavailableFailure());
     }
-    while (queue.size > 0 && this.hasRoom()) {
-      const waiter = this.popInTime();
+    while (queue.size > 0 && this.hasCapacity()) {
+      const waiter = this.popUnexpired();
       if (waiter === undefined) {
         return;
       }
       const {request} = waiter;
-      const place = this.place(request) ?? this.place(request, true);
-      if (place === undefined) {
+      const slot = this.tryReserve(request) ?? this.tryReserve(request, true);
+      if (slot === undefined) {
         queue.push(waiter);
         return;
       }
-      waiter.settle(ok(place));
+      waiter.settle(ok(slot));
     }
   }
 
-  private refuseWaiting(failure: PlaceFailure): void {
+  private rejectQueued(failure: AcquireFailure): void {
     const {queue} = this.parts;
     while (queue.size > 0) {
       queue.pop()?.settle(err(failure));
     }
   }
 
-  /** The next waiting request; refuses those whose deadline has passed. */
-  private popInTime(): Waiter | undefined {
+  /** Removes and returns the next request; rejects those whose deadline has passed. */
+  private popUnexpired(): Waiter | undefined {
     const {clock, queue} = this.parts;
     for (;;) {
       const waiter = queue.pop();
       if (waiter === undefined || waiter.deadline > clock.now()) {
         return waiter;
       }
-      waiter.settle(err(this.overloaded('the deadline has passed')));
+      waiter.settle(
+        err(
+          this.overloadedFailure(
+            'the deadline passed while the request was queued',
+          ),
+        ),
+      );
     }
   }
 
-  private wait(request: PlaceRequest): Promise<Result<Place, PlaceFailure>> {
+  private enqueue(
+    request: PlaceRequest,
+  ): Promise<Result<Place, AcquireFailure>> {
     const {clock, queue} = this.parts;
     return new Promise((resolve) => {
-      const done = new AbortController();
+      const timeout = new AbortController();
       const {cost, deadline, priority, signal, team, weight} = request;
-      const settle = (result: Result<Place, PlaceFailure>): void => {
-        done.abort();
-        signal?.removeEventListener('abort', giveUp);
+      const settle = (result: Result<Place, AcquireFailure>): void => {
+        timeout.abort();
+        signal?.removeEventListener('abort', onAbort);
         resolve(result);
       };
       const waiter = {
         cost,
         deadline,
+        enqueuedAt: clock.now(),
         priority,
         request,
         settle,
-        since: clock.now(),
         team,
         weight,
       };
-      const giveUp = (): void => {
+      const onAbort = (): void => {
         queue.remove(waiter);
-        settle(err({kind: 'caller-gone', message: 'the caller has gone'}));
+        settle(err({kind: 'caller-gone', message: 'the caller disconnected'}));
       };
-      signal?.addEventListener('abort', giveUp, {once: true});
+      signal?.addEventListener('abort', onAbort, {once: true});
       queue.push(waiter);
-      void clock.sleep(deadline - clock.now(), done.signal).then(() => {
+      void clock.sleep(deadline - clock.now(), timeout.signal).then(() => {
         if (queue.remove(waiter)) {
-          settle(err(this.overloaded('no upstream came free in time')));
+          settle(
+            err(
+              this.overloadedFailure(
+                'no upstream had a free slot before the deadline',
+              ),
+            ),
+          );
         }
       });
     });
   }
 
-  private earlyRefusal(request: PlaceRequest): PlaceFailure | undefined {
+  /** Returns the failure of a request that is rejected early. */
+  private checkAdmission(request: PlaceRequest): AcquireFailure | undefined {
     const {clock, queue, refusesEarly} = this.parts;
     if (refusesEarly === false) {
       return undefined;
     }
-    if (queue.size >= MAX_WAITING) {
-      const message = 'too many requests wait';
-      if (!this.makeRoom(request, message)) {
-        return this.overloaded(message);
+    if (queue.size >= MAX_QUEUED_REQUESTS) {
+      const message = 'the request queue is full';
+      if (!this.shedLessUrgent(request, message)) {
+        return this.overloadedFailure(message);
       }
     }
     if (request.priority === 0) {
       return undefined;
     }
-    // The estimate is rough: only a clear miss is refused ahead of time.
-    const waitMs = queue.size * (this.endIntervalMs ?? 0);
+    // The estimate is rough: reject only if half of it exceeds the deadline.
+    const waitMs = queue.size * (this.releaseIntervalMs ?? 0);
     if (clock.now() + waitMs / 2 > request.deadline) {
-      return this.overloaded('the deadline cannot be met');
+      return this.overloadedFailure(
+        'the expected queue time exceeds the deadline',
+      );
     }
-    const message = 'more comes than the pool can serve';
-    if (!this.stands(waitMs) || this.makeRoom(request, message)) {
+    const message = 'the request rate exceeds the capacity of the pool';
+    if (
+      !this.isQueueStanding(waitMs) ||
+      this.shedLessUrgent(request, message)
+    ) {
       return undefined;
     }
-    return this.overloaded(message);
+    return this.overloadedFailure(message);
   }
 
   /**
-   * Whether the queue has been long for a while. A burst may queue up to its
-   * deadlines, but a queue that stands only makes everything late.
+   * Whether the queue has been long for some time. A burst may queue, but a standing queue
+   * only delays every request.
    */
-  private stands(waitMs: number): boolean {
+  private isQueueStanding(waitMs: number): boolean {
     const now = this.parts.clock.now();
-    if (waitMs < this.parts.targetMs * STANDING_WAIT_SHARE) {
-      this.longSince = undefined;
+    if (waitMs < this.parts.targetMs * STANDING_QUEUE_WAIT_SHARE) {
+      this.standingSince = undefined;
       return false;
     }
-    this.longSince ??= now;
-    return now - this.longSince > STANDING_MS;
+    this.standingSince ??= now;
+    return now - this.standingSince > STANDING_QUEUE_MS;
   }
 
-  /** Sheds a waiting request that matters less than a new one. */
-  private makeRoom(request: PlaceRequest, message: string): boolean {
-    const shed = this.parts.queue.shed(request);
-    shed?.settle(err(this.overloaded(message)));
-    return shed !== undefined;
+  /** Sheds a queued request that is less important than a new one; false if there is none. */
+  private shedLessUrgent(request: PlaceRequest, message: string): boolean {
+    const victim = this.parts.queue.shed(request);
+    victim?.settle(err(this.overloadedFailure(message)));
+    return victim !== undefined;
   }
 
-  /** Why there is no place while no upstream takes work. */
-  private unserved(): PlaceFailure {
+  /** Failure of a request while no upstream is available. */
+  private unavailableFailure(): AcquireFailure {
     const {pool} = this.parts;
-    const retryAfterMs = this.restLeftMs;
+    const retryAfterMs = this.remainingPauseMs;
     return retryAfterMs === undefined
-      ? {kind: 'no-upstream', message: `no upstream of ${pool} takes work`}
+      ? {kind: 'no-upstream', message: `no upstream of ${pool} is available`}
       : {
           kind: 'overloaded',
-          message: `all upstreams of ${pool} rest, or take no more for now`,
+          message: `all upstreams of ${pool} are paused or at their rate limit`,
           retryAfterMs,
         };
   }
 
-  private overloaded(message: string): PlaceFailure {
-    const drainMs = this.parts.queue.size * (this.endIntervalMs ?? 100);
-    const retryAfterMs = Math.min(30_000, Math.max(1_000, drainMs));
+  private overloadedFailure(message: string): AcquireFailure {
+    const queueTimeMs = this.parts.queue.size * (this.releaseIntervalMs ?? 100);
+    const retryAfterMs = Math.min(30_000, Math.max(1_000, queueTimeMs));
     return {kind: 'overloaded', message, retryAfterMs};
   }
 
-  private place(request: PlaceRequest, again = false): Place | undefined {
-    const free = this.usable().filter(({upstream}) => this.isFree(upstream));
-    const untried = free.filter(
-      ({upstream}) => again || !request.avoid.has(upstream.name),
+  private tryReserve(
+    request: PlaceRequest,
+    includesTried = false,
+  ): Place | undefined {
+    const free = this.getAvailableEntries().filter(({upstream}) =>
+      this.hasFreeSlot(upstream),
     );
-    if (untried.length === 0) {
+    const candidates = free.filter(
+      ({upstream}) => includesTried || !request.avoid.has(upstream.name),
+    );
+    if (candidates.length === 0) {
       return undefined;
     }
-    const context = {now: this.parts.clock.now(), prefix: request.prefix};
-    const upstreams = untried.map(({upstream}) => upstream);
-    const chosen = this.parts.choice.choose(upstreams, context);
-    const member = untried.find(({upstream}) => upstream === chosen);
-    return member && this.placeOn(member);
+    const context = {
+      blockHashes: request.prefix,
+      now: this.parts.clock.now(),
+    };
+    const upstreams = candidates.map(({upstream}) => upstream);
+    const selected = this.parts.choice.select(upstreams, context);
+    const entry = candidates.find(({upstream}) => upstream === selected);
+    return entry && this.reserve(entry);
   }
 
-  private placeOn({circuit, upstream}: Member): Place {
+  private reserve({circuitBreaker, upstream}: UpstreamEntry): Place {
     const {limit, targetMs} = this.parts;
-    return new Place(upstream, circuit, limit, targetMs, () => this.onEnd());
+    return new Place(upstream, circuitBreaker, limit, targetMs, () =>
+      this.onRelease(),
+    );
   }
 
-  private onEnd(): void {
+  private onRelease(): void {
     const now = this.parts.clock.now();
-    const interval = now - this.lastEnd;
-    this.lastEnd = now;
-    this.endIntervalMs =
-      this.endIntervalMs === undefined
-        ? interval
-        : this.endIntervalMs +
-          THROUGHPUT_SMOOTHING * (interval - this.endIntervalMs);
+    const intervalMs = now - this.lastReleaseAt;
+    this.lastReleaseAt = now;
+    this.releaseIntervalMs =
+      this.releaseIntervalMs === undefined
+        ? intervalMs
+        : this.releaseIntervalMs +
+          RELEASE_INTERVAL_EWMA_WEIGHT * (intervalMs - this.releaseIntervalMs);
     this.serveWaiting();
   }
 
-  private hasRoom(): boolean {
-    return this.usable().some(({upstream}) => this.isFree(upstream));
+  private hasCapacity(): boolean {
+    return this.getAvailableEntries().some(({upstream}) =>
+      this.hasFreeSlot(upstream),
+    );
   }
 
-  private isFree(upstream: Upstream): boolean {
-    return upstream.inFlight < this.parts.limit.allowed(upstream);
+  private hasFreeSlot(upstream: Upstream): boolean {
+    return upstream.inFlight < this.parts.limit.maxInFlight(upstream);
   }
 
   /**
-   * Upstreams that take work. Circuits never take out more than a share; those that
-   * leave or rest have asked for it, and get nothing.
+   * Upstreams that are not draining, paused or excluded by an open circuit. If open circuits
+   * would exclude too many, none is excluded by its circuit.
    */
-  private usable(): Member[] {
+  private getAvailableEntries(): UpstreamEntry[] {
     const now = this.parts.clock.now();
-    const staying = this.staying().filter(
-      ({upstream}) => upstream.restsUntil <= now,
+    const active = this.getActiveEntries().filter(
+      ({upstream}) => upstream.pausedUntil <= now,
+    );
+    const admitted = active.filter(
+      ({circuitBreaker}) => circuitBreaker.allowsRequest,
     );
-    const closed = staying.filter(({circuit}) => circuit.admits);
-    const fewest = Math.ceil(staying.length * (1 - MAX_EJECTED_SHARE));
-    return closed.length >= fewest ? closed : staying;
+    const minAvailable = Math.ceil(active.length * (1 - MAX_EJECTED_SHARE));
+    return admitted.length >= minAvailable ? admitted : active;
   }
 
-  private staying(): Member[] {
-    return [...this.members.values()].filter(({upstream}) => !upstream.leaving);
+  private getActiveEntries(): UpstreamEntry[] {
+    return [...this.entries.values()].filter(({upstream}) => !upstream.leaving);
   }
 
-  /** Time until the first one takes work again, ms; undefined unless all rest. */
-  private get restLeftMs(): number | undefined {
-    const untils = this.staying().map(({upstream}) => upstream.restsUntil);
-    const left = Math.min(...untils) - this.parts.clock.now();
-    return untils.length > 0 && left > 0 ? left : undefined;
+  /** Time until the first pause ends, ms; undefined unless all upstreams are paused. */
+  private get remainingPauseMs(): number | undefined {
+    const pauseEnds = this.getActiveEntries().map(
+      ({upstream}) => upstream.pausedUntil,
+    );
+    const remainingMs = Math.min(...pauseEnds) - this.parts.clock.now();
+    return pauseEnds.length > 0 && remainingMs > 0 ? remainingMs : undefined;
   }
 }
--- a/packages/puffinturn-routing/src/RoutingConstants.ts
+++ b/packages/puffinturn-routing/src/RoutingConstants.ts
@@ -5,91 +5,91 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Defaults of the routing decisions. */
+/** Constants of request routing. */
 
-/** Bytes of prompt in one block of the prefix index. */
-export const PREFIX_BLOCK_BYTES = 512;
+/** Length of a prompt block in the prefix index, UTF-16 code units. */
+export const PREFIX_BLOCK_LENGTH = 512;
 
-/** Blocks of a prompt that are looked at. */
+/** Maximum number of blocks of a prompt that are hashed. */
 export const MAX_PREFIX_BLOCKS = 64;
 
-/** Blocks that the prefix index remembers. */
-export const PREFIX_INDEX_BLOCKS = 200_000;
+/** Maximum number of blocks in the prefix index. */
+export const PREFIX_INDEX_CAPACITY = 200_000;
 
-/** An upstream may be this much busier than the mean and keep its prefix. */
-export const PREFIX_LOAD_BOUND = 1.25;
+/** Utilization relative to the mean above which a cached prefix is ignored. */
+export const MAX_PREFIX_LOAD_RATIO = 1.25;
 
-/** Share of the first-token time that a whole cached prefix saves. */
-export const PREFIX_SAVING = 0.7;
+/** Share of the time to first token that a fully cached prompt saves. */
+export const CACHED_PREFIX_SAVING = 0.7;
 
-/** Weight of a new observation in moving averages. */
-export const LATENCY_SMOOTHING = 0.15;
+/** Minimum weight of a new value in the EWMA of the time to first token. */
+export const LATENCY_EWMA_WEIGHT = 0.15;
 
-/** First-token time assumed before there are observations, ms. */
+/** Assumed time to first token before the first response, ms. */
 export const INITIAL_FIRST_TOKEN_MS = 200;
 
-/** Reports older than this say nothing about an upstream's load, ms. */
-export const LOAD_REPORT_MS = 3_000;
+/** Load reports of upstreams expire after this time, ms. */
+export const MAX_LOAD_REPORT_AGE_MS = 3_000;
 
-/** Failures in a row that open a circuit. */
-export const CIRCUIT_FAILURES = 4;
+/** Number of consecutive failures that open a circuit. */
+export const CIRCUIT_FAILURE_THRESHOLD = 4;
 
-/** Pause before a circuit lets one request through, ms; doubles each time. */
-export const CIRCUIT_PAUSE_MS = 1_000;
+/** Time before an open circuit allows a probe, ms; doubles with each failed probe. */
+export const INITIAL_CIRCUIT_OPEN_MS = 1_000;
 
-/** Longest pause of a circuit, ms. */
-export const CIRCUIT_MAX_PAUSE_MS = 30_000;
+/** Maximum time before an open circuit allows a probe, ms. */
+export const MAX_CIRCUIT_OPEN_MS = 30_000;
 
-/** Share of a pool that circuits may take out at most. */
+/** Maximum share of the upstreams of a pool that open circuits may exclude. */
 export const MAX_EJECTED_SHARE = 0.5;
 
-/** Retries as a share of requests. */
-export const RETRY_SHARE = 0.1;
+/** Retries per request that the retry budget allows. */
+export const RETRY_RATIO = 0.1;
 
 /**
- * Retries that are possible at once after a quiet time: about what one box
- * has in flight, so that the loss of a hall can be retried once.
+ * Capacity of the retry budget, retries. It covers the requests that one box has in
+ * flight, so that each can be retried once if a hall fails.
  */
-export const RETRY_RESERVE = 50;
+export const RETRY_BURST = 50;
 
-/** Hedges as a share of requests. */
-export const HEDGE_SHARE = 0.02;
+/** Hedged requests per request that the hedge budget allows. */
+export const HEDGE_RATIO = 0.02;
 
-/** Waiting this long moves a request up by one priority, ms. */
-export const AGEING_MS = 2_000;
+/** Queue time that raises a request by one priority, ms. */
+export const PRIORITY_AGING_MS = 2_000;
 
-/** Requests that wait on one box for one pool at most. */
-export const MAX_WAITING = 2_000;
+/** Maximum number of queued requests per box and pool. */
+export const MAX_QUEUED_REQUESTS = 2_000;
 
-/** First retry pause, ms; doubles, with full jitter. */
-export const BACKOFF_MS = 20;
+/** Upper bound of the first retry delay, ms; doubles with each attempt. */
+export const INITIAL_BACKOFF_MS = 20;
 
-/** Longest retry pause, ms. */
+/** Maximum retry delay, ms. */
 export const MAX_BACKOFF_MS = 1_000;
 
-/** Adaptive limits never go below this share of the declared slots. */
+/** Minimum adaptive limit as a share of the declared slots. */
 export const MIN_LIMIT_SHARE = 0.25;
 
-/** Requests beyond the slots that an upstream may queue itself. */
-export const LIMIT_HEADROOM = 1.25;
+/** Maximum adaptive limit as a share of the slots; the excess queues on the upstream. */
+export const MAX_LIMIT_SHARE = 1.25;
 
-/** A queue that waits longer than this share of the target stands. */
-export const STANDING_WAIT_SHARE = 0.2;
+/** Expected queue time of a standing queue, as a share of the first-token target. */
+export const STANDING_QUEUE_WAIT_SHARE = 0.2;
 
-/** A queue that stands for this long is cut to what meets the target, ms. */
-export const STANDING_MS = 1_000;
+/** A queue that stands for longer than this sheds load, ms. */
+export const STANDING_QUEUE_MS = 1_000;
 
-/** Shares presumed for the first upstreams by rendezvous hashing. */
-export const PRESUMED_SHARES: readonly number[] = [0.6, 0.4, 0.2];
+/** Cached share assumed for the first upstreams of the rendezvous order. */
+export const RENDEZVOUS_CACHED_SHARES: readonly number[] = [0.6, 0.4, 0.2];
 
-/** Prompts that are equal up to this block are kept together. */
-export const RENDEZVOUS_BLOCK = 3;
+/** Prompts that are equal up to this block have the same rendezvous order. */
+export const RENDEZVOUS_BLOCK_INDEX = 3;
 
-/** A first token later than this share of the target lowers the limit. */
-export const LIMIT_TARGET_SHARE = 0.5;
+/** A time to first token above this share of the target decreases the limit. */
+export const LATE_FIRST_TOKEN_SHARE = 0.5;
 
-/** Factor by which a limit is lowered. */
-export const LIMIT_DECREASE = 0.85;
+/** Factor of a decrease of the limit. */
+export const LIMIT_DECREASE_FACTOR = 0.85;
 
-/** A limit is lowered at most this often, ms. */
-export const LIMIT_PAUSE_MS = 400;
+/** Minimum time between two decreases of a limit, ms. */
+export const LIMIT_DECREASE_INTERVAL_MS = 400;
--- a/packages/puffinturn-routing/src/Upstream.ts
+++ b/packages/puffinturn-routing/src/Upstream.ts
@@ -5,44 +5,44 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** What a box knows about one upstream of one pool. */
+/** State of an upstream in one box. */
 import {LimitStatements} from 'puffinturn-permits';
 import type {UpstreamSpec} from 'puffinturn-settings';
 import type {Clock} from 'shared';
 
 import {
   INITIAL_FIRST_TOKEN_MS,
-  LATENCY_SMOOTHING,
-  LOAD_REPORT_MS,
+  LATENCY_EWMA_WEIGHT,
+  MAX_LOAD_REPORT_AGE_MS,
 } from './RoutingConstants';
 
-/** A load report of an upstream; it describes the past. */
+/** Load that an upstream has reported in a response. */
 export interface LoadReport {
   readonly running: number;
   readonly waiting: number;
-  /** When it arrived here, ms of the box's clock. */
+  /** Time of arrival, ms of the box's clock. */
   readonly at: number;
 }
 
-/** Mutable state of one upstream as one box sees it. */
+/** Mutable state of one upstream in one box. */
 export class Upstream {
-  /** Requests of this box that run there. */
+  /** In-flight requests of this box. */
   inFlight = 0;
-  /** Requests of all other boxes there, as last heard. */
+  /** In-flight requests of all other boxes, from the last heartbeat reply. */
   othersInFlight = 0;
-  /** Requests that this box has sent since the last load report. */
+  /** Requests of this box since the last load report. */
   sentSinceReport = 0;
-  /** Takes no new work: drained, listed as leaving, or by its own word. */
+  /** Whether it is draining and takes no new requests. */
   leaving = false;
-  /** Until when it wants no requests from this box, ms of the box's clock. */
-  restsUntil = -Infinity;
-  /** Moving average of the time to the first token or answer, ms. */
+  /** Takes no requests of this box before this time, ms of the box's clock. */
+  pausedUntil = -Infinity;
+  /** EWMA of the time to the first token or response, ms. */
   firstTokenMs = INITIAL_FIRST_TOKEN_MS;
-  /** Observations behind `firstTokenMs`. */
-  observations = 0;
-  /** What it says of how many requests a second it takes. */
+  /** Number of values in `firstTokenMs`. */
+  observationCount = 0;
+  /** Rate limit that the upstream has announced. */
   readonly limits: LimitStatements;
-  private report: LoadReport | undefined;
+  private loadReport: LoadReport | undefined;
 
   constructor(
     readonly pool: string,
@@ -52,42 +52,45 @@
     this.limits = new LimitStatements(clock);
   }
 
-  /** The name within its pool. */
+  /** Name, unique within the pool. */
   get name(): string {
     return this.spec.name;
   }
 
-  /** Notes that it wants no requests before a time, ms of the box's clock. */
+  /** Sends no requests before a time, ms of the box's clock; never shortens a pause. */
   restsAtLeastUntil(time: number): void {
-    this.restsUntil = Math.max(this.restsUntil, time);
+    this.pausedUntil = Math.max(this.pausedUntil, time);
   }
 
-  /** Notes a load report. */
+  /** Replaces the load report. */
   reportLoad(report: LoadReport): void {
-    this.report = report;
+    this.loadReport = report;
     this.sentSinceReport = 0;
   }
 
   /**
-   * Requests that probably run or wait there: what boxes know of, or what the
-   * upstream reported plus what was sent since, whichever is more.
+   * Estimated number of requests that run or wait on the upstream: the requests of all
+   * boxes or the reported load, whichever is higher.
    */
-  load(now: number): number {
-    const known = this.inFlight + this.othersInFlight;
-    if (this.report === undefined || now - this.report.at > LOAD_REPORT_MS) {
-      return known;
+  estimateLoad(now: number): number {
+    const knownLoad = this.inFlight + this.othersInFlight;
+    if (
+      this.loadReport === undefined ||
+      now - this.loadReport.at > MAX_LOAD_REPORT_AGE_MS
+    ) {
+      return knownLoad;
     }
-    const reported = this.report.running + this.report.waiting;
-    const age = (now - this.report.at) / LOAD_REPORT_MS;
-    // A report fades, as what it counted has since ended.
-    const faded = reported * (1 - age) + known * age;
-    return Math.max(known, faded);
+    const reportedLoad = this.loadReport.running + this.loadReport.waiting;
+    const ageRatio = (now - this.loadReport.at) / MAX_LOAD_REPORT_AGE_MS;
+    // Requests of the report may have ended since: its weight falls with its age.
+    const decayedLoad = reportedLoad * (1 - ageRatio) + knownLoad * ageRatio;
+    return Math.max(knownLoad, decayedLoad);
   }
 
-  /** Notes an observed first-token time. */
-  observe(firstTokenMs: number): void {
-    this.observations += 1;
-    const weight = Math.max(LATENCY_SMOOTHING, 1 / this.observations);
+  /** Adds a value to the EWMA of the time to first token. */
+  recordFirstToken(firstTokenMs: number): void {
+    this.observationCount += 1;
+    const weight = Math.max(LATENCY_EWMA_WEIGHT, 1 / this.observationCount);
     this.firstTokenMs += weight * (firstTokenMs - this.firstTokenMs);
   }
 }
--- a/packages/puffinturn-routing/src/__tests__/unit/Routing.test.ts
+++ b/packages/puffinturn-routing/src/__tests__/unit/Routing.test.ts
@@ -5,14 +5,18 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against upstreams beyond their limits, requests that starve or hang in the queue,
+ * and retries that multiply the load.
+ */
 import fc from 'fast-check';
 import type {UpstreamSpec} from 'puffinturn-settings';
 import {ManualClock, Random, settleTasks} from 'shared';
 
-import type {PlaceRequest, WaitingRequest} from '../../index';
+import type {PlaceRequest, QueuedRequest} from '../../index';
 import {
   AdaptiveLimit,
-  Circuit,
+  CircuitBreaker,
   ExpectedTimeChoice,
   FairQueue,
   Hedge,
@@ -28,19 +32,19 @@
   return {hall: 'h', name, slots, url: `http://${name}`};
 }
 
-function placeRequest(
-  change: Partial<PlaceRequest & WaitingRequest> = {},
-): PlaceRequest & WaitingRequest {
+function acquireRequest(
+  overrides: Partial<PlaceRequest & QueuedRequest> = {},
+): PlaceRequest & QueuedRequest {
   return {
     avoid: new Set(),
     cost: 1,
     deadline: 10_000,
+    enqueuedAt: 0,
     prefix: [],
     priority: 5,
-    since: 0,
     team: 't',
     weight: 1,
-    ...change,
+    ...overrides,
   };
 }
 
@@ -58,63 +62,65 @@
 }
 
 describe('Router', () => {
-  test('refuses those that wait once all upstreams rest', async () => {
+  test('rejects queued requests if all upstreams are paused', async () => {
     const {clock, router} = makeRouter(['u1']);
-    const places = await Promise.all(
-      [1, 2].map(() => router.acquire(placeRequest())),
+    const slots = await Promise.all(
+      [1, 2].map(() => router.acquire(acquireRequest())),
     );
-    const waiting = router.acquire(placeRequest());
-    const [first, second] = places.map((place) => place._unsafeUnwrap());
+    const queued = router.acquire(acquireRequest());
+    const [first, second] = slots.map((slot) => slot._unsafeUnwrap());
     first?.upstream.restsAtLeastUntil(clock.now() + 3_000);
     first?.[Symbol.dispose]();
-    expect((await waiting)._unsafeUnwrapErr()).toMatchObject({
+    expect((await queued)._unsafeUnwrapErr()).toMatchObject({
       kind: 'overloaded',
       retryAfterMs: 3_000,
     });
     second?.[Symbol.dispose]();
-    expect((await router.acquire(placeRequest())).isErr()).toBe(true);
+    expect((await router.acquire(acquireRequest())).isErr()).toBe(true);
     await clock.advance(3_000);
-    expect((await router.acquire(placeRequest())).isOk()).toBe(true);
+    expect((await router.acquire(acquireRequest())).isOk()).toBe(true);
   });
 
-  test('never passes a limit and serves all, whatever the order', async () => {
-    const steps = fc.array(
+  test('settles every request and exceeds no limit for any sequence of events', async () => {
+    const sequences = fc.array(
       fc.oneof(
         fc.record({
-          kind: fc.constant('ask' as const),
+          kind: fc.constant('acquire' as const),
           priority: fc.nat(9),
           team: fc.constantFrom('a', 'b', 'c'),
         }),
-        fc.record({at: fc.nat(30), kind: fc.constant('end' as const)}),
+        fc.record({index: fc.nat(30), kind: fc.constant('release' as const)}),
         fc.record({
-          kind: fc.constant('leave' as const),
+          kind: fc.constant('drain' as const),
           name: fc.constantFrom('u1', 'u2', 'none'),
         }),
       ),
       {maxLength: 60},
     );
     await fc.assert(
-      fc.asyncProperty(steps, async (list) => {
+      fc.asyncProperty(sequences, async (steps) => {
         const {router} = makeRouter(['u1', 'u2', 'u3']);
-        const open: Disposable[] = [];
-        let asked = 0;
-        let answered = 0;
-        let leaving = 'none';
-        for (const step of list) {
-          if (step.kind === 'ask') {
-            asked += 1;
-            void router.acquire(placeRequest(step)).then((place) => {
-              answered += 1;
-              if (place.isOk()) {
-                expect(place.value.upstream.name).not.toBe(leaving);
-                open.push(place.value);
+        const heldSlots: Disposable[] = [];
+        let acquireCount = 0;
+        let settledCount = 0;
+        let drainingName = 'none';
+        for (const step of steps) {
+          if (step.kind === 'acquire') {
+            acquireCount += 1;
+            void router.acquire(acquireRequest(step)).then((slot) => {
+              settledCount += 1;
+              if (slot.isOk()) {
+                expect(slot.value.upstream.name).not.toBe(drainingName);
+                heldSlots.push(slot.value);
               }
             });
-          } else if (step.kind === 'end') {
-            open.splice(step.at % (open.length + 1), 1)[0]?.[Symbol.dispose]();
+          } else if (step.kind === 'release') {
+            heldSlots
+              .splice(step.index % (heldSlots.length + 1), 1)[0]
+              ?.[Symbol.dispose]();
           } else {
-            leaving = step.name;
-            router.markLeaving((name) => name === leaving);
+            drainingName = step.name;
+            router.markLeaving((name) => name === drainingName);
           }
           await settleTasks();
           for (const upstream of router.upstreams) {
@@ -123,201 +129,206 @@
             );
           }
         }
-        while (open.length > 0) {
-          open.pop()?.[Symbol.dispose]();
+        while (heldSlots.length > 0) {
+          heldSlots.pop()?.[Symbol.dispose]();
           await settleTasks();
         }
-        expect(answered).toBe(asked);
+        expect(settledCount).toBe(acquireCount);
       }),
       {numRuns: 60, seed: 1},
     );
   });
 
-  test('a request that cannot be placed by its deadline is refused then', async () => {
+  test('rejects a queued request at its deadline', async () => {
     const {clock, router} = makeRouter(['u1']);
-    await router.acquire(placeRequest());
-    await router.acquire(placeRequest());
-    let refused = '';
+    await router.acquire(acquireRequest());
+    await router.acquire(acquireRequest());
+    let failureKind = '';
     void router
-      .acquire(placeRequest({deadline: 500}))
-      .then((place) => place.mapErr(({kind}) => (refused = kind)));
+      .acquire(acquireRequest({deadline: 500}))
+      .then((slot) => slot.mapErr(({kind}) => (failureKind = kind)));
     await clock.advance(499);
-    expect(refused).toBe('');
+    expect(failureKind).toBe('');
     await clock.advance(2);
-    expect(refused).toBe('overloaded');
+    expect(failureKind).toBe('overloaded');
     expect(router.waiting).toBe(0);
   });
 
-  test('a caller that has gone leaves the queue', async () => {
+  test('removes a request from the queue if its caller disconnects', async () => {
     const {router} = makeRouter(['u1']);
-    await router.acquire(placeRequest());
-    await router.acquire(placeRequest());
+    await router.acquire(acquireRequest());
+    await router.acquire(acquireRequest());
     const caller = new AbortController();
-    const waiting = router.acquire(placeRequest({signal: caller.signal}));
+    const queued = router.acquire(acquireRequest({signal: caller.signal}));
     caller.abort();
-    expect((await waiting)._unsafeUnwrapErr().kind).toBe('caller-gone');
+    expect((await queued)._unsafeUnwrapErr().kind).toBe('caller-gone');
     expect(router.waiting).toBe(0);
   });
 
-  test('circuits never take out more than half of a pool', async () => {
+  test('keeps half of a pool available if all circuits are open', async () => {
     const {router} = makeRouter(['u1', 'u2', 'u3', 'u4']);
     for (let failures = 0; failures < 40; failures += 1) {
-      const place = (await router.acquire(placeRequest()))._unsafeUnwrap();
-      place.failed();
-      place[Symbol.dispose]();
+      const slot = (await router.acquire(acquireRequest()))._unsafeUnwrap();
+      slot.failed();
+      slot[Symbol.dispose]();
     }
-    const used = new Set<string>();
-    for (let turn = 0; turn < 40; turn += 1) {
-      const place = (await router.acquire(placeRequest()))._unsafeUnwrap();
-      used.add(place.upstream.name);
-      place[Symbol.dispose]();
+    const usedNames = new Set<string>();
+    for (let round = 0; round < 40; round += 1) {
+      const slot = (await router.acquire(acquireRequest()))._unsafeUnwrap();
+      usedNames.add(slot.upstream.name);
+      slot[Symbol.dispose]();
     }
-    expect(used.size).toBeGreaterThanOrEqual(2);
+    expect(usedNames.size).toBeGreaterThanOrEqual(2);
   });
 });
 
 describe('FairQueue', () => {
-  test('a flood of one team does not starve another of its priority', () => {
+  test('does not let one team starve another one with the same priority', () => {
     const queue = new FairQueue(new ManualClock());
-    for (let turn = 0; turn < 100; turn += 1) {
-      queue.push(placeRequest({team: 'large'}));
+    for (let round = 0; round < 100; round += 1) {
+      queue.push(acquireRequest({team: 'large'}));
     }
-    for (let turn = 0; turn < 10; turn += 1) {
-      queue.push(placeRequest({team: 'small'}));
+    for (let round = 0; round < 10; round += 1) {
+      queue.push(acquireRequest({team: 'small'}));
     }
-    const first = Array.from({length: 20}, () => queue.pop()?.team);
-    expect(first.filter((team) => team === 'small')).toHaveLength(10);
+    const served = Array.from({length: 20}, () => queue.pop()?.team);
+    expect(served.filter((team) => team === 'small')).toHaveLength(10);
   });
 
-  test('shares follow weights while both teams wait', () => {
-    const weight = fc.integer({max: 5, min: 1});
+  test('serves two teams with a backlog in proportion to their weights', () => {
+    const weights = fc.integer({max: 5, min: 1});
     fc.assert(
-      fc.property(weight, weight, (a, b) => {
+      fc.property(weights, weights, (weightA, weightB) => {
         const queue = new FairQueue(new ManualClock());
-        for (let turn = 0; turn < 200; turn += 1) {
-          queue.push(placeRequest({team: 'a', weight: a}));
-          queue.push(placeRequest({team: 'b', weight: b}));
+        for (let round = 0; round < 200; round += 1) {
+          queue.push(acquireRequest({team: 'a', weight: weightA}));
+          queue.push(acquireRequest({team: 'b', weight: weightB}));
         }
-        const taken = Array.from({length: 120}, () => queue.pop()?.team);
-        const share = taken.filter((team) => team === 'a').length / 120;
-        expect(Math.abs(share - a / (a + b))).toBeLessThan(0.05);
+        const served = Array.from({length: 120}, () => queue.pop()?.team);
+        const share = served.filter((team) => team === 'a').length / 120;
+        expect(Math.abs(share - weightA / (weightA + weightB))).toBeLessThan(
+          0.05,
+        );
       }),
       {seed: 2},
     );
   });
 
-  test('waiting raises a low priority above newer urgent requests', async () => {
+  test('raises the priority of a request above newer urgent ones as it waits', async () => {
     const clock = new ManualClock();
     const queue = new FairQueue(clock);
-    queue.push(placeRequest({priority: 9, team: 'patient'}));
+    queue.push(acquireRequest({priority: 9, team: 'low'}));
     await clock.advance(25_000);
-    queue.push(placeRequest({priority: 0, since: clock.now(), team: 'urgent'}));
-    expect(queue.pop()?.team).toBe('patient');
+    queue.push(
+      acquireRequest({enqueuedAt: clock.now(), priority: 0, team: 'urgent'}),
+    );
+    expect(queue.pop()?.team).toBe('low');
   });
 
-  test('shedding takes only what matters less', () => {
+  test('sheds only requests that are less important than the new one', () => {
     const queue = new FairQueue(new ManualClock());
-    queue.push(placeRequest({priority: 3}));
-    const newcomer = (priority: number, team = 't') =>
-      placeRequest({priority, team});
-    expect(queue.shed(newcomer(3))).toBeUndefined();
-    expect(queue.shed(newcomer(2))).toMatchObject({priority: 3});
+    queue.push(acquireRequest({priority: 3}));
+    const incoming = (priority: number, team = 't') =>
+      acquireRequest({priority, team});
+    expect(queue.shed(incoming(3))).toBeUndefined();
+    expect(queue.shed(incoming(2))).toMatchObject({priority: 3});
     expect(queue.size).toBe(0);
-    for (let turn = 0; turn < 5; turn += 1) {
-      queue.push(placeRequest({team: 'large'}));
+    for (let round = 0; round < 5; round += 1) {
+      queue.push(acquireRequest({team: 'large'}));
     }
-    expect(queue.shed(newcomer(5, 'large'))).toBeUndefined();
-    expect(queue.shed(newcomer(5, 'small'))).toMatchObject({team: 'large'});
+    expect(queue.shed(incoming(5, 'large'))).toBeUndefined();
+    expect(queue.shed(incoming(5, 'small'))).toMatchObject({team: 'large'});
   });
 });
 
-describe('choice, circuits, retries and hedges', () => {
-  test('a cached prefix attracts until its upstream is crowded', () => {
-    const prefixes = new PrefixIndex();
-    const choice = new ExpectedTimeChoice(new Random(1), prefixes);
+describe('Load balancing, circuit breakers, retries and hedges', () => {
+  test('prefers the upstream with a cached prefix unless it is overloaded', () => {
+    const prefixIndex = new PrefixIndex();
+    const choice = new ExpectedTimeChoice(new Random(1), prefixIndex);
     const upstreams = ['u1', 'u2', 'u3'].map(
       (name) => new Upstream('p', spec(name, 10), new ManualClock()),
     );
-    const prefix = prefixBlocks('x'.repeat(4_096));
-    prefixes.learn('u2', prefix);
-    const context = {now: 0, prefix};
-    expect(choice.choose(upstreams, context)?.name).toBe('u2');
-    const holder = upstreams[1];
-    if (holder !== undefined) {
-      holder.inFlight = 10;
+    const blockHashes = prefixBlocks('x'.repeat(4_096));
+    prefixIndex.learn('u2', blockHashes);
+    const context = {blockHashes, now: 0};
+    expect(choice.select(upstreams, context)?.name).toBe('u2');
+    const cachingUpstream = upstreams[1];
+    if (cachingUpstream !== undefined) {
+      cachingUpstream.inFlight = 10;
     }
-    expect(choice.choose(upstreams, context)?.name).not.toBe('u2');
+    expect(choice.select(upstreams, context)?.name).not.toBe('u2');
   });
 
-  test('boxes that know nothing agree where a prompt goes', () => {
+  test('selects the same upstream on all boxes for an unknown prompt', () => {
     const upstreams = ['u1', 'u2', 'u3', 'u4', 'u5'].map(
       (name) => new Upstream('p', spec(name, 10), new ManualClock()),
     );
-    const prompts = Array.from({length: 20}, (_, at) =>
-      prefixBlocks(`${at} `.repeat(2_000)),
+    const prompts = Array.from({length: 20}, (_, index) =>
+      prefixBlocks(`${index} `.repeat(2_000)),
     );
-    const picks = [1, 2, 3].map((seed) => {
+    const selections = [1, 2, 3].map((seed) => {
       const choice = new ExpectedTimeChoice(
         new Random(seed),
         new PrefixIndex(),
       );
       return prompts.map(
-        (prefix) => choice.choose(upstreams, {now: 0, prefix})?.name,
+        (blockHashes) => choice.select(upstreams, {blockHashes, now: 0})?.name,
       );
     });
-    expect(picks[1]).toEqual(picks[0]);
-    expect(picks[2]).toEqual(picks[0]);
-    expect(new Set(picks[0]).size).toBeGreaterThan(1);
+    expect(selections[1]).toEqual(selections[0]);
+    expect(selections[2]).toEqual(selections[0]);
+    expect(new Set(selections[0]).size).toBeGreaterThan(1);
   });
 
-  test('a gap in cache events forgets what was known', () => {
-    const prefixes = new PrefixIndex();
+  test('removes an upstream from the prefix index after a gap in its cache events', () => {
+    const prefixIndex = new PrefixIndex();
     const upstream = new Upstream('p', spec('u1'), new ManualClock());
-    const prefix = prefixBlocks('y'.repeat(1_024));
-    const share = () => prefixes.cachedShare([upstream], prefix).get(upstream);
-    prefixes.learn('u1', prefix);
-    prefixes.noteEvents('u1', 1, [], 5);
+    const blockHashes = prefixBlocks('y'.repeat(1_024));
+    const share = () =>
+      prefixIndex.cachedShares([upstream], blockHashes).get(upstream);
+    prefixIndex.learn('u1', blockHashes);
+    prefixIndex.applyCacheEvents('u1', 1, [], 5);
     expect(share()).toBe(1);
-    prefixes.noteEvents('u1', 9, [], 12);
+    prefixIndex.applyCacheEvents('u1', 9, [], 12);
     expect(share()).toBeLessThan(1);
   });
 
-  test('a circuit opens, probes once after its pause, and closes', async () => {
+  test('opens a circuit, allows one probe after a delay, then closes it', async () => {
     const clock = new ManualClock();
-    const circuit = new Circuit(clock);
+    const circuitBreaker = new CircuitBreaker(clock);
     for (let failure = 0; failure < 4; failure += 1) {
-      circuit.failed();
+      circuitBreaker.recordFailure();
     }
-    expect(circuit.admits).toBe(false);
+    expect(circuitBreaker.allowsRequest).toBe(false);
     await clock.advance(1_001);
-    expect(circuit.admits).toBe(true);
-    circuit.sent();
-    expect(circuit.admits).toBe(false);
-    circuit.succeeded();
-    expect(circuit.admits).toBe(true);
+    expect(circuitBreaker.allowsRequest).toBe(true);
+    circuitBreaker.recordRequest();
+    expect(circuitBreaker.allowsRequest).toBe(false);
+    circuitBreaker.recordSuccess();
+    expect(circuitBreaker.allowsRequest).toBe(true);
   });
 
-  test('retries stay within their share of the requests', () => {
+  test('limits retries to their ratio of the requests', () => {
     fc.assert(
       fc.property(fc.array(fc.boolean(), {maxLength: 500}), (steps) => {
         const budget = new ShareRetryBudget(0.1, 5);
-        let earned = 0;
-        let spent = 0;
-        for (const earns of steps) {
-          if (earns) {
+        let requests = 0;
+        let retries = 0;
+        for (const isRequest of steps) {
+          if (isRequest) {
             budget.earn();
-            earned += 1;
+            requests += 1;
           } else if (budget.spend()) {
-            spent += 1;
+            retries += 1;
           }
-          expect(spent).toBeLessThanOrEqual(5 + 0.1 * earned + 1e-6);
+          expect(retries).toBeLessThanOrEqual(5 + 0.1 * requests + 1e-6);
         }
       }),
       {seed: 3},
     );
   });
 
-  test('hedges start after the observed 95th percentile', () => {
+  test('hedges after the 95th percentile of the time to first token', () => {
     const hedge = new Hedge();
     expect(hedge.afterMs).toBe(Infinity);
     for (let value = 1; value <= 100; value += 1) {
--- a/packages/puffinturn-routing/src/index.ts
+++ b/packages/puffinturn-routing/src/index.ts
@@ -5,8 +5,8 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The decisions of a box: which upstream, when, and whether again. */
-export type {ChoiceContext} from './Choice';
+/** Request routing in a box: load balancing, limits, queueing, retries and hedging. */
+export type {SelectionContext} from './Choice';
 export {
   Choice,
   ExpectedTimeChoice,
@@ -14,20 +14,20 @@
   RandomChoice,
   RoundRobinChoice,
 } from './Choice';
-export {Circuit} from './Circuit';
+export {CircuitBreaker} from './CircuitBreaker';
 export {Hedge} from './Hedge';
 export type {BoxCount} from './Limit';
 export {AdaptiveLimit, Limit, StaticLimit} from './Limit';
 export {prefixBlocks, PrefixIndex} from './PrefixIndex';
+export type {QueuedRequest} from './RequestQueue';
+export {FairQueue, FifoQueue, RequestQueue} from './RequestQueue';
 export {
   backoffMs,
   RetryBudget,
   ShareRetryBudget,
   UnlimitedRetryBudget,
 } from './RetryBudget';
-export type {PlaceFailure, PlaceRequest, RouterParts} from './Router';
+export type {AcquireFailure, PlaceRequest, RouterParts} from './Router';
 export {Place, Router} from './Router';
 export type {LoadReport} from './Upstream';
 export {Upstream} from './Upstream';
-export type {WaitingRequest} from './WaitingQueue';
-export {FairQueue, FifoQueue, WaitingQueue} from './WaitingQueue';
