--- a/packages/puffinturn-gateway/src/Admission.ts
+++ b/packages/puffinturn-gateway/src/Admission.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Admits requests through the control group before anything is sent. */
+/** Admits requests through the control group before they are sent upstream. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 import type {AdmitOutcome, ControlClient, RequestView} from 'puffinturn-ledger';
@@ -14,169 +14,180 @@
 
 import {
   ADMIT_TIMEOUT_MS,
-  FOLLOW_PAUSE_MS,
-  MAX_REDECISIONS,
+  MAX_ADMISSION_TRIES,
+  POLL_INTERVAL_MS,
 } from './GatewayConstants';
 import type {GatewayFailure} from './GatewayFailure';
-import {gatewayFailure} from './GatewayFailure';
-import type {Plan} from './Plan';
+import {createFailure} from './GatewayFailure';
+import type {RequestPlan} from './RequestPlan';
 
-/** An attempt that this box may run. */
-export interface Attempt {
-  readonly plan: Plan;
-  readonly attempt: number;
+/** An attempt that this box may run. `serial` identifies its admission. */
+export interface AdmittedAttempt {
+  readonly plan: RequestPlan;
+  readonly attemptNumber: number;
   readonly serial: number;
   readonly admissions: OpenAdmissions;
-  /** When it must have its first token, ms of the box's clock. */
+  /** Deadline for the first token, monotonic ms. */
   readonly deadline: number;
 }
 
-/** The request is known already; another attempt has it. */
-export interface Known {
-  readonly plan: Plan;
+/** A request that the ledger already contains, owned by another attempt. */
+export interface KnownRequest {
+  readonly plan: RequestPlan;
   readonly view: RequestView;
 }
 
-/** May run here, is known already, or is another region's to admit. */
-export type Admitted =
+/** Whether a request runs here, is already known, or is admitted by another region. */
+export type AdmissionResult =
   | {
-      readonly kind: 'elsewhere';
-      readonly plan: Plan;
+      readonly kind: 'other-region';
+      readonly plan: RequestPlan;
       readonly region: string;
     }
-  | {readonly kind: 'attempt'; readonly attempt: Attempt}
-  | {readonly kind: 'known'; readonly known: Known};
+  | {readonly kind: 'attempt'; readonly attempt: AdmittedAttempt}
+  | {readonly kind: 'known'; readonly known: KnownRequest};
 
-/** What admission needs. */
+/** Dependencies and settings of Admission. */
 export interface AdmissionParts {
   readonly box: string;
   readonly region: string;
   readonly clock: Clock;
   readonly control: ControlClient;
   readonly member: BoxMember;
-  /** How long closed requests stay, ms. */
-  readonly keepMs: (marked: boolean) => number;
-  /** Told what a budget has left. */
-  readonly onAvailable: (budget: string, available: number) => void;
+  /** How long closed requests are kept, ms. */
+  readonly retentionMs: (isAtMostOnce: boolean) => number;
+  /** Called with the units that a budget has left. */
+  readonly onBudgetAvailable: (budget: string, available: number) => void;
 }
 
-/** Plans a request under the configuration that is known now. */
-export type Planner = () => Result<Plan, GatewayFailure>;
+/** Plans a request with the current configuration. */
+export type Planner = () => Result<RequestPlan, GatewayFailure>;
 
 type Step =
-  | {readonly kind: 'again'}
-  | {readonly kind: 'end'; readonly result: Result<Admitted, GatewayFailure>};
+  | {readonly kind: 'retry'}
+  | {
+      readonly kind: 'done';
+      readonly result: Result<AdmissionResult, GatewayFailure>;
+    };
 
-/** See the module comment. */
+/** Admits requests and reserves their worst-case cost. */
 export class Admission {
   constructor(private readonly parts: AdmissionParts) {}
 
-  /** Admits, deciding again whenever the configuration has changed. */
+  /** Admits a request, planning it again if the configuration has changed. */
   async admit(
     planner: Planner,
     startedAt: number,
-  ): Promise<Result<Admitted, GatewayFailure>> {
-    for (let turn = 0; turn < MAX_REDECISIONS; turn += 1) {
+  ): Promise<Result<AdmissionResult, GatewayFailure>> {
+    for (let tryIndex = 0; tryIndex < MAX_ADMISSION_TRIES; tryIndex += 1) {
       if (!this.parts.member.isReady) {
-        return err(notReady());
+        return err(notReadyFailure());
       }
       const plan = planner();
       if (plan.isErr()) {
-        // A refusal must not rest on a configuration that has been replaced.
-        if (turn === 0 && (await this.parts.member.refresh())) {
+        // Do not reject a request because of an outdated configuration.
+        if (tryIndex === 0 && (await this.parts.member.refresh())) {
           continue;
         }
         return err(plan.error);
       }
-      const home = this.homeElsewhere(plan.value);
-      if (home !== undefined) {
-        return ok({kind: 'elsewhere', plan: plan.value, region: home});
+      const homeRegion = this.otherHomeRegion(plan.value);
+      if (homeRegion !== undefined) {
+        return ok({kind: 'other-region', plan: plan.value, region: homeRegion});
       }
-      const step = await this.tryOnce(plan.value, startedAt);
-      if (step.kind === 'end') {
+      const step = await this.tryAdmit(plan.value, startedAt);
+      if (step.kind === 'done') {
         return step.result;
       }
     }
-    return err(notReady());
+    return err(notReadyFailure());
   }
 
   /**
-   * The keys of never-repeated requests are kept by the home region of their
-   * budget alone, so that no second region can run the same one.
+   * The home region of the budget of an at-most-once request, if it is not
+   * this region. Only the home region stores the keys of such requests, so
+   * that two regions cannot run the same one.
    */
-  private homeElsewhere({decision}: Plan): string | undefined {
+  private otherHomeRegion({decision}: RequestPlan): string | undefined {
     const {member, region} = this.parts;
-    const home = member.config.budgetHome(decision.budget);
-    return decision.marked && home !== region ? home : undefined;
+    const homeRegion = member.config.budgetHome(decision.budget);
+    return decision.marked && homeRegion !== region ? homeRegion : undefined;
   }
 
-  private async tryOnce(plan: Plan, startedAt: number): Promise<Step> {
+  private async tryAdmit(plan: RequestPlan, startedAt: number): Promise<Step> {
     const {clock, control, member} = this.parts;
     const {admissions} = member;
     const serial = admissions.next();
     const deadline = startedAt + plan.decision.deadlineMs;
     const waitMs = Math.max(0, deadline - clock.now());
-    const outcome = await control.submit(this.record(plan, serial), {
+    const outcome = await control.submit(this.createRecord(plan, serial), {
       priority: plan.decision.priority,
       timeoutMs: waitMs + ADMIT_TIMEOUT_MS,
       waitMs,
     });
     if (outcome.isOk() && outcome.value.kind === 'admitted') {
-      const {attempt, available} = outcome.value;
-      this.parts.onAvailable(plan.decision.budget, available);
-      const admitted = {admissions, attempt, deadline, plan, serial};
-      return end(ok({attempt: admitted, kind: 'attempt'}));
+      const {attempt: attemptNumber, available} = outcome.value;
+      this.parts.onBudgetAvailable(plan.decision.budget, available);
+      const attempt = {admissions, attemptNumber, deadline, plan, serial};
+      return done(ok({attempt, kind: 'attempt'}));
     }
-    // Nothing will run under this serial; if it was admitted after all, the
-    // rising floor releases it.
+    // No attempt runs with this serial. If the request was admitted despite
+    // the error, closing the serial lets the ledger release it.
     admissions.close(serial);
     return outcome.isErr()
-      ? end(err(unavailable()))
-      : this.afterRefusal(plan, outcome.value as AdmitOutcome);
+      ? done(err(controlUnavailableFailure()))
+      : this.handleRefusal(plan, outcome.value as AdmitOutcome);
   }
 
-  private async afterRefusal(plan: Plan, outcome: AdmitOutcome): Promise<Step> {
+  private async handleRefusal(
+    plan: RequestPlan,
+    outcome: AdmitOutcome,
+  ): Promise<Step> {
     const {clock, member} = this.parts;
     switch (outcome.kind) {
       case 'present':
-        return end(ok({kind: 'known', known: {plan, view: outcome.request}}));
+        return done(ok({kind: 'known', known: {plan, view: outcome.request}}));
       case 'key-conflict':
-        return end(
+        return done(
           err(
-            gatewayFailure(
+            createFailure(
               'key_conflict',
-              'this key belongs to a request with other content',
+              'this Idempotency-Key was used by a request with different content',
             ),
           ),
         );
       case 'insufficient':
-        this.parts.onAvailable(plan.decision.budget, outcome.available);
-        return end(err(exhausted(plan, outcome.available, outcome.reserved)));
+        this.parts.onBudgetAvailable(plan.decision.budget, outcome.available);
+        return done(
+          err(
+            budgetExhaustedFailure(plan, outcome.available, outcome.reserved),
+          ),
+        );
       case 'no-budget': {
-        const message = `there is no budget ${plan.decision.budget}`;
-        return end(err(gatewayFailure('budget_exhausted', message)));
+        const message = `budget ${plan.decision.budget} does not exist`;
+        return done(err(createFailure('budget_exhausted', message)));
       }
       case 'stale-config':
         await member.waitForConfig(outcome.configIndex, ADMIT_TIMEOUT_MS);
-        return {kind: 'again'};
+        return {kind: 'retry'};
       default:
-        await clock.sleep(2 * FOLLOW_PAUSE_MS);
-        return {kind: 'again'};
+        await clock.sleep(2 * POLL_INTERVAL_MS);
+        return {kind: 'retry'};
     }
   }
 
-  private record(plan: Plan, serial: number) {
-    const {box, clock, keepMs, member} = this.parts;
-    const {decision, digest, generatedKey, key, request, reserve} = plan;
+  private createRecord(plan: RequestPlan, serial: number) {
+    const {box, clock, retentionMs, member} = this.parts;
+    const {decision, digest, isKeyGenerated, key, request, reserve} = plan;
     return {
       at: clock.wallTime(),
       box,
       budget: decision.budget,
       configIndex: plan.configIndex,
       digest,
-      generatedKey,
+      generatedKey: isKeyGenerated,
       incarnation: member.incarnation,
-      keepMs: keepMs(decision.marked),
+      keepMs: retentionMs(decision.marked),
       key,
       kind: 'admit',
       marked: decision.marked,
@@ -187,28 +198,28 @@
   }
 }
 
-function end(result: Result<Admitted, GatewayFailure>): Step {
-  return {kind: 'end', result};
+function done(result: Result<AdmissionResult, GatewayFailure>): Step {
+  return {kind: 'done', result};
 }
 
-function notReady(): GatewayFailure {
-  const message = 'this box is not up to date with its region';
-  return gatewayFailure('not_ready', message, 1_000);
+function notReadyFailure(): GatewayFailure {
+  const message = 'the configuration of this box is out of date';
+  return createFailure('not_ready', message, 1_000);
 }
 
-function unavailable(): GatewayFailure {
-  const message = 'the control boxes of this region cannot be reached';
-  return gatewayFailure('control_unavailable', message, 2_000);
+function controlUnavailableFailure(): GatewayFailure {
+  const message = 'the control boxes of this region are unreachable';
+  return createFailure('control_unavailable', message, 2_000);
 }
 
-function exhausted(
-  plan: Plan,
+function budgetExhaustedFailure(
+  plan: RequestPlan,
   available: number,
   reserved: number,
 ): GatewayFailure {
   const {decision, reserve} = plan;
-  const message = `budget ${decision.budget} has ${available} units left (${reserved} more are reserved); this request may cost ${reserve}`;
-  // Only reservations in flight can make room soon.
+  const message = `budget ${decision.budget} has ${available} units left and ${reserved} units reserved; this request may cost up to ${reserve}`;
+  // Only the release of reserved units can free budget soon.
   const retryAfterMs = reserved > 0 ? 5_000 : undefined;
-  return gatewayFailure('budget_exhausted', message, retryAfterMs);
+  return createFailure('budget_exhausted', message, retryAfterMs);
 }
--- /dev/null
+++ b/packages/puffinturn-gateway/src/AttemptRunner.ts
@@ -0,0 +1,614 @@
+/**
+ * Copyright (c) the puffinturn authors.
+ *
+ * This source code is licensed under the Apache License 2.0 found in the
+ * LICENSE file in the root directory of this source tree.
+ */
+
+/**
+ * Runs one admitted attempt: acquires a slot on an upstream, commits the
+ * dispatch of an at-most-once request, sends it, retries if that is safe, and
+ * closes the attempt.
+ */
+import type {ControlClient} from 'puffinturn-ledger';
+import {MAX_KEPT_ANSWER_BYTES} from 'puffinturn-ledger';
+import type {Place} from 'puffinturn-routing';
+import {backoffMs, prefixBlocks} from 'puffinturn-routing';
+import type {Timeline} from 'puffinturn-timeline';
+import {EVENT_KIND} from 'puffinturn-timeline';
+import type {Clock, Random} from 'shared';
+
+import type {AdmittedAttempt} from './Admission';
+import type {AttemptSettler} from './AttemptSettler';
+import {toAttemptId} from './AttemptSettler';
+import type {BufferedResponse} from './BufferedResponse';
+import {formatContinuationBody, formatUpstreamBody} from './CompletionBody';
+import type {Usage} from './CompletionStreamParser';
+import {CompletionStreamParser} from './CompletionStreamParser';
+import type {CrashingRequests} from './CrashingRequests';
+import {
+  ADMIT_TIMEOUT_MS,
+  MAX_PERMIT_REFUSALS,
+  MAX_RESPONSE_BYTES,
+  MAX_UPSTREAM_TRIES,
+  SETTLE_WAIT_MS,
+} from './GatewayConstants';
+import type {GatewayFailure} from './GatewayFailure';
+import {createFailure, OUTCOME} from './GatewayFailure';
+import type {GatewayMetrics} from './GatewayMetrics';
+import type {Pool, Pools} from './Pools';
+import type {
+  CallParts,
+  CallRequest,
+  FailedCall,
+  StartedCall,
+  UpstreamCall,
+} from './UpstreamCall';
+import {
+  callUpstream,
+  MIN_SERVER_ERROR_STATUS,
+  readChunks,
+} from './UpstreamCall';
+import type {UpstreamClient} from './UpstreamClient';
+import type {UpstreamPermits} from './UpstreamPermits';
+import {UsageMeter} from './UsageMeter';
+
+/** Dependencies of an AttemptRunner. */
+export interface AttemptRunnerParts {
+  readonly client: UpstreamClient;
+  readonly clock: Clock;
+  readonly control: ControlClient;
+  readonly crashing: CrashingRequests;
+  readonly metrics: GatewayMetrics;
+  readonly permits: UpstreamPermits;
+  readonly pools: Pools;
+  readonly random: Random;
+  readonly settler: AttemptSettler;
+  readonly timeline: Timeline;
+}
+
+const JSON_CONTENT_TYPE = 'application/json';
+const EVENT_STREAM_CONTENT_TYPE = 'text/event-stream';
+const encoder = new TextEncoder();
+
+interface NoPlace {
+  readonly kind: 'no-place';
+  readonly failure: GatewayFailure;
+}
+
+/** The dispatch of an at-most-once request could not be committed. */
+interface DispatchNotCommitted {
+  readonly kind: 'dispatch-not-committed';
+}
+
+type CallOutcome = UpstreamCall | NoPlace | DispatchNotCommitted;
+
+/** Runs one attempt and writes its response. */
+export class AttemptRunner {
+  private readonly pool: Pool;
+  private readonly callParts: CallParts;
+  private readonly avoidedUpstreams = new Set<string>();
+  /** Whether an upstream may have run the request. */
+  private mayHaveRun = false;
+  private isDispatchCommitted = false;
+  private readonly usage: UsageMeter;
+
+  constructor(
+    private readonly parts: AttemptRunnerParts,
+    private readonly attempt: AdmittedAttempt,
+    private readonly response: BufferedResponse,
+  ) {
+    this.pool = parts.pools.getPool(attempt.plan.target);
+    this.usage = new UsageMeter(attempt.plan, this.pool.promptTokenBound);
+    this.callParts = {
+      client: parts.client,
+      clock: parts.clock,
+      onLeaving: (pool, upstream) => {
+        parts.timeline.note(EVENT_KIND.upstreamLeaving, {upstream});
+        parts.pools.recordLeaving(pool, upstream);
+      },
+      onRateLimitChange: (upstream) => {
+        const {perSecond} = upstream.limits.limit;
+        const detail =
+          perSecond === undefined ? 'no limit' : `${perSecond} a second`;
+        const {name} = upstream;
+        parts.timeline.note(EVENT_KIND.upstreamLimited, {
+          detail,
+          upstream: name,
+        });
+        parts.permits.reportLimit(upstream);
+      },
+      onRetryAfter: (upstream, restMs) => {
+        const detail = `for ${restMs} ms`;
+        parts.timeline.note(EVENT_KIND.upstreamResting, {detail, upstream});
+      },
+    };
+  }
+
+  /** Runs until the response has ended and the attempt is closed. */
+  async run(): Promise<void> {
+    const {decision} = this.attempt.plan;
+    this.pool.retryBudget.earn();
+    for (let tryIndex = 0; ; tryIndex += 1) {
+      const call = await this.tryUpstream(tryIndex);
+      if (call.kind === 'started') {
+        const mayContinue = await this.deliver(call);
+        if (!mayContinue) {
+          return;
+        }
+      } else if (call.kind !== 'failed') {
+        return this.giveUp(call);
+      } else if (!this.recordFailure(call)) {
+        return this.closeFailed(call);
+      }
+      if (!this.canRetry(tryIndex)) {
+        return this.closeFailed(undefined);
+      }
+      this.parts.metrics.retries.inc({pool: decision.pool});
+      this.recordEvent(EVENT_KIND.retried, {detail: `try ${tryIndex + 2}`});
+      await this.parts.clock.sleep(backoffMs(tryIndex, this.parts.random));
+    }
+  }
+
+  private canRetry(tryIndex: number): boolean {
+    const {request} = this.attempt.plan;
+    return (
+      tryIndex + 1 < MAX_UPSTREAM_TRIES &&
+      this.parts.crashing.canRetry(request) &&
+      this.pool.retryBudget.spend()
+    );
+  }
+
+  private async tryUpstream(tryIndex: number): Promise<CallOutcome> {
+    const place = await this.acquirePermittedPlace();
+    if ('kind' in place) {
+      return place;
+    }
+    if (place.isLeaving) {
+      // The upstream started to leave during the commit; nothing was sent.
+      place[Symbol.dispose]();
+      const message = 'the upstream is shutting down';
+      return {
+        isConnectionLost: false,
+        kind: 'failed',
+        mayHaveRun: false,
+        message,
+        place,
+      };
+    }
+    this.recordEvent(EVENT_KIND.dispatched, {upstream: place.upstream.name});
+    const call = await this.sendHedged(place, tryIndex);
+    if (call.kind === 'failed') {
+      call.place[Symbol.dispose]();
+    }
+    return call;
+  }
+
+  /**
+   * Acquires a slot and a permit to send a request. The permit comes last
+   * because it must be used immediately.
+   */
+  private async acquirePermittedPlace(): Promise<
+    Place | NoPlace | DispatchNotCommitted
+  > {
+    const isLeastUrgent = this.attempt.plan.decision.priority > 0;
+    for (let refusals = 0; refusals < MAX_PERMIT_REFUSALS; refusals += 1) {
+      const place = await this.acquirePlace();
+      if ('kind' in place) {
+        return place;
+      }
+      if (!(await this.commitDispatch(place))) {
+        place.giveBack();
+        return {kind: 'dispatch-not-committed'};
+      }
+      if (await this.parts.permits.tryAcquire(place, isLeastUrgent)) {
+        return place;
+      }
+      place.giveBack();
+    }
+    const message = 'the upstreams have reached their rate limits';
+    const failure = createFailure('overloaded', message, 1_000);
+    return {failure, kind: 'no-place'};
+  }
+
+  private async acquirePlace(): Promise<Place | NoPlace> {
+    const {response, attempt, avoidedUpstreams} = this;
+    const {decision, maxTokens, promptTokens, request} = attempt.plan;
+    const result = await this.pool.router.acquire({
+      avoid: avoidedUpstreams,
+      cost: promptTokens + maxTokens + 1,
+      deadline: attempt.deadline,
+      prefix: prefixBlocks(request.completion?.prompt ?? ''),
+      priority: decision.priority,
+      signal: response.abortController.signal,
+      team: request.team.name,
+      weight: request.team.spec.weight,
+    });
+    if (result.isOk()) {
+      return result.value;
+    }
+    const {error} = result;
+    const code = error.kind === 'caller-gone' ? 'caller_gone' : 'overloaded';
+    const retryAfterMs = 'retryAfterMs' in error ? error.retryAfterMs : 2_000;
+    const failure = createFailure(code, error.message, retryAfterMs);
+    return {failure, kind: 'no-place'};
+  }
+
+  /**
+   * Commits the dispatch of an at-most-once request to the ledger. The request
+   * must not be sent if the outcome of the commit is unknown.
+   */
+  private async commitDispatch({upstream}: Place): Promise<boolean> {
+    const {attempt} = this;
+    if (!attempt.plan.decision.marked || this.isDispatchCommitted) {
+      return true;
+    }
+    const record = {
+      ...toAttemptId(attempt),
+      kind: 'dispatch',
+      upstream: upstream.name,
+    } as const;
+    const outcome = await this.parts.control.submit(record, {
+      timeoutMs: ADMIT_TIMEOUT_MS,
+    });
+    this.isDispatchCommitted = outcome.isOk() && outcome.value.kind === 'done';
+    return this.isDispatchCommitted;
+  }
+
+  private async sendHedged(
+    place: Place,
+    tryIndex: number,
+  ): Promise<UpstreamCall> {
+    const {decision} = this.attempt.plan;
+    const request = this.createCallRequest();
+    const {signal} = this.response.abortController;
+    const first = callUpstream(this.callParts, place, request, signal);
+    if (!decision.hedge || decision.marked || tryIndex > 0) {
+      return first;
+    }
+    const timer = new AbortController();
+    const isSlow = await Promise.race([
+      first.then(() => false),
+      this.parts.clock
+        .sleep(Math.min(this.pool.hedge.afterMs, 1e9), timer.signal)
+        .then(() => true),
+    ]);
+    timer.abort();
+    if (!isSlow || !this.pool.hedge.spend()) {
+      return first;
+    }
+    return this.sendSecond(first, place, request);
+  }
+
+  /** Sends the request to a second upstream and returns the first response. */
+  private async sendSecond(
+    first: Promise<UpstreamCall>,
+    firstPlace: Place,
+    request: CallRequest,
+  ): Promise<UpstreamCall> {
+    this.avoidedUpstreams.add(firstPlace.upstream.name);
+    const second = await this.acquirePermittedPlace();
+    if ('kind' in second) {
+      return first;
+    }
+    this.parts.metrics.hedges.inc({pool: this.attempt.plan.decision.pool});
+    const {signal} = this.response.abortController;
+    const hedged = callUpstream(this.callParts, second, request, signal);
+    const winner = await Promise.race([
+      first.then((call) => (call.kind === 'started' ? call : hedged)),
+      hedged.then((call) => (call.kind === 'started' ? call : first)),
+    ]);
+    for (const call of [first, hedged]) {
+      void call.then((settled) => cancelLoser(settled, winner));
+    }
+    return winner;
+  }
+
+  private createCallRequest(): CallRequest {
+    const {decision, maxTokens, request} = this.attempt.plan;
+    const {completion, headers, method, path} = request;
+    if (completion === undefined) {
+      const body = request.body.length > 0 ? request.body : undefined;
+      return {
+        body,
+        rejectsServerErrors: !decision.marked,
+        fresh: decision.marked,
+        headers,
+        method,
+        path,
+      };
+    }
+    const {textEventCount, text} = this.usage;
+    const remainingTokens = Math.max(1, maxTokens - textEventCount);
+    const body =
+      textEventCount === 0
+        ? formatUpstreamBody(completion, maxTokens, decision.priority)
+        : formatContinuationBody(
+            completion,
+            text,
+            remainingTokens,
+            decision.priority,
+          );
+    return {
+      body,
+      rejectsServerErrors: true,
+      fresh: decision.marked,
+      headers: {...headers, 'content-type': JSON_CONTENT_TYPE},
+      method,
+      path,
+    };
+  }
+
+  /**
+   * Delivers a response. Returns true if it was incomplete and another upstream
+   * may continue it.
+   */
+  private async deliver(call: StartedCall): Promise<boolean> {
+    using _place = call.place;
+    this.mayHaveRun = true;
+    const {request} = this.attempt.plan;
+    const {completion} = request;
+    this.pool.hedge.observe(call.firstByteMs);
+    if (completion !== undefined) {
+      const {name} = call.place.upstream;
+      this.pool.prefixes.learn(name, prefixBlocks(completion.prompt));
+      this.parts.metrics.firstTokenSeconds.observe(
+        {pool: this.attempt.plan.decision.pool},
+        call.firstByteMs / 1_000,
+      );
+    }
+    const isStream =
+      completion?.stream === true && call.response.status === 200;
+    const isComplete = isStream
+      ? await this.deliverStream(call)
+      : await this.deliverBody(call);
+    if (isComplete) {
+      this.recordSuccess(call);
+      return false;
+    }
+    if (this.response.abortController.signal.aborted) {
+      await this.closeAbandoned();
+      return false;
+    }
+    call.place.failed();
+    this.parts.crashing.recordLostConnection(call.place.upstream, request);
+    this.avoidedUpstreams.add(call.place.upstream.name);
+    if (this.attempt.plan.decision.marked) {
+      await this.closeUnknown();
+      return false;
+    }
+    return true;
+  }
+
+  /** Reads the complete body, bills it, then delivers it. */
+  private async deliverBody(call: StartedCall): Promise<boolean> {
+    const chunks: Uint8Array[] = [];
+    let length = 0;
+    try {
+      for await (const bytes of readChunks(call)) {
+        chunks.push(bytes);
+        length += bytes.length;
+        if (length > MAX_RESPONSE_BYTES) {
+          call.abort();
+          return false;
+        }
+      }
+    } catch {
+      return false;
+    }
+    const body = Buffer.concat(chunks);
+    const {status} = call.response;
+    const contentType =
+      call.response.headers['content-type'] ?? JSON_CONTENT_TYPE;
+    const isRetained = body.length <= MAX_KEPT_ANSWER_BYTES;
+    const billed = await this.parts.settler.settle(
+      this.attempt,
+      'settled',
+      this.usage.computeBodyCharge(status, body),
+      isRetained ? {body, contentType, status} : undefined,
+    );
+    this.response.billed = billed;
+    const head = {billed, contentType, outcome: OUTCOME.ran, status};
+    this.response.setHead(head);
+    void this.response.append(body);
+    this.response.finish({kind: 'whole'});
+    return true;
+  }
+
+  /** Relays events as they arrive; the end of the stream follows the billing. */
+  private async deliverStream(call: StartedCall): Promise<boolean> {
+    const parser = new CompletionStreamParser();
+    let isDone = false;
+    try {
+      for await (const bytes of readChunks(call)) {
+        let output = '';
+        for (const event of parser.push(bytes)) {
+          if (event.kind === 'text') {
+            this.usage.addText(event.text);
+            output += `data: ${event.data}\n\n`;
+          } else if (event.kind === 'usage') {
+            this.usage.addUsage(event.usage);
+          } else {
+            isDone = true;
+          }
+        }
+        if (output !== '') {
+          this.startStream();
+          await this.response.append(encoder.encode(output));
+        }
+      }
+    } catch {
+      isDone = false;
+    }
+    if (!isDone || this.response.abortController.signal.aborted) {
+      return false;
+    }
+    await this.endStream();
+    return true;
+  }
+
+  private recordSuccess({response}: StartedCall): void {
+    if (response.status < MIN_SERVER_ERROR_STATUS) {
+      this.parts.crashing.recordSuccess(this.attempt.plan.request);
+    }
+  }
+
+  private startStream(): void {
+    this.response.setHead({
+      billed: undefined,
+      contentType: EVENT_STREAM_CONTENT_TYPE,
+      outcome: OUTCOME.ran,
+      status: 200,
+    });
+  }
+
+  private async endStream(): Promise<void> {
+    const {completion} = this.attempt.plan.request;
+    const usage = this.usage.currentUsage();
+    const charge = this.usage.computeCharge();
+    const billed = await this.parts.settler.settleWithTimeout(
+      this.attempt,
+      charge,
+    );
+    this.response.billed = billed;
+    this.startStream();
+    let output = '';
+    if (completion?.includeUsage === true) {
+      output += `data: ${formatUsageChunk(completion.model, usage)}\n\n`;
+    }
+    output += `: billed ${billed ?? 'later'}\n\ndata: [DONE]\n\n`;
+    void this.response.append(encoder.encode(output));
+    this.response.finish({kind: 'whole'});
+  }
+
+  /** Records a failed call; returns whether a retry is safe. */
+  private recordFailure(call: FailedCall): boolean {
+    this.mayHaveRun ||= call.mayHaveRun;
+    if (call.isConnectionLost) {
+      const {request} = this.attempt.plan;
+      this.parts.crashing.recordLostConnection(call.place.upstream, request);
+    }
+    this.avoidedUpstreams.add(call.place.upstream.name);
+    const isCallerGone = this.response.abortController.signal.aborted;
+    const {marked} = this.attempt.plan.decision;
+    return !isCallerGone && !(marked && call.mayHaveRun);
+  }
+
+  private async closeFailed(call: FailedCall | undefined): Promise<void> {
+    const {decision, isKeyGenerated} = this.attempt.plan;
+    if (this.response.abortController.signal.aborted) {
+      return this.closeAbandoned();
+    }
+    if (decision.marked && this.mayHaveRun) {
+      return this.closeUnknown();
+    }
+    const message = call?.message ?? 'no upstream returned a complete response';
+    if (this.usage.textEventCount > 0) {
+      // Without a key from the caller no retry can attach: bill the delivered part.
+      await (isKeyGenerated
+        ? this.closeAbandoned()
+        : this.parts.settler.release(this.attempt));
+      return this.fail(createFailure('upstream_broke_off', message, 1_000));
+    }
+    const failure = createFailure('upstream_failed', message, 1_000);
+    const outcome = this.mayHaveRun ? OUTCOME.unknown : OUTCOME.notRun;
+    return this.releaseAndFail({...failure, outcome});
+  }
+
+  private async giveUp(
+    call: Exclude<CallOutcome, UpstreamCall>,
+  ): Promise<void> {
+    if (call.kind === 'dispatch-not-committed') {
+      const message = 'the dispatch could not be committed to the ledger';
+      const code = 'control_unavailable';
+      return this.releaseAndFail(createFailure(code, message, 1_000));
+    }
+    if (this.mayHaveRun || this.usage.textEventCount > 0) {
+      return this.closeFailed(undefined);
+    }
+    return this.releaseAndFail(call.failure);
+  }
+
+  /**
+   * Releases the attempt and fails with the given failure. If the release is
+   * not confirmed in time, another attempt may run the request, so the failure
+   * is reported as still running instead.
+   */
+  private async releaseAndFail(failure: GatewayFailure): Promise<void> {
+    const released = this.parts.settler.release(this.attempt);
+    const timer = new AbortController();
+    const outcome = await Promise.race([
+      released,
+      this.parts.clock
+        .sleep(SETTLE_WAIT_MS, timer.signal)
+        .then(() => undefined),
+    ]);
+    timer.abort();
+    if (outcome?.kind === 'done') {
+      this.fail(failure);
+    } else {
+      const message = 'another attempt at this request may be running';
+      this.fail(createFailure('still_running', message, 1_000));
+    }
+    await released;
+  }
+
+  private async closeUnknown(): Promise<void> {
+    const {reserve} = this.attempt.plan;
+    await this.parts.settler.settle(this.attempt, 'unknown', reserve);
+    const message = 'the request may have run and will not be retried';
+    return this.fail(createFailure('outcome_unknown', message));
+  }
+
+  /** Bills the usage of a response that nobody reads any more. */
+  private async closeAbandoned(): Promise<void> {
+    if (this.mayHaveRun) {
+      const charge = this.usage.computeCharge();
+      await this.parts.settler.settle(this.attempt, 'settled', charge);
+    } else {
+      await this.parts.settler.release(this.attempt);
+    }
+    this.fail(createFailure('caller_gone', 'the caller closed the connection'));
+  }
+
+  private fail(failure: GatewayFailure): void {
+    this.response.finish({failure, kind: 'failed'});
+  }
+
+  private recordEvent(
+    kind: (typeof EVENT_KIND)[keyof typeof EVENT_KIND],
+    subject: {detail?: string; upstream?: string},
+  ): void {
+    const {decision, key, request} = this.attempt.plan;
+    this.parts.timeline.note(kind, {
+      ...subject,
+      budget: decision.budget,
+      request: key,
+      team: request.team.name,
+    });
+  }
+}
+
+function cancelLoser(call: UpstreamCall, winner: UpstreamCall): void {
+  if (call === winner) {
+    return;
+  }
+  if (call.kind === 'started') {
+    call.abort();
+  }
+  call.place[Symbol.dispose]();
+}
+
+function formatUsageChunk(model: string, usage: Usage): string {
+  const {completionTokens, promptTokens} = usage;
+  return JSON.stringify({
+    choices: [],
+    model,
+    object: 'chat.completion.chunk',
+    usage: {
+      completion_tokens: completionTokens,
+      prompt_tokens: promptTokens,
+      total_tokens: completionTokens + promptTokens,
+    },
+  });
+}
--- a/packages/puffinturn-gateway/src/Settlement.ts
+++ b/packages/puffinturn-gateway/src/AttemptSettler.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Closes attempts in the ledger, as often as it takes to get an outcome. */
+/** Closes attempts in the ledger, with retries until the outcome is known. */
 import type {
   AttemptId,
   AttemptOutcome,
@@ -17,51 +17,51 @@
 import {EVENT_KIND} from 'puffinturn-timeline';
 import type {Clock} from 'shared';
 
-import type {Attempt} from './Admission';
+import type {AdmittedAttempt} from './Admission';
 import {
   SETTLE_RETRY_MS,
   SETTLE_TIMEOUT_MS,
   SETTLE_WAIT_MS,
 } from './GatewayConstants';
 
-/** What settling needs. */
-export interface SettlementParts {
+/** Dependencies of an AttemptSettler. */
+export interface AttemptSettlerParts {
   readonly clock: Clock;
   readonly control: ControlClient;
   readonly timeline: Timeline;
-  /** Aborted when the process ends; open attempts are then left to others. */
+  /** Aborted when the process stops; other boxes then close the open attempts. */
   readonly signal: AbortSignal;
 }
 
-/** The ids of an attempt. */
-export function attemptId({attempt, plan}: Attempt): AttemptId {
-  return {attempt, key: plan.key, team: plan.request.team.name};
+/** The identifier of an attempt in the ledger. */
+export function toAttemptId({attemptNumber, plan}: AdmittedAttempt): AttemptId {
+  return {attempt: attemptNumber, key: plan.key, team: plan.request.team.name};
 }
 
-/** See the module comment. */
-export class Settlement {
-  private open = 0;
+/** Settles or releases attempts. */
+export class AttemptSettler {
+  private unresolvedCount = 0;
 
-  constructor(private readonly parts: SettlementParts) {}
+  constructor(private readonly parts: AttemptSettlerParts) {}
 
-  /** Attempts whose closing has no outcome yet. */
-  get pending(): number {
-    return this.open;
+  /** Number of attempts being closed, without an outcome so far. */
+  get pendingCount(): number {
+    return this.unresolvedCount;
   }
 
   /**
-   * Bills an attempt once; resolves with what was billed, or undefined when
-   * this attempt no longer holds the request and it is billed otherwise.
+   * Bills an attempt once. Returns the billed units, or undefined if another
+   * attempt has taken over the request and its billing.
    */
   async settle(
-    attempt: Attempt,
+    attempt: AdmittedAttempt,
     outcome: 'settled' | 'unknown',
     charge: number,
     answer?: KeptAnswer,
   ): Promise<number | undefined> {
     const at = this.parts.clock.wallTime();
-    const id = attemptId(attempt);
-    const done = await this.close(attempt, {
+    const id = toAttemptId(attempt);
+    const result = await this.close(attempt, {
       ...id,
       answer,
       at,
@@ -69,7 +69,7 @@
       kind: 'settle',
       outcome,
     });
-    const billed = done.kind === 'superseded' ? undefined : done.charge;
+    const billed = result.kind === 'superseded' ? undefined : result.charge;
     this.parts.timeline.note(EVENT_KIND.settled, {
       budget: attempt.plan.decision.budget,
       detail: `${outcome} ${billed ?? 'elsewhere'}`,
@@ -79,24 +79,29 @@
     return billed;
   }
 
-  /** Like `settle`, but waits only a short while for the outcome. */
-  async settleSoon(
-    attempt: Attempt,
+  /**
+   * Like `settle`, but returns undefined after SETTLE_WAIT_MS. The settlement
+   * continues in the background.
+   */
+  async settleWithTimeout(
+    attempt: AdmittedAttempt,
     charge: number,
   ): Promise<number | undefined> {
-    const stop = new AbortController();
+    const timer = new AbortController();
     const billed = await Promise.race([
       this.settle(attempt, 'settled', charge),
-      this.parts.clock.sleep(SETTLE_WAIT_MS, stop.signal).then(() => undefined),
+      this.parts.clock
+        .sleep(SETTLE_WAIT_MS, timer.signal)
+        .then(() => undefined),
     ]);
-    stop.abort();
+    timer.abort();
     return billed;
   }
 
-  /** Releases an attempt unbilled, so that its key may be admitted again. */
-  async release(attempt: Attempt): Promise<AttemptOutcome> {
+  /** Releases an attempt without billing, so that its key can be admitted again. */
+  async release(attempt: AdmittedAttempt): Promise<AttemptOutcome> {
     const at = this.parts.clock.wallTime();
-    const id = attemptId(attempt);
+    const id = toAttemptId(attempt);
     const outcome = await this.close(attempt, {...id, at, kind: 'void'});
     this.parts.timeline.note(EVENT_KIND.voided, {
       budget: attempt.plan.decision.budget,
@@ -107,17 +112,17 @@
   }
 
   private async close(
-    attempt: Attempt,
+    attempt: AdmittedAttempt,
     record: LedgerRecord,
   ): Promise<AttemptOutcome> {
     const {clock, control, signal} = this.parts;
-    this.open += 1;
+    this.unresolvedCount += 1;
     while (!signal.aborted) {
       const outcome = await control.submit(record, {
         timeoutMs: SETTLE_TIMEOUT_MS,
       });
       if (outcome.isOk()) {
-        this.open -= 1;
+        this.unresolvedCount -= 1;
         attempt.admissions.close(attempt.serial);
         return outcome.value as AttemptOutcome;
       }
--- a/packages/puffinturn-gateway/src/CallerHttp.ts
+++ b/packages/puffinturn-gateway/src/CallerHttp.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The callers' HTTP interface: OpenAI's protocol and plain services. */
+/** HTTP interface for callers: the OpenAI API and plain services. */
 import type {HttpBindings} from '@hono/node-server';
 import type {Context} from 'hono';
 import {Hono} from 'hono';
@@ -13,33 +13,41 @@
 import {err, ok} from 'neverthrow';
 import type {BoxMember, Team} from 'puffinturn-membership';
 
-import type {Answer, AnswerHead, AnswerReader} from './Answer';
+import type {
+  BufferedResponse,
+  ResponseHead,
+  ResponseReader,
+} from './BufferedResponse';
 import {checkCompletion} from './CompletionBody';
-import type {CallerAnswer, Gateway} from './Gateway';
+import type {CallerResponse, Gateway} from './Gateway';
 import {MAX_KEY_LENGTH} from './GatewayConstants';
 import type {GatewayFailure} from './GatewayFailure';
-import {errorBody, gatewayFailure, OUTCOME} from './GatewayFailure';
+import {createFailure, formatErrorBody, OUTCOME} from './GatewayFailure';
 import type {GatewayMetrics} from './GatewayMetrics';
-import type {CallerRequest} from './Plan';
+import type {CallerRequest} from './RequestPlan';
 
 type HttpContext = Context<{Bindings: HttpBindings}>;
 
-/** What the interface needs. */
+/** Dependencies and settings of the HTTP interface. */
 export interface CallerHttpParts {
   readonly gateway: Gateway;
   readonly member: BoxMember;
   readonly metrics: GatewayMetrics;
-  /** Largest body of a request, bytes. */
+  /** Maximum size of a request body, bytes. */
   readonly bodyBytes: number;
-  /** Whether the balancer should send requests here. */
+  /** Whether the load balancer should send requests to this box. */
   readonly isHealthy: () => boolean;
 }
 
-/** Headers that must not come twice, as they could be read in two ways. */
-const SINGLE_HEADERS = ['authorization', 'idempotency-key', 'content-type'];
+/** Headers that must not be repeated, as their value would be ambiguous. */
+const NON_REPEATABLE_HEADERS = [
+  'authorization',
+  'idempotency-key',
+  'content-type',
+];
 
-/** Headers that concern one connection or this system only. */
-const OWN_HEADERS = new Set([
+/** Hop-by-hop headers and headers for this system only. */
+const NOT_FORWARDED_HEADERS = new Set([
   'accept-encoding',
   'authorization',
   'connection',
@@ -54,9 +62,9 @@
   'upgrade',
 ]);
 
-const JSON_TYPE = 'application/json';
+const JSON_CONTENT_TYPE = 'application/json';
 
-/** The application; serve it with a Node server. */
+/** Creates the Hono application. */
 export function callerHttp(
   parts: CallerHttpParts,
 ): Hono<{Bindings: HttpBindings}> {
@@ -74,18 +82,28 @@
   app.get('/v1/models', async (context) =>
     (await authenticate(parts, context)).match(
       () => context.json(listModels(member)),
-      refuse,
+      createErrorResponse,
     ),
   );
   app.post('/v1/chat/completions', (context) =>
-    completion(parts, context, 'chat'),
+    handleCompletion(parts, context, 'chat'),
+  );
+  app.post('/v1/completions', (context) =>
+    handleCompletion(parts, context, 'text'),
+  );
+  app.all('/services/:service/*', (context) => handleService(parts, context));
+  app.notFound(() =>
+    createErrorResponse(
+      createFailure('not_found', 'there is no endpoint at this path'),
+    ),
   );
-  app.post('/v1/completions', (context) => completion(parts, context, 'text'));
-  app.all('/services/:service/*', (context) => service(parts, context));
-  app.notFound(() => refuse(gatewayFailure('not_found', 'no such path')));
   app.onError((error) => {
-    const failure = gatewayFailure('bad_request', error.message);
-    return refuse({...failure, outcome: OUTCOME.unknown, status: 500});
+    const failure = createFailure('bad_request', error.message);
+    return createErrorResponse({
+      ...failure,
+      outcome: OUTCOME.unknown,
+      status: 500,
+    });
   });
   return app;
 }
@@ -108,35 +126,41 @@
   {member}: CallerHttpParts,
   context: HttpContext,
 ): Promise<Result<Team, GatewayFailure>> {
-  const repeated = repeatedHeader(context.env.incoming.rawHeaders);
-  if (repeated !== undefined) {
-    const message = `the header ${repeated} came more than once`;
-    return err(gatewayFailure('bad_request', message));
+  const repeatedHeader = findRepeatedHeader(context.env.incoming.rawHeaders);
+  if (repeatedHeader !== undefined) {
+    const message = `the header ${repeatedHeader} must not be repeated`;
+    return err(createFailure('bad_request', message));
   }
   const [scheme, key] = (context.req.header('authorization') ?? '').split(' ');
-  const bearer = scheme?.toLowerCase() === 'bearer' && key ? key : undefined;
-  const team = bearer === undefined ? undefined : member.config.teamOf(bearer);
+  const token = scheme?.toLowerCase() === 'bearer' && key ? key : undefined;
+  const team = token === undefined ? undefined : member.config.teamOf(token);
   if (team !== undefined) {
     return ok(team);
   }
-  // A key may be newer than the configuration that this box has.
-  if (bearer !== undefined && (await member.refresh())) {
-    const added = member.config.teamOf(bearer);
-    if (added !== undefined) {
-      return ok(added);
+  // The key may be newer than the configuration of this box.
+  if (token !== undefined && (await member.refresh())) {
+    const newTeam = member.config.teamOf(token);
+    if (newTeam !== undefined) {
+      return ok(newTeam);
     }
   }
   return member.isReady
-    ? err(gatewayFailure('invalid_key', 'a valid bearer key is needed'))
-    : err(gatewayFailure('not_ready', 'this box is not up to date', 1_000));
+    ? err(createFailure('invalid_key', 'a valid bearer key is required'))
+    : err(
+        createFailure(
+          'not_ready',
+          'the configuration of this box is out of date',
+          1_000,
+        ),
+      );
 }
 
-function repeatedHeader(rawHeaders: readonly string[]): string | undefined {
+function findRepeatedHeader(rawHeaders: readonly string[]): string | undefined {
   const names = rawHeaders
-    .filter((_, position) => position % 2 === 0)
+    .filter((_, index) => index % 2 === 0)
     .map((name) => name.toLowerCase());
-  return SINGLE_HEADERS.find(
-    (single) => names.filter((name) => name === single).length > 1,
+  return NON_REPEATABLE_HEADERS.find(
+    (header) => names.filter((name) => name === header).length > 1,
   );
 }
 
@@ -145,24 +169,34 @@
   limit: number,
 ): Promise<Result<Uint8Array, GatewayFailure>> {
   const tooLarge = (): Result<Uint8Array, GatewayFailure> =>
-    err(gatewayFailure('body_too_large', `at most ${limit} bytes are taken`));
+    err(
+      createFailure(
+        'body_too_large',
+        `the body exceeds the limit of ${limit} bytes`,
+      ),
+    );
   if (Number(context.req.header('content-length') ?? 0) > limit) {
     return tooLarge();
   }
-  const parts: Uint8Array[] = [];
+  const chunks: Uint8Array[] = [];
   let length = 0;
   try {
-    for await (const part of context.env.incoming) {
-      length += part.length;
+    for await (const chunk of context.env.incoming) {
+      length += chunk.length;
       if (length > limit) {
         return tooLarge();
       }
-      parts.push(part);
+      chunks.push(chunk);
     }
   } catch {
-    return err(gatewayFailure('bad_request', 'the body broke off'));
+    return err(
+      createFailure(
+        'bad_request',
+        'the connection was lost before the body was complete',
+      ),
+    );
   }
-  return ok(Buffer.concat(parts));
+  return ok(Buffer.concat(chunks));
 }
 
 function parseBody(body: Uint8Array): Result<unknown, GatewayFailure> {
@@ -170,44 +204,53 @@
     const text = new TextDecoder('utf-8', {fatal: true}).decode(body);
     return ok(JSON.parse(text));
   } catch {
-    return err(gatewayFailure('bad_request', 'the body is not JSON in UTF-8'));
+    return err(
+      createFailure('bad_request', 'the body is not valid JSON in UTF-8'),
+    );
   }
 }
 
-function callerKey(context: HttpContext): Result<string, GatewayFailure> {
+function readIdempotencyKey(
+  context: HttpContext,
+): Result<string, GatewayFailure> {
   const key = context.req.header('idempotency-key') ?? '';
   return key.length > MAX_KEY_LENGTH
-    ? err(gatewayFailure('bad_request', 'the Idempotency-Key is too long'))
+    ? err(
+        createFailure(
+          'bad_request',
+          `the Idempotency-Key exceeds ${MAX_KEY_LENGTH} characters`,
+        ),
+      )
     : ok(key);
 }
 
-function upstreamHeaders(context: HttpContext): Record<string, string> {
+function forwardedHeaders(context: HttpContext): Record<string, string> {
   const headers: Record<string, string> = {};
   for (const [name, value] of Object.entries(context.req.header())) {
-    if (!OWN_HEADERS.has(name)) {
+    if (!NOT_FORWARDED_HEADERS.has(name)) {
       headers[name] = value;
     }
   }
   return headers;
 }
 
-async function completion(
+async function handleCompletion(
   parts: CallerHttpParts,
   context: HttpContext,
   kind: 'chat' | 'text',
 ): Promise<Response> {
   const team = await authenticate(parts, context);
   if (team.isErr()) {
-    return refuse(team.error);
+    return createErrorResponse(team.error);
   }
   const body = await readBody(context, parts.bodyBytes);
   const request = body.andThen((bytes) =>
     parseBody(bytes).andThen((json) =>
       checkCompletion(json, kind).andThen((checked) =>
-        callerKey(context).map((key): CallerRequest => ({
+        readIdempotencyKey(context).map((key): CallerRequest => ({
           body: bytes,
           completion: checked,
-          headers: upstreamHeaders(context),
+          headers: forwardedHeaders(context),
           json,
           key,
           method: 'POST',
@@ -219,28 +262,30 @@
     ),
   );
   return request.isErr()
-    ? refuse(request.error)
-    : respond(parts, context, request.value);
+    ? createErrorResponse(request.error)
+    : serveRequest(parts, context, request.value);
 }
 
-async function service(
+async function handleService(
   parts: CallerHttpParts,
   context: HttpContext,
 ): Promise<Response> {
   const team = await authenticate(parts, context);
   if (team.isErr()) {
-    return refuse(team.error);
+    return createErrorResponse(team.error);
   }
   const name = context.req.param('service') ?? '';
   const body = await readBody(context, parts.bodyBytes);
   const request = body.andThen((bytes) =>
-    callerKey(context).map((key): CallerRequest => {
-      const isJson = context.req.header('content-type')?.includes(JSON_TYPE);
+    readIdempotencyKey(context).map((key): CallerRequest => {
+      const isJson = context.req
+        .header('content-type')
+        ?.includes(JSON_CONTENT_TYPE);
       const {pathname, search} = new URL(context.req.url);
       return {
         body: bytes,
         completion: undefined,
-        headers: upstreamHeaders(context),
+        headers: forwardedHeaders(context),
         json: isJson === true ? parseBody(bytes).unwrapOr(null) : null,
         key,
         method: context.req.method,
@@ -251,58 +296,62 @@
     }),
   );
   return request.isErr()
-    ? refuse(request.error)
-    : respond(parts, context, request.value);
+    ? createErrorResponse(request.error)
+    : serveRequest(parts, context, request.value);
 }
 
-async function respond(
+async function serveRequest(
   {gateway, metrics}: CallerHttpParts,
   context: HttpContext,
   request: CallerRequest,
 ): Promise<Response> {
-  const handled = await gateway.handle(request);
-  if (handled.isErr()) {
-    const {kind: code, outcome} = handled.error;
+  const result = await gateway.handle(request);
+  if (result.isErr()) {
+    const {kind: code, outcome} = result.error;
     const target = request.service || (request.completion?.model ?? '');
     metrics.requests.inc({code, outcome, target});
-    return refuse(handled.error);
+    return createErrorResponse(result.error);
   }
-  return answerResponse(handled.value, context);
+  return toHttpResponse(result.value, context);
 }
 
-async function answerResponse(
-  {answer, requestId}: CallerAnswer,
+async function toHttpResponse(
+  {answer: response, requestId}: CallerResponse,
   context: HttpContext,
 ): Promise<Response> {
-  const reader = answer.read();
-  const leave = (): void => reader[Symbol.dispose]();
-  context.env.outgoing.once('close', leave);
-  const head = await reader.head();
+  const reader = response.read();
+  const closeReader = (): void => reader[Symbol.dispose]();
+  context.env.outgoing.once('close', closeReader);
+  const head = await reader.waitForHead();
   if (head === undefined) {
-    const failure = answer.end?.kind === 'failed' ? answer.end.failure : null;
-    return refuse(
-      failure ?? gatewayFailure('upstream_failed', 'no answer'),
+    const failure =
+      response.end?.kind === 'failed' ? response.end.failure : null;
+    return createErrorResponse(
+      failure ?? createFailure('upstream_failed', 'there is no response'),
       requestId,
     );
   }
-  const headers = headersOf(head, requestId);
-  if (answer.end?.kind === 'whole') {
+  const headers = responseHeaders(head, requestId);
+  if (response.end?.kind === 'whole') {
     const body = Buffer.concat(await reader.chunks());
-    leave();
-    return new Response(bodyFor(head, body), {headers, status: head.status});
+    closeReader();
+    return new Response(responseBody(head, body), {
+      headers,
+      status: head.status,
+    });
   }
-  const stream = streamOf(answer, reader);
+  const stream = createBodyStream(response, reader);
   return new Response(stream, {headers, status: head.status});
 }
 
-/** Statuses whose responses must not have a body. */
-const BODILESS = new Set([204, 205, 304]);
+/** Statuses of responses without a body. */
+const BODILESS_STATUSES = new Set([204, 205, 304]);
 
-function bodyFor({status}: AnswerHead, body: Buffer): Buffer | null {
-  return BODILESS.has(status) ? null : body;
+function responseBody({status}: ResponseHead, body: Buffer): Buffer | null {
+  return BODILESS_STATUSES.has(status) ? null : body;
 }
 
-function headersOf(head: AnswerHead, requestId: string): Headers {
+function responseHeaders(head: ResponseHead, requestId: string): Headers {
   const headers = new Headers({
     'content-type': head.contentType,
     'puffinturn-outcome': head.outcome,
@@ -314,10 +363,10 @@
   return headers;
 }
 
-/** The body of an answer that is still coming, at the caller's own pace. */
-function streamOf(
-  answer: Answer,
-  reader: AnswerReader,
+/** Streams the body of a response in progress, with back-pressure. */
+function createBodyStream(
+  response: BufferedResponse,
+  reader: ResponseReader,
 ): ReadableStream<Uint8Array> {
   return new ReadableStream({
     cancel: () => reader[Symbol.dispose](),
@@ -327,9 +376,9 @@
         controller.enqueue(Buffer.concat(chunks));
         return;
       }
-      if (answer.end?.kind === 'failed') {
-        const body = errorBody(answer.end.failure);
-        // No terminating event follows, so that nobody takes it for whole.
+      if (response.end?.kind === 'failed') {
+        const body = formatErrorBody(response.end.failure);
+        // No [DONE] event follows, so that the response does not look complete.
         const event = `event: error\ndata: ${body}\n\n`;
         controller.enqueue(new TextEncoder().encode(event));
       }
@@ -339,9 +388,12 @@
   });
 }
 
-function refuse(failure: GatewayFailure, requestId?: string): Response {
+function createErrorResponse(
+  failure: GatewayFailure,
+  requestId?: string,
+): Response {
   const headers = new Headers({
-    'content-type': JSON_TYPE,
+    'content-type': JSON_CONTENT_TYPE,
     'puffinturn-outcome': failure.outcome,
   });
   if (requestId !== undefined) {
@@ -351,5 +403,8 @@
     const seconds = Math.ceil(failure.retryAfterMs / 1_000);
     headers.set('retry-after', String(seconds));
   }
-  return new Response(errorBody(failure), {headers, status: failure.status});
+  return new Response(formatErrorBody(failure), {
+    headers,
+    status: failure.status,
+  });
 }
--- a/packages/puffinturn-gateway/src/CompletionBody.ts
+++ b/packages/puffinturn-gateway/src/CompletionBody.ts
@@ -5,55 +5,56 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The bodies of `/v1/chat/completions` and `/v1/completions`. */
+/** Request bodies of `/v1/chat/completions` and `/v1/completions`. */
 import type {Result} from 'neverthrow';
 import {checkValue} from 'puffinturn-settings';
 import {z} from 'zod';
 
 import type {GatewayFailure} from './GatewayFailure';
-import {gatewayFailure} from './GatewayFailure';
+import {createFailure} from './GatewayFailure';
 
 const MAX_REQUESTED_TOKENS = 10_000_000;
 
 const TokensSchema = z.int().min(1).max(MAX_REQUESTED_TOKENS).nullish();
 
-const SharedSchema = z.looseObject({
+const CommonSchema = z.looseObject({
   max_completion_tokens: TokensSchema,
   max_tokens: TokensSchema,
   model: z.string().min(1).max(200),
-  /** Each further choice would cost as much again. */
-  n: z.literal(1, 'only one choice a request').nullish(),
+  /** The reserve covers the cost of one choice only. */
+  n: z.literal(1, 'only one choice per request is supported').nullish(),
   stream: z.boolean().nullish(),
   stream_options: z
     .looseObject({include_usage: z.boolean().nullish()})
     .nullish(),
 });
 
-const ChatSchema = SharedSchema.extend({
+const ChatSchema = CommonSchema.extend({
   messages: z
     .array(z.looseObject({content: z.unknown(), role: z.string()}))
     .min(1),
 });
 
-const TextSchema = SharedSchema.extend({prompt: z.string()});
+const TextSchema = CommonSchema.extend({prompt: z.string()});
 
-/** A completion request after its check. */
+/** A validated completion request. */
 export interface CompletionBody {
   readonly kind: 'chat' | 'text';
   readonly fields: Readonly<Record<string, unknown>>;
   readonly model: string;
   readonly stream: boolean;
   readonly includeUsage: boolean;
-  /** Completion tokens asked for; 0 when not given. */
+  /** Requested completion tokens; 0 if not specified. */
   readonly maxTokens: number;
+  /** Number of chat messages. */
   readonly messages: number;
-  /** What the prefix of the prompt is hashed from. */
+  /** Text of the prompt, used for prefix hashes. */
   readonly prompt: string;
-  /** Bytes that can become prompt tokens. */
+  /** Size of all text that is part of the prompt, bytes. */
   readonly promptBytes: number;
 }
 
-/** Checks a parsed body. */
+/** Validates a parsed body. */
 export function checkCompletion(
   value: unknown,
   kind: 'chat' | 'text',
@@ -63,14 +64,18 @@
       ? checkValue(ChatSchema, value, 'body')
       : checkValue(TextSchema, value, 'body');
   return checked
-    .mapErr(({message}) => gatewayFailure('bad_request', message))
+    .mapErr(({message}) => createFailure('bad_request', message))
     .map((fields) => {
       const messages = (fields as {messages?: unknown[]}).messages ?? [];
-      const extras = [fields.tools, fields.functions, fields.response_format];
+      const extraFields = [
+        fields.tools,
+        fields.functions,
+        fields.response_format,
+      ];
       const prompt =
         'prompt' in fields ? String(fields.prompt) : JSON.stringify(messages);
       const extraText = JSON.stringify(
-        extras.filter((item) => item !== undefined && item !== null),
+        extraFields.filter((item) => item !== undefined && item !== null),
       );
       return {
         fields,
@@ -86,13 +91,13 @@
     });
 }
 
-/** The body to send upstream: the bound on tokens is always set. */
-export function upstreamBody(
+/** The body for an upstream, always with a limit on completion tokens. */
+export function formatUpstreamBody(
   body: CompletionBody,
   maxTokens: number,
   priority: number,
 ): string {
-  const {max_completion_tokens: _former, ...fields} = body.fields;
+  const {max_completion_tokens: _replaced, ...fields} = body.fields;
   return JSON.stringify({
     ...fields,
     max_tokens: maxTokens,
@@ -101,15 +106,15 @@
   });
 }
 
-/** The body that goes on where a stream broke off after `text`. */
-export function continuationBody(
+/** The body that continues an interrupted stream after `text`. */
+export function formatContinuationBody(
   body: CompletionBody,
   text: string,
   maxTokens: number,
   priority: number,
 ): string {
   const {fields, kind} = body;
-  const continued =
+  const continuation =
     kind === 'text'
       ? {prompt: `${String(fields.prompt)}${text}`}
       : {
@@ -120,6 +125,6 @@
             {content: text, role: 'assistant'},
           ],
         };
-  const whole = {...body, fields: {...fields, ...continued}};
-  return upstreamBody(whole, maxTokens, priority);
+  const continuedBody = {...body, fields: {...fields, ...continuation}};
+  return formatUpstreamBody(continuedBody, maxTokens, priority);
 }
--- a/packages/puffinturn-gateway/src/CompletionStream.ts
+++ b/packages/puffinturn-gateway/src/CompletionStreamParser.ts
@@ -5,17 +5,17 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Reads the event stream of a completion. */
+/** Parses the event stream of a completion. */
 import type {EventSourceMessage} from 'eventsource-parser';
 import {createParser} from 'eventsource-parser';
 
-/** Tokens that an upstream counted. */
+/** Token usage reported by an upstream. */
 export interface Usage {
   readonly promptTokens: number;
   readonly completionTokens: number;
 }
 
-/** What one event of the stream carries. */
+/** One event of the stream. */
 export type StreamEvent =
   | {readonly kind: 'done'}
   | {readonly kind: 'text'; readonly data: string; readonly text: string}
@@ -32,10 +32,10 @@
   } | null;
 }
 
-const DONE = '[DONE]';
+const DONE_MARKER = '[DONE]';
 
-/** Tokens from a `usage` object; undefined when it is not one. */
-function readUsage(body: ChunkBody): Usage | undefined {
+/** Extracts the `usage` object; undefined if it is missing or invalid. */
+function extractUsage(body: ChunkBody): Usage | undefined {
   const {completion_tokens: completion, prompt_tokens: prompt} =
     body.usage ?? {};
   return Number.isSafeInteger(completion) && Number.isSafeInteger(prompt)
@@ -43,21 +43,21 @@
     : undefined;
 }
 
-/** Tokens from the text of a body; undefined when it names none. */
+/** Parses the usage in a response body; undefined if it has none. */
 export function parseUsage(text: string): Usage | undefined {
   const body = parseChunk(text);
-  return body && readUsage(body);
+  return body && extractUsage(body);
 }
 
-/** Turns bytes into events. */
-export class CompletionStream {
+/** Parses bytes into events incrementally. */
+export class CompletionStreamParser {
   private readonly decoder = new TextDecoder();
   private events: StreamEvent[] = [];
   private readonly parser = createParser({
-    onEvent: (message) => this.note(message),
+    onEvent: (message) => this.handleMessage(message),
   });
 
-  /** Adds bytes; returns the events that are now whole. */
+  /** Adds bytes and returns the events that they complete. */
   push(bytes: Uint8Array): StreamEvent[] {
     this.parser.feed(this.decoder.decode(bytes, {stream: true}));
     const {events} = this;
@@ -65,8 +65,8 @@
     return events;
   }
 
-  private note({data}: EventSourceMessage): void {
-    if (data === DONE) {
+  private handleMessage({data}: EventSourceMessage): void {
+    if (data === DONE_MARKER) {
       this.events.push({kind: 'done'});
       return;
     }
@@ -74,7 +74,7 @@
     if (body === undefined) {
       return;
     }
-    const usage = readUsage(body);
+    const usage = extractUsage(body);
     if (usage !== undefined) {
       this.events.push({kind: 'usage', usage});
     }
--- a/packages/puffinturn-gateway/src/CrashingRequests.ts
+++ b/packages/puffinturn-gateway/src/CrashingRequests.ts
@@ -6,8 +6,8 @@
  */
 
 /**
- * Which requests this box must not run, as they crash the upstreams that run them.
- * Heartbeats carry what is seen here to the leader, and bring what all boxes know.
+ * Quarantines requests that crash upstreams. Heartbeats report the crashes seen by this
+ * box to the leader and return the quarantine of all boxes.
  */
 import type {CrashTelling} from 'puffinturn-membership';
 import type {Crash, ListenerState, Quarantine} from 'puffinturn-quarantine';
@@ -17,11 +17,11 @@
 import {EVENT_KIND} from 'puffinturn-timeline';
 import type {Clock} from 'shared';
 
-import type {CallerRequest} from './Plan';
 import {upstreamId} from './Pools';
+import type {CallerRequest} from './RequestPlan';
 import type {UpstreamClient} from './UpstreamClient';
 
-/** What CrashingRequests are made of. */
+/** Dependencies of CrashingRequests. */
 export interface CrashingRequestsParts {
   readonly box: string;
   readonly client: UpstreamClient;
@@ -29,9 +29,9 @@
   readonly timeline: Timeline;
 }
 
-/** An upstream as the watch over crashes sees it. */
+/** Adapts an upstream to the crash detector. */
 class Watched {
-  /** Nothing tells lives of these upstreams apart. */
+  /** These upstreams do not report incarnations. */
   readonly supplanted = false;
   readonly life: string;
 
@@ -44,27 +44,27 @@
   }
 }
 
-/** See the module comment. */
+/** Records crashes and decides which requests may run. */
 export class CrashingRequests implements AsyncDisposable {
   private readonly evidence: CrashEvidence;
-  private readonly watch: CrashWatch<Watched>;
-  /** Taken once a request: a long body is costly to hash. */
+  private readonly crashDetector: CrashWatch<Watched>;
+  /** Cached because hashing a long body is expensive. */
   private readonly fingerprints = new WeakMap<CallerRequest, string>();
-  /** Crashes seen, which names them. */
-  private crashes = 0;
+  /** Number of crashes seen, used in their identifiers. */
+  private crashCount = 0;
 
   constructor(private readonly parts: CrashingRequestsParts) {
     const {client, clock} = parts;
     this.evidence = new CrashEvidence(clock);
-    this.watch = new CrashWatch({
+    this.crashDetector = new CrashWatch({
       clock,
-      crashed: (crash) => this.crashed(crash),
+      crashed: (crash) => this.recordCrash(crash),
       probe: ({upstream}): Promise<ListenerState> =>
         client.probe(upstream.spec.url),
     });
   }
 
-  /** What the next heartbeat tells. */
+  /** The quarantine and pending crash report for the next heartbeat. */
   telling(): CrashTelling {
     const {evidence} = this;
     const {fingerprints: quarantined, untold} = evidence;
@@ -75,62 +75,67 @@
     return {news: {quarantined, report}, taken: () => evidence.told(untold)};
   }
 
-  /** Takes over what all boxes know. */
+  /** Applies the quarantine of all boxes. */
   adopt(quarantine: Quarantine): void {
     this.evidence.adopt(quarantine);
   }
 
-  /** Whether a request must not be run. */
+  /** Whether a request is quarantined and must not run. */
   isQuarantined(request: CallerRequest): boolean {
     const {evidence} = this;
     return (
-      !evidence.isEmpty && evidence.isQuarantined(this.fingerprint(request))
+      !evidence.isEmpty && evidence.isQuarantined(this.getFingerprint(request))
     );
   }
 
-  /** Whether a request may be tried again after it broke off. */
-  mayRetry(request: CallerRequest): boolean {
+  /** Whether a request may be retried after its connection was lost. */
+  canRetry(request: CallerRequest): boolean {
     const {evidence} = this;
     if (evidence.isEmpty) {
       return true;
     }
-    const known = this.fingerprint(request);
-    return !evidence.isQuarantined(known) && !evidence.isLastTry(known);
+    const fingerprint = this.getFingerprint(request);
+    return (
+      !evidence.isQuarantined(fingerprint) && !evidence.isLastTry(fingerprint)
+    );
   }
 
-  /** Notes that a request broke off at an upstream. */
-  broke(upstream: Upstream, request: CallerRequest): void {
-    this.watch.broke(new Watched(upstream), this.fingerprint(request));
+  /** Records that the connection of a request to an upstream was lost. */
+  recordLostConnection(upstream: Upstream, request: CallerRequest): void {
+    this.crashDetector.broke(
+      new Watched(upstream),
+      this.getFingerprint(request),
+    );
   }
 
-  /** Notes that a request got a whole answer. */
-  served(request: CallerRequest): void {
-    this.evidence.served(this.fingerprint(request));
+  /** Records that a request got a complete response. */
+  recordSuccess(request: CallerRequest): void {
+    this.evidence.served(this.getFingerprint(request));
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    await this.watch[Symbol.asyncDispose]();
+    await this.crashDetector[Symbol.asyncDispose]();
   }
 
-  private crashed({fingerprints, life}: Crash): void {
+  private recordCrash({fingerprints, life}: Crash): void {
     const {box, timeline} = this.parts;
-    this.crashes += 1;
-    const detail = `${fingerprints.length} requests were there`;
+    this.crashCount += 1;
+    const detail = `${fingerprints.length} requests in flight`;
     timeline.note(EVENT_KIND.upstreamCrashed, {detail, upstream: life});
-    // Lives of an upstream have no name of their own; each crash is given one.
-    const name = `${life} ${box} ${this.crashes}`;
-    this.evidence.crashed({fingerprints, life: name});
+    // Upstreams do not report incarnations, so each crash gets its own identifier.
+    const crashId = `${life} ${box} ${this.crashCount}`;
+    this.evidence.crashed({fingerprints, life: crashId});
   }
 
-  private fingerprint(request: CallerRequest): string {
-    const known = this.fingerprints.get(request);
-    if (known !== undefined) {
-      return known;
+  private getFingerprint(request: CallerRequest): string {
+    const cached = this.fingerprints.get(request);
+    if (cached !== undefined) {
+      return cached;
     }
     const {body, method, path, team} = request;
     const caller = team.name;
-    const made = fingerprintOf({body, caller, host: '', method, path});
-    this.fingerprints.set(request, made);
-    return made;
+    const fingerprint = fingerprintOf({body, caller, host: '', method, path});
+    this.fingerprints.set(request, fingerprint);
+    return fingerprint;
   }
 }
--- a/packages/puffinturn-gateway/src/Gateway.ts
+++ b/packages/puffinturn-gateway/src/Gateway.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Serves the requests of callers: plan, admit, run or follow, answer. */
+/** Plans, admits and runs the requests of callers on one box. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 import type {ControlClient, RequestView} from 'puffinturn-ledger';
@@ -17,27 +17,27 @@
 import type {Clock, Random} from 'shared';
 import {TaskGroup} from 'shared';
 
-import type {Attempt, Known} from './Admission';
+import type {AdmittedAttempt, KnownRequest} from './Admission';
 import {Admission} from './Admission';
-import {Answer} from './Answer';
-import {AnswerExchange} from './AnswerExchange';
-import {AnswerStore} from './AnswerStore';
+import type {AttemptRunnerParts} from './AttemptRunner';
+import {AttemptRunner} from './AttemptRunner';
+import {AttemptSettler} from './AttemptSettler';
+import {BufferedResponse} from './BufferedResponse';
 import type {CrashingRequests} from './CrashingRequests';
-import {Forwarding} from './Forwarding';
-import {FOLLOW_PAUSE_MS} from './GatewayConstants';
+import {POLL_INTERVAL_MS} from './GatewayConstants';
 import type {GatewayFailure} from './GatewayFailure';
-import {gatewayFailure, OUTCOME} from './GatewayFailure';
+import {createFailure, OUTCOME} from './GatewayFailure';
 import type {GatewayMetrics} from './GatewayMetrics';
-import type {CallerRequest, PlanParts} from './Plan';
-import {planRequest} from './Plan';
 import type {Pools} from './Pools';
-import type {RunParts} from './Run';
-import {Run} from './Run';
-import {Settlement} from './Settlement';
+import {RequestForwarder} from './RequestForwarder';
+import type {CallerRequest, RequestPlanParts} from './RequestPlan';
+import {planRequest} from './RequestPlan';
+import {ResponseExchange} from './ResponseExchange';
+import {ResponseStore} from './ResponseStore';
 import type {UpstreamClient} from './UpstreamClient';
 import type {UpstreamPermits} from './UpstreamPermits';
 
-/** What a gateway is made of. */
+/** Dependencies and settings of a Gateway. */
 export interface GatewayParts {
   readonly box: string;
   readonly region: string;
@@ -46,7 +46,7 @@
   readonly control: ControlClient;
   readonly crashing: CrashingRequests;
   readonly link: Link;
-  /** Boxes of another region that take requests. */
+  /** Boxes of a region that accept forwarded requests. */
   readonly boxesOf: (region: string) => readonly string[];
   readonly member: BoxMember;
   readonly metrics: GatewayMetrics;
@@ -55,47 +55,55 @@
   readonly pools: Pools;
   readonly random: Random;
   readonly timeline: Timeline;
-  /** How long answers stay for retries, ms. */
+  /** How long completed responses are kept for retries, ms. */
   readonly keepAnswerMs: number;
-  /** How long the keys of never-repeated requests stay, ms. */
+  /** How long the keys of at-most-once requests are kept, ms. */
   readonly keepMarkedMs: number;
 }
 
-/** An answer on its way to a caller. */
-export interface CallerAnswer {
-  /** Names the request in logs and the time line. */
+/** A response that may still be in progress. */
+export interface CallerResponse {
+  /** Identifies the request in logs and on the time line. */
   readonly requestId: string;
-  readonly answer: Answer;
+  readonly answer: BufferedResponse;
 }
 
-/** See the module comment. */
+/**
+ * Serves requests of callers. A repeated request is given the response of the
+ * attempt that is running or has completed, if that response is available.
+ */
 export class Gateway implements AsyncDisposable {
-  /** Answers of this box. */
-  readonly store: AnswerStore;
+  /** Responses that this box produces or retains. */
+  readonly responses: ResponseStore;
   private readonly admission: Admission;
-  private readonly exchange: AnswerExchange;
-  private readonly forwarding: Forwarding;
-  private readonly settlement: Settlement;
+  private readonly responseExchange: ResponseExchange;
+  private readonly forwarder: RequestForwarder;
+  private readonly settler: AttemptSettler;
   private readonly budgets = new Map<string, bigint>();
-  private readonly runs = new TaskGroup();
-  private readonly planParts: PlanParts;
-  private readonly runParts: RunParts;
-  private refusing = false;
+  private readonly runTasks = new TaskGroup();
+  private readonly planParts: RequestPlanParts;
+  private readonly runParts: AttemptRunnerParts;
+  private isStopping = false;
 
   constructor(private readonly parts: GatewayParts) {
     const {box, clock, control, link, member, newKey, pools, timeline} = parts;
-    this.store = new AnswerStore(clock, parts.keepAnswerMs);
-    this.exchange = new AnswerExchange({clock, link, store: this.store});
-    const {signal} = this.runs;
-    this.settlement = new Settlement({clock, control, signal, timeline});
+    this.responses = new ResponseStore(clock, parts.keepAnswerMs);
+    this.responseExchange = new ResponseExchange({
+      clock,
+      link,
+      responses: this.responses,
+    });
+    const {signal} = this.runTasks;
+    this.settler = new AttemptSettler({clock, control, signal, timeline});
     this.admission = new Admission({
       box,
       clock,
       control,
-      keepMs: (marked) => (marked ? parts.keepMarkedMs : parts.keepAnswerMs),
+      retentionMs: (isAtMostOnce) =>
+        isAtMostOnce ? parts.keepMarkedMs : parts.keepAnswerMs,
       member,
       region: parts.region,
-      onAvailable: (budget, available) =>
+      onBudgetAvailable: (budget, available) =>
         this.budgets.set(budget, BigInt(available)),
     });
     this.planParts = {
@@ -105,209 +113,232 @@
       pools,
       wallTime: () => clock.wallTime(),
     };
-    this.forwarding = new Forwarding({
+    this.forwarder = new RequestForwarder({
       boxesOf: parts.boxesOf,
       clock,
-      exchange: this.exchange,
+      responseExchange: this.responseExchange,
       handle: (request) => this.handle(request),
       link,
       member,
       random: parts.random,
-      store: this.store,
+      responses: this.responses,
     });
-    this.runParts = {...parts, settlement: this.settlement};
+    this.runParts = {...parts, settler: this.settler};
   }
 
-  /** Requests in flight and settlements without an outcome. */
+  /** Number of requests in flight plus settlements without an outcome. */
   get busy(): number {
-    return this.store.size + this.settlement.pending;
+    return this.responses.activeCount + this.settler.pendingCount;
   }
 
-  /** Whether new requests are taken. */
+  /** Whether new requests are accepted. */
   get isReady(): boolean {
-    return !this.refusing && this.parts.member.isReady;
+    return !this.isStopping && this.parts.member.isReady;
   }
 
-  /** Takes no new requests from now on; those in flight go on. */
+  /** Rejects new requests from now on; requests in flight continue. */
   refuseNew(): void {
-    this.refusing = true;
+    this.isStopping = true;
   }
 
-  /** Serves one request. */
+  /** Handles one request; rejections are recorded on the time line. */
   async handle(
     request: CallerRequest,
-  ): Promise<Result<CallerAnswer, GatewayFailure>> {
-    const served = await this.serve(request);
-    if (served.isErr()) {
-      const {kind, outcome} = served.error;
+  ): Promise<Result<CallerResponse, GatewayFailure>> {
+    const result = await this.serve(request);
+    if (result.isErr()) {
+      const {kind, outcome} = result.error;
       this.parts.timeline.note(EVENT_KIND.refused, {
         detail: `${kind}, ${outcome}`,
         team: request.team.name,
       });
     }
-    return served;
+    return result;
   }
 
   private async serve(
     request: CallerRequest,
-  ): Promise<Result<CallerAnswer, GatewayFailure>> {
-    if (this.refusing) {
-      const message = 'this box is stopping; another one will answer';
-      return err(gatewayFailure('stopping', message, 1_000));
+  ): Promise<Result<CallerResponse, GatewayFailure>> {
+    if (this.isStopping) {
+      const message = 'this box is stopping; retry on another box';
+      return err(createFailure('stopping', message, 1_000));
     }
     const {clock, crashing, member, metrics} = this.parts;
     if (crashing.isQuarantined(request)) {
-      const message = 'upstreams crashed whenever they ran this request';
-      return err(gatewayFailure('quarantined', message));
+      const message =
+        'this request is quarantined because it crashed upstreams';
+      return err(createFailure('quarantined', message));
     }
     const startedAt = clock.now();
     this.parts.pools.adopt(member.config);
     for (;;) {
-      const admitted = await this.admission.admit(
-        () => this.plan(request),
+      const admission = await this.admission.admit(
+        () => this.createPlan(request),
         startedAt,
       );
-      if (admitted.isErr()) {
-        return err(admitted.error);
+      if (admission.isErr()) {
+        return err(admission.error);
       }
-      if (admitted.value.kind === 'attempt') {
-        metrics.admission.observe((clock.now() - startedAt) / 1_000);
-        return ok(this.start(admitted.value.attempt));
+      if (admission.value.kind === 'attempt') {
+        metrics.admissionSeconds.observe((clock.now() - startedAt) / 1_000);
+        return ok(this.startRun(admission.value.attempt));
       }
-      if (admitted.value.kind === 'elsewhere') {
-        return this.forwarding.forward(
-          admitted.value.region,
-          admitted.value.plan,
+      if (admission.value.kind === 'other-region') {
+        return this.forwarder.forward(
+          admission.value.region,
+          admission.value.plan,
         );
       }
-      const {known} = admitted.value;
-      const followed = await this.follow(known);
-      if (followed !== undefined) {
-        return followed;
+      const {known} = admission.value;
+      const response = await this.joinKnownRequest(known);
+      if (response !== undefined) {
+        return response;
       }
       const deadline = startedAt + known.plan.decision.deadlineMs;
       if (clock.now() >= deadline) {
-        const message = 'the request still runs elsewhere';
-        return err(gatewayFailure('still_running', message, 1_000));
+        const message = 'another attempt at this request is still running';
+        return err(createFailure('still_running', message, 1_000));
       }
-      await clock.sleep(FOLLOW_PAUSE_MS);
+      await clock.sleep(POLL_INTERVAL_MS);
     }
   }
 
-  /** Figures that change without an event, for `/metrics`. */
+  /** Updates the gauges before `/metrics` is read. */
   refreshMetrics(): void {
     const {member, metrics, pools} = this.parts;
-    metrics.running.set(this.store.size);
-    metrics.unsettled.set(this.settlement.pending);
+    metrics.activeResponses.set(this.responses.activeCount);
+    metrics.unsettledAttempts.set(this.settler.pendingCount);
     metrics.configIndex.set(member.config.index);
     metrics.ready.set(this.isReady ? 1 : 0);
     for (const target of member.config.allTargets()) {
-      const {waiting} = pools.of(target).router;
-      metrics.waiting.set({pool: target.name}, waiting);
+      const {waiting} = pools.getPool(target).router;
+      metrics.waitingRequests.set({pool: target.name}, waiting);
     }
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    this.exchange[Symbol.dispose]();
-    this.forwarding[Symbol.dispose]();
-    this.runs.abort();
-    this.store.abandonAll();
-    await this.runs[Symbol.asyncDispose]();
+    this.responseExchange[Symbol.dispose]();
+    this.forwarder[Symbol.dispose]();
+    this.runTasks.abort();
+    this.responses.abortAll();
+    await this.runTasks[Symbol.asyncDispose]();
   }
 
-  private plan(request: CallerRequest) {
+  private createPlan(request: CallerRequest) {
     this.parts.pools.adopt(this.parts.member.config);
     return planRequest(this.planParts, request);
   }
 
-  private start(attempt: Attempt): CallerAnswer {
-    const {decision, generatedKey, key, request} = attempt.plan;
+  private startRun(attempt: AdmittedAttempt): CallerResponse {
+    const {decision, isKeyGenerated, key, request} = attempt.plan;
     const id = {key, team: request.team.name};
-    const answer = new Answer(attempt.attempt, !generatedKey);
-    this.store.add(id, answer);
+    const response = new BufferedResponse(
+      attempt.attemptNumber,
+      !isKeyGenerated,
+    );
+    this.responses.add(id, response);
     this.parts.timeline.note(
-      attempt.attempt > 1 ? EVENT_KIND.takenOver : EVENT_KIND.admitted,
+      attempt.attemptNumber > 1 ? EVENT_KIND.takenOver : EVENT_KIND.admitted,
       {
         budget: decision.budget,
-        detail: `attempt ${attempt.attempt} reserves ${attempt.plan.reserve}`,
+        detail: `attempt ${attempt.attemptNumber} reserves ${attempt.plan.reserve}`,
         request: key,
         team: id.team,
       },
     );
-    const run = new Run(this.runParts, attempt, answer);
-    this.runs.start(async () => {
-      await run.run();
-      this.store.finish(id, answer);
-      this.count(attempt, answer);
+    const runner = new AttemptRunner(this.runParts, attempt, response);
+    this.runTasks.start(async () => {
+      await runner.run();
+      this.responses.finish(id, response);
+      this.recordMetrics(attempt, response);
     });
-    return {answer, requestId: key};
+    return {answer: response, requestId: key};
   }
 
-  private count(attempt: Attempt, {billed = 0, end}: Answer): void {
-    const failed = end?.kind === 'failed' ? end.failure : undefined;
+  private recordMetrics(
+    attempt: AdmittedAttempt,
+    {billed = 0, end}: BufferedResponse,
+  ): void {
+    const failure = end?.kind === 'failed' ? end.failure : undefined;
     const {metrics} = this.parts;
     const {budget, pool} = attempt.plan.decision;
     metrics.requests.inc({
-      code: failed?.kind ?? 'ok',
-      outcome: failed?.outcome ?? OUTCOME.ran,
+      code: failure?.kind ?? 'ok',
+      outcome: failure?.outcome ?? OUTCOME.ran,
       target: pool,
     });
-    metrics.billed.inc({budget}, billed);
+    metrics.billedUnits.inc({budget}, billed);
   }
 
-  /** The answer that another attempt makes or made; undefined to ask again. */
-  private async follow(
-    known: Known,
-  ): Promise<Result<CallerAnswer, GatewayFailure> | undefined> {
+  /**
+   * Returns the response of another attempt at the same request; undefined if
+   * the state of the request should be queried again.
+   */
+  private async joinKnownRequest(
+    known: KnownRequest,
+  ): Promise<Result<CallerResponse, GatewayFailure> | undefined> {
     const {plan, view} = known;
     const requestId = plan.key;
     if (view.answer !== undefined) {
-      return ok({answer: keptAnswer(view), requestId});
+      return ok({answer: createStoredResponse(view), requestId});
     }
     const mayHaveRun =
       view.state === REQUEST_STATE.unknown ||
       (view.state === REQUEST_STATE.dispatched && view.ownerGone);
     if (mayHaveRun) {
-      const message = 'the request may have run; it will not be run again';
-      return err(gatewayFailure('outcome_unknown', message));
+      const message = 'the request may have run and will not be retried';
+      return err(createFailure('outcome_unknown', message));
     }
-    const answer = await this.attach(known);
-    if (answer !== undefined) {
-      this.parts.metrics.attached.inc();
+    const response = await this.findResponse(known);
+    if (response !== undefined) {
+      this.parts.metrics.attachedRequests.inc();
       this.parts.timeline.note(EVENT_KIND.attached, {
         detail: `to ${view.box}`,
         request: requestId,
         team: plan.request.team.name,
       });
-      return ok({answer, requestId});
+      return ok({answer: response, requestId});
     }
     if (view.state === REQUEST_STATE.settled) {
-      const message = 'the request ran and was billed; its answer is gone';
-      return err(gatewayFailure('answer_gone', message));
+      const message =
+        'the request ran and was billed; its response is no longer available';
+      return err(createFailure('answer_gone', message));
     }
     return undefined;
   }
 
-  private async attach({plan, view}: Known): Promise<Answer | undefined> {
+  private async findResponse({
+    plan,
+    view,
+  }: KnownRequest): Promise<BufferedResponse | undefined> {
     const id = {key: plan.key, team: plan.request.team.name};
-    const local = this.store.find(id, view.attempt);
+    const localResponse = this.responses.find(id, view.attempt);
     return (
-      local ??
+      localResponse ??
       (view.box === this.parts.box || view.ownerGone
         ? undefined
-        : await this.exchange.attach(view.box, id, view.attempt))
+        : await this.responseExchange.attach(view.box, id, view.attempt))
     );
   }
 }
 
-/** An answer that the ledger kept. */
-function keptAnswer({answer: kept, attempt, charge}: RequestView): Answer {
-  const answer = new Answer(attempt, true);
-  if (kept !== undefined) {
-    const {body, contentType, status} = kept;
-    answer.start({billed: charge, contentType, outcome: OUTCOME.ran, status});
-    void answer.append(body);
+/** Builds a response from the one stored in the ledger. */
+function createStoredResponse({
+  answer: stored,
+  attempt,
+  charge,
+}: RequestView): BufferedResponse {
+  const response = new BufferedResponse(attempt, true);
+  if (stored !== undefined) {
+    const {body, contentType, status} = stored;
+    response.setHead({
+      billed: charge,
+      contentType,
+      outcome: OUTCOME.ran,
+      status,
+    });
+    void response.append(body);
   }
-  answer.finish({kind: 'whole'});
-  return answer;
+  response.finish({kind: 'whole'});
+  return response;
 }
--- a/packages/puffinturn-gateway/src/GatewayConstants.ts
+++ b/packages/puffinturn-gateway/src/GatewayConstants.ts
@@ -5,67 +5,67 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Limits and periods of the gateway. */
+/** Constants of the gateway. */
 
-/** Bytes of an answer that wait for a slow reader before it is throttled. */
-export const ANSWER_HIGH_WATER_BYTES = 256 * 1024;
+/** Unread bytes of a response above which its writer waits. */
+export const RESPONSE_HIGH_WATER_MARK_BYTES = 256 * 1024;
 
-/** Largest answer, bytes. */
-export const MAX_ANSWER_BYTES = 32 * 1024 * 1024;
+/** Maximum size of a response that is not streamed, bytes. */
+export const MAX_RESPONSE_BYTES = 32 * 1024 * 1024;
 
-/** Answers kept for retries on one box, bytes in all. */
-export const KEPT_ANSWERS_BYTES = 256 * 1024 * 1024;
+/** Total size of the responses that one box retains for retries, bytes. */
+export const MAX_RETAINED_RESPONSE_BYTES = 256 * 1024 * 1024;
 
-/** A remote reader's call waits this long for news, ms. */
-export const ATTACH_POLL_MS = 1_000;
+/** How long an attach call waits for new chunks (long polling), ms. */
+export const ATTACH_WAIT_MS = 1_000;
 
-/** Limit for one call of a remote reader, ms. */
-export const ATTACH_CALL_MS = 2_500;
+/** Timeout of one attach call, ms. */
+export const ATTACH_TIMEOUT_MS = 2_500;
 
-/** Bytes in one answer to a remote reader. */
-export const ATTACH_PART_BYTES = 256 * 1024;
+/** Size after which a reply to an attach call gets no more chunks, bytes. */
+export const ATTACH_REPLY_BYTES = 256 * 1024;
 
-/** Pause before the state of a request is asked for again, ms. */
-export const FOLLOW_PAUSE_MS = 150;
+/** Delay before the state of a request is queried again, ms. */
+export const POLL_INTERVAL_MS = 150;
 
-/** Attempts at one request on one box at most. */
-export const MAX_ATTEMPTS = 4;
+/** Maximum number of upstream calls per attempt, without hedged requests. */
+export const MAX_UPSTREAM_TRIES = 4;
 
-/** Pause before a settlement without an outcome is sent again, ms. */
+/** Delay before a settlement without an outcome is retried, ms. */
 export const SETTLE_RETRY_MS = 500;
 
-/** Limit for one try at a settlement, ms. */
+/** Timeout of one settlement call, ms. */
 export const SETTLE_TIMEOUT_MS = 10_000;
 
-/** How long the end of a stream waits for its settlement, ms. */
+/** How long a response waits for its settlement or release, ms. */
 export const SETTLE_WAIT_MS = 1_000;
 
-/** How long an admission may search for a leader, ms. */
+/** Timeout of admission and dispatch calls, ms; admission adds its wait for budget. */
 export const ADMIT_TIMEOUT_MS = 5_000;
 
-/** How often an admission is decided again after a change of configuration. */
-export const MAX_REDECISIONS = 5;
+/** Maximum number of admission tries for one request. */
+export const MAX_ADMISSION_TRIES = 5;
 
-/** Longest caller's key, characters. */
+/** Maximum length of an Idempotency-Key, characters. */
 export const MAX_KEY_LENGTH = 255;
 
-/** Time for an upstream to take a connection, ms. */
+/** Timeout for connecting to an upstream, ms. */
 export const CONNECT_TIMEOUT_MS = 1_000;
 
-/** Silence of an upstream in the middle of an answer, ms. */
+/** Maximum time between two chunks of a response body, ms. */
 export const IDLE_TIMEOUT_MS = 30_000;
 
-/** Time for a caller to send its headers and body, ms. */
+/** Timeout for the headers and body of a request from a caller, ms. */
 export const CALLER_TIMEOUT_MS = 30_000;
 
-/** An upstream says by this header that it has not run the request. */
+/** Response header of an upstream that did not run the request. */
 export const NOT_RUN_HEADER = 'puffinturn-not-run';
 
-/** An upstream names by this header the requests a second that it takes from all boxes. */
-export const LIMIT_HEADER = 'puffinturn-limit';
+/** Response header with the rate limit of an upstream for all boxes, requests per second. */
+export const RATE_LIMIT_HEADER = 'puffinturn-limit';
 
-/** Upstreams of one request that may have no permit left before it is refused. */
-export const MOST_HELD_BACK = 8;
+/** Maximum number of refused permits per request before it is rejected. */
+export const MAX_PERMIT_REFUSALS = 8;
 
-/** An upstream says by this header that it is leaving. */
+/** Response header of an upstream that is leaving. */
 export const LEAVING_HEADER = 'puffinturn-leaving';
--- a/packages/puffinturn-gateway/src/GatewayFailure.ts
+++ b/packages/puffinturn-gateway/src/GatewayFailure.ts
@@ -5,12 +5,12 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Every way in which a caller is refused, with its status and code. */
+/** Failures of requests, with their HTTP statuses and error codes. */
 import type {Failure} from 'shared';
 
-/** What a caller may conclude about its request. */
+/** Whether a request was run. */
 export const OUTCOME = {
-  /** Certainly did not run anywhere. */
+  /** Did not run on any upstream. */
   notRun: 'not-run',
   ran: 'ran',
   /** May have run. */
@@ -20,12 +20,12 @@
 /** One of OUTCOME. */
 export type Outcome = (typeof OUTCOME)[keyof typeof OUTCOME];
 
-interface FailureKind {
+interface FailureDefinition {
   readonly status: number;
   readonly outcome: Outcome;
 }
 
-/** Codes of refusals; stable, documented in docs/operators/callers.md. */
+/** Stable error codes, documented in docs/operators/callers.md. */
 export const FAILURE = {
   answer_gone: {outcome: OUTCOME.ran, status: 410},
   bad_request: {outcome: OUTCOME.notRun, status: 400},
@@ -49,21 +49,21 @@
   stopping: {outcome: OUTCOME.notRun, status: 503},
   upstream_broke_off: {outcome: OUTCOME.ran, status: 502},
   upstream_failed: {outcome: OUTCOME.notRun, status: 502},
-} as const satisfies Record<string, FailureKind>;
+} as const satisfies Record<string, FailureDefinition>;
 
 /** A code of FAILURE. */
 export type FailureCode = keyof typeof FAILURE;
 
-/** A refusal of one request. */
+/** The failure of one request. */
 export interface GatewayFailure extends Failure<FailureCode> {
   readonly outcome: Outcome;
   readonly status: number;
-  /** When it makes sense to come back, ms; absent when it does not. */
+  /** Suggested delay before a retry, ms; undefined if there is none. */
   readonly retryAfterMs?: number | undefined;
 }
 
-/** Makes a refusal. */
-export function gatewayFailure(
+/** Creates a failure with the status and outcome of its code. */
+export function createFailure(
   kind: FailureCode,
   message: string,
   retryAfterMs?: number,
@@ -71,7 +71,7 @@
   return {...FAILURE[kind], kind, message, retryAfterMs};
 }
 
-const TYPE_BY_STATUS: Readonly<Record<number, string>> = {
+const ERROR_TYPE_BY_STATUS: Readonly<Record<number, string>> = {
   400: 'invalid_request_error',
   401: 'authentication_error',
   402: 'insufficient_quota',
@@ -80,10 +80,10 @@
   409: 'conflict_error',
 };
 
-/** The body of an error in the shape that OpenAI's clients know. */
-export function errorBody(failure: GatewayFailure): string {
+/** Formats an error body that OpenAI clients can parse. */
+export function formatErrorBody(failure: GatewayFailure): string {
   const {kind, message, outcome, status} = failure;
-  const type = TYPE_BY_STATUS[status] ?? 'server_error';
+  const type = ERROR_TYPE_BY_STATUS[status] ?? 'server_error';
   return JSON.stringify({
     error: {code: kind, message, outcome, param: null, type},
   });
--- a/packages/puffinturn-gateway/src/HttpUpstreamClient.ts
+++ b/packages/puffinturn-gateway/src/HttpUpstreamClient.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Upstreams over HTTP, by undici. */
+/** Sends requests to upstreams over HTTP, with undici. */
 import type {ResultAsync} from 'neverthrow';
 import {ResultAsync as Async} from 'neverthrow';
 import type {ListenerState} from 'puffinturn-quarantine';
@@ -22,7 +22,7 @@
 } from './UpstreamClient';
 import {UpstreamClient} from './UpstreamClient';
 
-/** Errors that undici reports before it has written anything. */
+/** Error codes of connections that failed before anything was sent. */
 const NOT_SENT_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -31,13 +31,13 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-function failureOf(error: unknown): UpstreamFailure {
+function toUpstreamFailure(error: unknown): UpstreamFailure {
   const {code} = error as {code?: string};
   const kind = NOT_SENT_CODES.has(code ?? '') ? 'not-sent' : 'broken';
   return {kind, message: describeError(error)};
 }
 
-function headersOf(
+function joinHeaderValues(
   headers: Dispatcher.ResponseData['headers'],
 ): Record<string, string> {
   const result: Record<string, string> = {};
@@ -49,29 +49,32 @@
   return result;
 }
 
-/** Ports of URLs that name none. */
+/** Default ports. */
 const HTTP_PORT = 80;
 const HTTPS_PORT = 443;
 
-/** Options for both kinds of connections. */
+/** Options of pooled and single-use connections. */
 const AGENT_OPTIONS: Agent.Options = {
   bodyTimeout: IDLE_TIMEOUT_MS,
   connect: {timeout: CONNECT_TIMEOUT_MS},
   headersTimeout: 10 * IDLE_TIMEOUT_MS,
 };
 
-/** See the module comment. */
+/** An UpstreamClient with pooled and single-use connections. */
 export class HttpUpstreamClient extends UpstreamClient {
-  private readonly pooled = new Agent(AGENT_OPTIONS);
-  /** A connection for each request: pipelining 0 turns keep-alive off. */
-  private readonly single = new Agent({...AGENT_OPTIONS, pipelining: 0});
+  private readonly pooledAgent = new Agent(AGENT_OPTIONS);
+  /** Uses a new connection for each request: pipelining 0 disables keep-alive. */
+  private readonly singleUseAgent = new Agent({
+    ...AGENT_OPTIONS,
+    pipelining: 0,
+  });
 
   override send(
     request: UpstreamRequest,
   ): ResultAsync<UpstreamAnswer, UpstreamFailure> {
     const {body, fresh, headers, method, path, signal, url} = request;
-    const agent = fresh ? this.single : this.pooled;
-    const sent = agent.request({
+    const agent = fresh ? this.singleUseAgent : this.pooledAgent;
+    const responsePromise = agent.request({
       body: body ?? null,
       headers,
       method: method as Dispatcher.HttpMethod,
@@ -79,20 +82,25 @@
       path,
       signal,
     });
-    return Async.fromPromise(sent, failureOf).map((answer) => ({
-      body: answer.body,
-      headers: headersOf(answer.headers),
-      status: answer.statusCode,
-    }));
+    return Async.fromPromise(responsePromise, toUpstreamFailure).map(
+      (response) => ({
+        body: response.body,
+        headers: joinHeaderValues(response.headers),
+        status: response.statusCode,
+      }),
+    );
   }
 
   override probe(url: string): Promise<ListenerState> {
     const {hostname, port, protocol} = new URL(url);
-    const usual = protocol === 'https:' ? HTTPS_PORT : HTTP_PORT;
-    return probeListener(hostname, port === '' ? usual : Number(port));
+    const defaultPort = protocol === 'https:' ? HTTPS_PORT : HTTP_PORT;
+    return probeListener(hostname, port === '' ? defaultPort : Number(port));
   }
 
   override async [Symbol.asyncDispose](): Promise<void> {
-    await Promise.all([this.pooled.destroy(), this.single.destroy()]);
+    await Promise.all([
+      this.pooledAgent.destroy(),
+      this.singleUseAgent.destroy(),
+    ]);
   }
 }
--- a/packages/puffinturn-gateway/src/Pools.ts
+++ b/packages/puffinturn-gateway/src/Pools.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The routers of all pools and services, kept up to date. */
+/** The routers of all pools and services of one box. */
 import type {
   FleetConfig,
   HeartbeatReply,
@@ -24,69 +24,69 @@
 } from 'puffinturn-routing';
 import type {Clock, Random} from 'shared';
 
-import {PromptBound} from './PromptBound';
+import {PromptTokenBound} from './PromptTokenBound';
 
-const SERVICE_TARGET_MS = 2_000;
+const SERVICE_LATENCY_TARGET_MS = 2_000;
 
-/** An upstream that said it is leaving is tried again after this, ms. */
-const LEAVING_MEMORY_MS = 60_000;
+/** How long an upstream counts as leaving after its last notice, ms. */
+const LEAVING_TTL_MS = 60_000;
 
-/** How upstreams are named across pools. */
+/** An identifier of an upstream that is unique across pools. */
 export function upstreamId(pool: string, upstream: string): string {
   return `${pool}/${upstream}`;
 }
 
-/** Everything that a box keeps for one pool or service. */
+/** State of one pool or service on this box. */
 export interface Pool {
   readonly router: Router;
-  readonly retries: ShareRetryBudget;
+  readonly retryBudget: ShareRetryBudget;
   readonly hedge: Hedge;
   readonly prefixes: PrefixIndex;
-  readonly promptBound: PromptBound;
+  readonly promptTokenBound: PromptTokenBound;
 }
 
-/** See the module comment. */
+/** Creates pools on demand and updates them with configuration and heartbeats. */
 export class Pools {
   private readonly pools = new Map<string, Pool>();
   private config: FleetConfig | undefined;
   private liveBoxes = 1;
-  /** Upstreams that told this box that they are leaving. */
-  private readonly toldLeaving = new Map<string, number>();
-  private fleetLeaving: ReadonlySet<string> = new Set();
-  private listedLeaving: ReadonlySet<string> = new Set();
+  /** End of the leaving period by ID of the upstream, monotonic ms. */
+  private readonly leavingUntil = new Map<string, number>();
+  private leavingInFleet: ReadonlySet<string> = new Set();
+  private leavingInPlatform: ReadonlySet<string> = new Set();
 
   constructor(
     private readonly clock: Clock,
     private readonly random: Random,
   ) {}
 
-  /** The pool of a target, as its newest declaration says. */
-  of(target: Target): Pool {
-    const known = this.pools.get(target.name);
-    if (known !== undefined) {
-      return known;
+  /** Returns the pool of a target; creates it if needed. */
+  getPool(target: Target): Pool {
+    const existing = this.pools.get(target.name);
+    if (existing !== undefined) {
+      return existing;
     }
-    const pool = this.create(target);
+    const pool = this.createPool(target);
     this.pools.set(target.name, pool);
     pool.router.declare(target.spec.upstreams);
-    this.markLeaving();
+    this.updateLeaving();
     return pool;
   }
 
-  /** The upstream of an id as `upstreamId` makes it. */
-  upstream(id: string): Upstream | undefined {
+  /** Finds an upstream by the ID that `upstreamId` returns. */
+  findUpstream(id: string): Upstream | undefined {
     for (const {router} of this.pools.values()) {
-      const found = router.upstreams.find(
+      const upstream = router.upstreams.find(
         ({name, pool}) => upstreamId(pool, name) === id,
       );
-      if (found !== undefined) {
-        return found;
+      if (upstream !== undefined) {
+        return upstream;
       }
     }
     return undefined;
   }
 
-  /** What this box has in flight. */
+  /** Number of requests of this box in flight, by upstream. */
   inFlight(): UpstreamCount[] {
     const counts: UpstreamCount[] = [];
     for (const {router} of this.pools.values()) {
@@ -99,31 +99,31 @@
     return counts;
   }
 
-  /** Upstreams that told this box that they are leaving. */
+  /** IDs of the upstreams that announced to this box that they are leaving. */
   leaving(): string[] {
     const now = this.clock.now();
-    for (const [id, until] of this.toldLeaving) {
+    for (const [id, until] of this.leavingUntil) {
       if (until <= now) {
-        this.toldLeaving.delete(id);
+        this.leavingUntil.delete(id);
       }
     }
-    return [...this.toldLeaving.keys()];
+    return [...this.leavingUntil.keys()];
   }
 
-  /** Notes that an upstream said itself that it is leaving. */
-  noteLeaving(pool: string, upstream: string): void {
-    const until = this.clock.now() + LEAVING_MEMORY_MS;
-    this.toldLeaving.set(upstreamId(pool, upstream), until);
-    this.markLeaving();
+  /** Records that an upstream announced that it is leaving. */
+  recordLeaving(pool: string, upstream: string): void {
+    const until = this.clock.now() + LEAVING_TTL_MS;
+    this.leavingUntil.set(upstreamId(pool, upstream), until);
+    this.updateLeaving();
   }
 
-  /** Takes over the platform's list: names of upstreams that are leaving. */
+  /** Sets the names of the upstreams that the platform lists as leaving. */
   noteListed(leaving: ReadonlySet<string>): void {
-    this.listedLeaving = leaving;
-    this.markLeaving();
+    this.leavingInPlatform = leaving;
+    this.updateLeaving();
   }
 
-  /** Takes over the configuration in force. */
+  /** Applies a configuration. */
   adopt(config: FleetConfig): void {
     if (config === this.config) {
       return;
@@ -135,15 +135,15 @@
     for (const [name, {router}] of this.pools) {
       router.declare(targets.get(name)?.spec.upstreams ?? []);
     }
-    this.markLeaving();
+    this.updateLeaving();
   }
 
-  /** Takes over what the other boxes report. */
-  adoptNews(news: HeartbeatReply): void {
-    this.liveBoxes = Math.max(1, news.boxes.length);
-    this.fleetLeaving = new Set(news.leaving);
+  /** Applies the state of the other boxes from a heartbeat reply. */
+  adoptNews(reply: HeartbeatReply): void {
+    this.liveBoxes = Math.max(1, reply.boxes.length);
+    this.leavingInFleet = new Set(reply.leaving);
     const counts = new Map(
-      news.inFlight.map(({count, pool, upstream}) => [
+      reply.inFlight.map(({count, pool, upstream}) => [
         upstreamId(pool, upstream),
         count,
       ]),
@@ -154,34 +154,34 @@
         upstream.othersInFlight = counts.get(id) ?? 0;
       }
     }
-    this.markLeaving();
+    this.updateLeaving();
   }
 
-  private markLeaving(): void {
+  private updateLeaving(): void {
     for (const [pool, {router}] of this.pools) {
       router.markLeaving((name) => {
         const id = upstreamId(pool, name);
         return (
           this.config?.isUpstreamDrained(pool, name) === true ||
-          this.toldLeaving.has(id) ||
-          this.fleetLeaving.has(id) ||
-          this.listedLeaving.has(name)
+          this.leavingUntil.has(id) ||
+          this.leavingInFleet.has(id) ||
+          this.leavingInPlatform.has(name)
         );
       });
     }
   }
 
-  private create(target: Target): Pool {
+  private createPool(target: Target): Pool {
     const prefixes = new PrefixIndex();
     const targetMs =
       target.kind === 'pool'
         ? target.spec.target.firstTokenMs
-        : SERVICE_TARGET_MS;
+        : SERVICE_LATENCY_TARGET_MS;
     return {
       hedge: new Hedge(),
       prefixes,
-      promptBound: new PromptBound(),
-      retries: new ShareRetryBudget(),
+      promptTokenBound: new PromptTokenBound(),
+      retryBudget: new ShareRetryBudget(),
       router: new Router({
         choice: new ExpectedTimeChoice(this.random, prefixes),
         clock: this.clock,
--- a/packages/puffinturn-gateway/src/Plan.ts
+++ b/packages/puffinturn-gateway/src/RequestPlan.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** What one request needs: decided by policy, priced by its pool. */
+/** Plans a request: policy decision, key and worst-case cost. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 import type {BoxMember, Target, Team} from 'puffinturn-membership';
@@ -14,36 +14,36 @@
 
 import type {CompletionBody} from './CompletionBody';
 import type {GatewayFailure} from './GatewayFailure';
-import {gatewayFailure} from './GatewayFailure';
+import {createFailure} from './GatewayFailure';
 import type {Pools} from './Pools';
 
 /** A request of an authenticated caller. */
 export interface CallerRequest {
   readonly team: Team;
-  /** Set for model requests. */
+  /** Set only for model requests. */
   readonly completion: CompletionBody | undefined;
-  /** The service's name; empty for model requests. */
+  /** Name of the service; empty for model requests. */
   readonly service: string;
   readonly method: string;
-  /** The path that the upstream sees, with its query. */
+  /** Path and query sent to the upstream. */
   readonly path: string;
-  /** Headers for the upstream and for policies; names in lower case. */
+  /** Headers for the upstream and for policies; names are in lower case. */
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
-  /** The body as JSON for policies; null when it is none. */
+  /** The body as JSON for policies; null if it is not JSON. */
   readonly json: unknown;
-  /** The caller's key; empty when there is none. */
+  /** The Idempotency-Key of the caller; empty if there is none. */
   readonly key: string;
 }
 
-/** What a request will need and cost at most. */
-export interface Plan {
+/** A request with its policy decision and upper bounds of its usage and cost. */
+export interface RequestPlan {
   readonly request: CallerRequest;
   readonly configIndex: number;
   readonly decision: PolicyDecision;
   readonly target: Target;
   readonly key: string;
-  readonly generatedKey: boolean;
+  readonly isKeyGenerated: boolean;
   readonly digest: string;
   /** Upper bound of the prompt, tokens. */
   readonly promptTokens: number;
@@ -53,21 +53,21 @@
   readonly reserve: number;
 }
 
-/** What planning needs. */
-export interface PlanParts {
+/** Dependencies of planning. */
+export interface RequestPlanParts {
   readonly member: BoxMember;
   readonly pools: Pools;
-  /** Units that each budget had left when this box last heard. */
+  /** Last known number of available units by budget. */
   readonly budgets: ReadonlyMap<string, bigint>;
   readonly wallTime: () => number;
   readonly newKey: () => string;
 }
 
-/** Decides and prices a request under the configuration that is known now. */
+/** Plans a request with the current configuration. */
 export function planRequest(
-  parts: PlanParts,
+  parts: RequestPlanParts,
   request: CallerRequest,
-): Result<Plan, GatewayFailure> {
+): Result<RequestPlan, GatewayFailure> {
   const {config} = parts.member;
   const {completion, team} = request;
   return config.policies
@@ -87,15 +87,15 @@
       parts.budgets,
       new Date(parts.wallTime()),
     )
-    .mapErr(policyFailure)
+    .mapErr(toGatewayFailure)
     .andThen((decision) => {
       const target = config.target(decision.pool);
-      if (target === undefined || !serves(target, request)) {
+      if (target === undefined || !canServe(target, request)) {
         const message = `${decision.pool} does not serve this request`;
-        return err(gatewayFailure('not_found', message));
+        return err(createFailure('not_found', message));
       }
-      return keyOf(parts, request, decision).andThen((key) =>
-        price(parts, {
+      return resolveKey(parts, request, decision).andThen((key) =>
+        priceRequest(parts, {
           configIndex: config.index,
           decision,
           key,
@@ -106,54 +106,58 @@
     });
 }
 
-function policyFailure(failure: PolicyFailure): GatewayFailure {
+function toGatewayFailure(failure: PolicyFailure): GatewayFailure {
   return failure.kind === 'evaluation-failed'
-    ? gatewayFailure('policy_failed', failure.message)
-    : gatewayFailure('policy_refused', failure.message);
+    ? createFailure('policy_failed', failure.message)
+    : createFailure('policy_refused', failure.message);
 }
 
-function serves(target: Target, {completion, service}: CallerRequest): boolean {
+function canServe(
+  target: Target,
+  {completion, service}: CallerRequest,
+): boolean {
   return target.kind === 'pool'
     ? completion !== undefined && target.spec.models.includes(completion.model)
     : completion === undefined && target.name === service;
 }
 
 /**
- * The key that claims the request. A business key goes before the caller's,
- * since only it also stops a second order sent under another caller's key.
+ * The key that identifies the request in the ledger. A business key from the
+ * policy takes precedence, because it also detects duplicates that were sent
+ * with a different Idempotency-Key.
  */
-function keyOf(
-  parts: PlanParts,
+function resolveKey(
+  parts: RequestPlanParts,
   request: CallerRequest,
   decision: PolicyDecision,
-): Result<{key: string; generatedKey: boolean}, GatewayFailure> {
+): Result<{key: string; isKeyGenerated: boolean}, GatewayFailure> {
   if (decision.key !== undefined) {
     const key = `business ${decision.pool} ${decision.key}`;
-    return ok({generatedKey: false, key});
+    return ok({isKeyGenerated: false, key});
   }
   if (request.key !== '') {
-    return ok({generatedKey: false, key: `caller ${request.key}`});
+    return ok({isKeyGenerated: false, key: `caller ${request.key}`});
   }
   if (decision.marked) {
     const message =
-      'a request that must not be repeated needs an Idempotency-Key';
-    return err(gatewayFailure('key_required', message));
+      'a request that must not be repeated requires an Idempotency-Key';
+    return err(createFailure('key_required', message));
   }
-  return ok({generatedKey: true, key: `box ${parts.newKey()}`});
+  return ok({isKeyGenerated: true, key: `box ${parts.newKey()}`});
 }
 
-interface Priced {
+interface PricingInput {
   readonly configIndex: number;
   readonly decision: PolicyDecision;
-  readonly key: {readonly key: string; readonly generatedKey: boolean};
+  readonly key: {readonly key: string; readonly isKeyGenerated: boolean};
   readonly request: CallerRequest;
   readonly target: Target;
 }
 
-function price(
-  parts: PlanParts,
-  {configIndex, decision, key, request, target}: Priced,
-): Result<Plan, GatewayFailure> {
+function priceRequest(
+  parts: RequestPlanParts,
+  {configIndex, decision, key, request, target}: PricingInput,
+): Result<RequestPlan, GatewayFailure> {
   const digest = digestBytes(
     Buffer.concat([
       Buffer.from(`${request.method} ${request.path}\n`),
@@ -167,17 +171,21 @@
     return ok({...base, maxTokens: 0, promptTokens: 0, reserve});
   }
   const {spec} = target;
-  const {promptBound} = parts.pools.of(target);
+  const {promptTokenBound} = parts.pools.getPool(target);
   const promptTokens =
-    promptBound.tokens(completion.promptBytes) +
+    promptTokenBound.maxTokens(completion.promptBytes) +
     completion.messages * spec.tokensPerMessage;
-  const room = spec.contextTokens - promptTokens;
-  if (room <= 0) {
-    const message = `the prompt may take ${promptTokens} tokens of ${spec.contextTokens}`;
-    return err(gatewayFailure('context_too_long', message));
+  const availableTokens = spec.contextTokens - promptTokens;
+  if (availableTokens <= 0) {
+    const message = `the prompt may have up to ${promptTokens} tokens; the context limit is ${spec.contextTokens}`;
+    return err(createFailure('context_too_long', message));
   }
-  const asked = completion.maxTokens || spec.defaultMaxTokens;
-  const maxTokens = Math.min(asked, decision.maxTokens ?? asked, room);
+  const requestedTokens = completion.maxTokens || spec.defaultMaxTokens;
+  const maxTokens = Math.min(
+    requestedTokens,
+    decision.maxTokens ?? requestedTokens,
+    availableTokens,
+  );
   const reserve =
     promptTokens * spec.price.prompt + maxTokens * spec.price.completion;
   return ok({...base, maxTokens, promptTokens, reserve});
--- a/packages/puffinturn-gateway/src/UpstreamCall.ts
+++ b/packages/puffinturn-gateway/src/UpstreamCall.ts
@@ -5,130 +5,148 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** One try at an upstream: sent, then waited for up to its first bytes. */
+/** Sends a request to one upstream and waits for the first bytes. */
 import type {Place, Upstream} from 'puffinturn-routing';
 import type {Clock} from 'shared';
 import {restMsOf} from 'shared';
 
-import {LEAVING_HEADER, LIMIT_HEADER, NOT_RUN_HEADER} from './GatewayConstants';
+import {
+  LEAVING_HEADER,
+  NOT_RUN_HEADER,
+  RATE_LIMIT_HEADER,
+} from './GatewayConstants';
 import type {UpstreamAnswer, UpstreamClient} from './UpstreamClient';
 
-/** An answer whose first bytes are here. */
+/** A response whose first bytes have arrived. */
 export interface StartedCall {
   readonly kind: 'started';
   readonly place: Place;
-  readonly answer: UpstreamAnswer;
-  readonly first: IteratorResult<Uint8Array>;
-  readonly rest: AsyncIterator<Uint8Array>;
-  readonly firstMs: number;
-  /** Ends the call early. */
+  readonly response: UpstreamAnswer;
+  readonly firstChunk: IteratorResult<Uint8Array>;
+  readonly remainingChunks: AsyncIterator<Uint8Array>;
+  readonly firstByteMs: number;
+  /** Cancels the call. */
   readonly abort: () => void;
 }
 
-/** A call without a usable answer. */
+/** A call without a usable response. */
 export interface FailedCall {
   readonly kind: 'failed';
   readonly place: Place;
-  /** False only when the upstream has certainly not run it. */
+  /** False only if the upstream certainly did not run the request. */
   readonly mayHaveRun: boolean;
-  /** Whether the connection broke after the request was sent. */
-  readonly brokeOff: boolean;
+  /** Whether the connection was lost after the request was sent. */
+  readonly isConnectionLost: boolean;
   readonly message: string;
 }
 
-/** How a call ended or went on. */
-export type Call = FailedCall | StartedCall;
+/** The result of a call up to the first bytes of its response. */
+export type UpstreamCall = FailedCall | StartedCall;
 
-/** What to send. */
+/** A request to an upstream, without its address. */
 export interface CallRequest {
   readonly method: string;
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string | Uint8Array | undefined;
   readonly fresh: boolean;
-  /** Whether an answer of status 500 or more counts as a failure. */
-  readonly failsOnError: boolean;
+  /** Whether a response with status 500 or higher counts as a failure. */
+  readonly rejectsServerErrors: boolean;
 }
 
-/** What a call needs. */
+/** Dependencies of a call. */
 export interface CallParts {
   readonly client: UpstreamClient;
   readonly clock: Clock;
   readonly onLeaving: (pool: string, upstream: string) => void;
-  /** An upstream asked this box for no requests for so long. */
-  readonly onRest: (upstream: string, restMs: number) => void;
-  /** What an upstream says of its limit has changed. */
-  readonly onLimit: (upstream: Upstream) => void;
+  /** Called when an upstream requests no further requests for this time. */
+  readonly onRetryAfter: (upstream: string, retryAfterMs: number) => void;
+  /** Called when the rate limit announced by an upstream has changed. */
+  readonly onRateLimitChange: (upstream: Upstream) => void;
 }
 
-/** The least status that says that the upstream failed. */
-export const SERVER_ERROR = 500;
+export const MIN_SERVER_ERROR_STATUS = 500;
 
-/** Sends a request to the upstream of a place. */
+/** Sends a request to the upstream of a slot. */
 export async function callUpstream(
   parts: CallParts,
   place: Place,
   request: CallRequest,
   signal: AbortSignal,
-): Promise<Call> {
+): Promise<UpstreamCall> {
   const {client, clock} = parts;
-  const {failsOnError, ...rest} = request;
-  const stop = new AbortController();
+  const {rejectsServerErrors, ...upstreamRequest} = request;
+  const abortController = new AbortController();
   const sentAt = clock.now();
-  const sent = await client.send({
-    ...rest,
-    signal: AbortSignal.any([signal, stop.signal]),
+  const result = await client.send({
+    ...upstreamRequest,
+    signal: AbortSignal.any([signal, abortController.signal]),
     url: place.upstream.spec.url,
   });
-  if (sent.isErr()) {
-    const {kind, message} = sent.error;
+  if (result.isErr()) {
+    const {kind, message} = result.error;
     if (!signal.aborted) {
       place.failed();
     }
-    const isBroken = kind === 'broken';
-    const brokeOff = isBroken && !signal.aborted;
-    return {...failed(place, isBroken, message), brokeOff};
+    const mayHaveRun = kind === 'broken';
+    const isConnectionLost = mayHaveRun && !signal.aborted;
+    return {...createFailedCall(place, mayHaveRun, message), isConnectionLost};
   }
-  const answer = sent.value;
-  noteHeaders(parts, place, answer, sentAt);
-  if (answer.headers[NOT_RUN_HEADER] === 'true') {
-    stop.abort();
-    return failed(place, false, 'the upstream did not take it');
+  const response = result.value;
+  processHeaders(parts, place, response, sentAt);
+  if (response.headers[NOT_RUN_HEADER] === 'true') {
+    abortController.abort();
+    return createFailedCall(
+      place,
+      false,
+      'the upstream did not run the request',
+    );
   }
-  if (failsOnError && answer.status >= SERVER_ERROR) {
-    stop.abort();
+  if (rejectsServerErrors && response.status >= MIN_SERVER_ERROR_STATUS) {
+    abortController.abort();
     place.failed();
-    return failed(place, true, `the upstream answered ${answer.status}`);
+    return createFailedCall(
+      place,
+      true,
+      `the upstream responded with status ${response.status}`,
+    );
   }
-  const iterator = answer.body[Symbol.asyncIterator]();
-  const first = await iterator.next().catch(() => undefined);
-  if (first === undefined) {
+  const iterator = response.body[Symbol.asyncIterator]();
+  const firstChunk = await iterator.next().catch(() => undefined);
+  if (firstChunk === undefined) {
     place.failed();
-    return {...failed(place, true, 'the upstream broke off'), brokeOff: true};
+    return {
+      ...createFailedCall(
+        place,
+        true,
+        'the connection to the upstream was lost',
+      ),
+      isConnectionLost: true,
+    };
   }
-  const firstMs = clock.now() - sentAt;
-  place.answered(firstMs);
+  const firstByteMs = clock.now() - sentAt;
+  place.answered(firstByteMs);
   return {
-    abort: () => stop.abort(),
-    answer,
-    first,
-    firstMs,
+    abort: () => abortController.abort(),
+    response,
+    firstChunk,
+    firstByteMs,
     kind: 'started',
     place,
-    rest: iterator,
+    remainingChunks: iterator,
   };
 }
 
-function failed(
+function createFailedCall(
   place: Place,
   mayHaveRun: boolean,
   message: string,
 ): FailedCall {
-  return {brokeOff: false, kind: 'failed', mayHaveRun, message, place};
+  return {isConnectionLost: false, kind: 'failed', mayHaveRun, message, place};
 }
 
-function noteHeaders(
-  {clock, onLeaving, onLimit, onRest}: CallParts,
+function processHeaders(
+  {clock, onLeaving, onRateLimitChange, onRetryAfter}: CallParts,
   {upstream}: Place,
   {headers, status}: UpstreamAnswer,
   sentAt: number,
@@ -136,14 +154,14 @@
   if (headers[LEAVING_HEADER] === 'true') {
     onLeaving(upstream.pool, upstream.name);
   }
-  const restMs = restMsOf(status, headers['retry-after']);
-  if (restMs !== undefined) {
-    upstream.restsAtLeastUntil(clock.now() + restMs);
-    onRest(upstream.name, restMs);
+  const retryAfterMs = restMsOf(status, headers['retry-after']);
+  if (retryAfterMs !== undefined) {
+    upstream.restsAtLeastUntil(clock.now() + retryAfterMs);
+    onRetryAfter(upstream.name, retryAfterMs);
   }
-  const named = headers[LIMIT_HEADER];
-  if (upstream.limits.hearAnswer({named, sentAt, status})) {
-    onLimit(upstream);
+  const rateLimit = headers[RATE_LIMIT_HEADER];
+  if (upstream.limits.hearAnswer({named: rateLimit, sentAt, status})) {
+    onRateLimitChange(upstream);
   }
   const running = Number(headers['puffinturn-running']);
   const waiting = Number(headers['puffinturn-waiting']);
@@ -152,17 +170,19 @@
   }
 }
 
-/** The first bytes and all that follow; throws when the body breaks off. */
-export async function* bytesOf(call: StartedCall): AsyncGenerator<Uint8Array> {
-  if (call.first.done === true) {
+/** Reads all chunks of the body; throws if the connection is lost. */
+export async function* readChunks(
+  call: StartedCall,
+): AsyncGenerator<Uint8Array> {
+  if (call.firstChunk.done === true) {
     return;
   }
-  yield call.first.value;
+  yield call.firstChunk.value;
   for (;;) {
-    const next = await call.rest.next();
-    if (next.done === true) {
+    const result = await call.remainingChunks.next();
+    if (result.done === true) {
       return;
     }
-    yield next.value;
+    yield result.value;
   }
 }
--- a/packages/puffinturn-gateway/src/UpstreamClient.ts
+++ b/packages/puffinturn-gateway/src/UpstreamClient.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** How a box talks to upstreams. */
+/** The interface through which a box calls upstreams. */
 import type {ResultAsync} from 'neverthrow';
 import type {ListenerState} from 'puffinturn-quarantine';
 import type {Failure} from 'shared';
@@ -17,25 +17,25 @@
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string | Uint8Array | undefined;
-  /** Uses a new connection, so that a stale one cannot blur the outcome. */
+  /** Whether to use a new connection: a stale one would make the outcome unclear. */
   readonly fresh: boolean;
   readonly signal: AbortSignal;
 }
 
-/** An answer whose body is still coming. */
+/** A response whose body is read as a stream. */
 export interface UpstreamAnswer {
   readonly status: number;
-  /** Names in lower case. */
+  /** Header names are in lower case. */
   readonly headers: Readonly<Record<string, string>>;
-  /** Throws when the body breaks off. */
+  /** Throws if the connection is lost before the end. */
   readonly body: AsyncIterable<Uint8Array>;
 }
 
-/** Why there is no answer. */
+/** Why there is no response. */
 export type UpstreamFailure =
-  /** No byte left this box. */
+  /** Nothing was sent to the upstream. */
   | Failure<'not-sent'>
-  /** Something may have arrived there. */
+  /** The upstream may have received the request. */
   | Failure<'broken'>;
 
 /** Sends requests to upstreams. */
@@ -44,7 +44,7 @@
     request: UpstreamRequest,
   ): ResultAsync<UpstreamAnswer, UpstreamFailure>;
 
-  /** Whether anything listens at a URL's address. */
+  /** Checks whether a process listens at the address of a URL. */
   abstract probe(url: string): Promise<ListenerState>;
 
   abstract [Symbol.asyncDispose](): Promise<void>;
--- a/packages/puffinturn-gateway/src/UpstreamPermits.ts
+++ b/packages/puffinturn-gateway/src/UpstreamPermits.ts
@@ -6,8 +6,7 @@
  */
 
 /**
- * Permits of one box for upstreams that name how many requests a second they take from
- * all boxes together.
+ * Requests permits for upstreams that announce a rate limit for all boxes together.
  */
 import type {GrantingBox, PermitQuestion} from 'puffinturn-permits';
 import {NO_LIMIT, Permits, rateOf} from 'puffinturn-permits';
@@ -18,7 +17,7 @@
 import type {Pools} from './Pools';
 import {upstreamId} from './Pools';
 
-/** What UpstreamPermits are made of. */
+/** Dependencies of UpstreamPermits. */
 export interface UpstreamPermitsParts {
   readonly self: GrantingBox;
   /** The other boxes of the fleet. */
@@ -30,10 +29,10 @@
   readonly pools: Pools;
 }
 
-/** Cold upstreams are not bounded here; this is never asked for. */
-const NO_COLD_TOLERANCE = {extra: 0, overage: 1};
+/** Required by Permits but unused: this package does not limit warm-up. */
+const NO_WARM_UP_TOLERANCE = {extra: 0, overage: 1};
 
-/** See the module comment. */
+/** Enforces the rate limits of upstreams across boxes. */
 export class UpstreamPermits implements Disposable {
   private readonly permits: Permits;
 
@@ -41,34 +40,38 @@
     const {pools} = parts;
     this.permits = new Permits({
       ...parts,
-      coldTolerance: NO_COLD_TOLERANCE,
-      learnLimit: (id, limit) => void pools.upstream(id)?.limits.learn(limit),
-      limitOf: (id) => pools.upstream(id)?.limits.limit ?? NO_LIMIT,
+      coldTolerance: NO_WARM_UP_TOLERANCE,
+      learnLimit: (id, limit) =>
+        void pools.findUpstream(id)?.limits.learn(limit),
+      limitOf: (id) => pools.findUpstream(id)?.limits.limit ?? NO_LIMIT,
       peers: () => parts.peers,
     });
   }
 
   /**
-   * Whether a request may go to its place at once. Where it may not, the upstream is
-   * left out of choice until a permit may be had.
+   * Acquires a permit to send a request now. If there is none, the upstream gets no
+   * requests until one may be available.
    */
-  async admit({upstream}: Place, isLeastUrgent: boolean): Promise<boolean> {
+  async tryAcquire(
+    {upstream}: Place,
+    isLeastUrgent: boolean,
+  ): Promise<boolean> {
     if (rateOf(upstream.limits.limit) === Infinity) {
       return true;
     }
-    const question = questionFor(upstream, isLeastUrgent);
-    const isGranted = await this.permits.take(question);
+    const query = createPermitQuery(upstream, isLeastUrgent);
+    const isGranted = await this.permits.take(query);
     if (!isGranted) {
-      const {id} = question.upstream;
+      const {id} = query.upstream;
       const waitMs = this.permits.waitMs(id, isLeastUrgent);
       upstream.restsAtLeastUntil(this.parts.clock.now() + waitMs);
     }
     return isGranted;
   }
 
-  /** Tells the box that grants permits what an upstream said of its limit. */
-  tell(upstream: Upstream): void {
-    void this.permits.tell(questionFor(upstream, false));
+  /** Reports the rate limit of an upstream to the box that grants its permits. */
+  reportLimit(upstream: Upstream): void {
+    void this.permits.tell(createPermitQuery(upstream, false));
   }
 
   [Symbol.dispose](): void {
@@ -76,7 +79,7 @@
   }
 }
 
-function questionFor(
+function createPermitQuery(
   {limits, name, pool, spec}: Upstream,
   isLeastUrgent: boolean,
 ): PermitQuestion {
--- a/packages/puffinturn-gateway/src/__tests__/unit/RestingUpstreams.test.ts
+++ b/packages/puffinturn-gateway/src/__tests__/unit/RetryAfter.test.ts
@@ -6,10 +6,8 @@
  */
 
 /**
- * An engine that was overloaded turned a request away and asked for three seconds
- * of rest; the box sent it nine more within that time. Of an answer that says that
- * the request did not run nothing else was read, and the router was not told: the
- * next request found the engine as free as before.
+ * Guards against ignoring Retry-After in responses to requests that did not run: the
+ * router kept sending requests to an overloaded upstream.
  */
 import {okAsync} from 'neverthrow';
 import type {PlaceRequest} from 'puffinturn-routing';
@@ -25,7 +23,7 @@
 import type {UpstreamAnswer} from '../../UpstreamClient';
 import {UpstreamClient} from '../../UpstreamClient';
 
-const REST_S = 3;
+const RETRY_AFTER_S = 3;
 
 const PLACE_REQUEST: PlaceRequest = {
   avoid: new Set(),
@@ -39,22 +37,25 @@
 
 const CALL_REQUEST = {
   body: undefined,
-  failsOnError: true,
+  rejectsServerErrors: true,
   fresh: false,
   headers: {},
   method: 'GET',
   path: '/',
 };
 
-/** Every upstream turns requests away and asks for rest. */
+/** Rejects every request with Retry-After. */
 class OverloadedClient extends UpstreamClient {
   readonly urls: string[] = [];
 
   override send({url}: {readonly url: string}) {
     this.urls.push(url);
     return okAsync<UpstreamAnswer, never>({
-      body: nothing(),
-      headers: {'puffinturn-not-run': 'true', 'retry-after': String(REST_S)},
+      body: emptyBody(),
+      headers: {
+        'puffinturn-not-run': 'true',
+        'retry-after': String(RETRY_AFTER_S),
+      },
       status: 503,
     });
   }
@@ -66,9 +67,9 @@
   override async [Symbol.asyncDispose](): Promise<void> {}
 }
 
-async function* nothing(): AsyncGenerator<Uint8Array> {}
+async function* emptyBody(): AsyncGenerator<Uint8Array> {}
 
-describe('An upstream that asks for rest', () => {
+describe('An upstream that responds with Retry-After', () => {
   const clock = new ManualClock();
   const client = new OverloadedClient();
   const router = new Router({
@@ -81,29 +82,29 @@
   });
   router.declare([{hall: 'h', name: 'u', slots: 9, url: 'http://u'}]);
 
-  /** Asks for a place and sends a request there; why not, where there is none. */
+  /** Sends a request; returns the kind of the call or of the routing error. */
   async function send(): Promise<string> {
-    const found = await router.acquire(PLACE_REQUEST);
-    if (found.isErr()) {
-      return found.error.kind;
+    const placed = await router.acquire(PLACE_REQUEST);
+    if (placed.isErr()) {
+      return placed.error.kind;
     }
-    using place = found.value;
-    const ignore = () => undefined;
+    using place = placed.value;
+    const noop = () => undefined;
     const parts = {
       client,
       clock,
-      onLeaving: ignore,
-      onLimit: ignore,
-      onRest: ignore,
+      onLeaving: noop,
+      onRateLimitChange: noop,
+      onRetryAfter: noop,
     };
     const {signal} = new AbortController();
     return (await callUpstream(parts, place, CALL_REQUEST, signal)).kind;
   }
 
-  test('gets no request until its time is over', async () => {
+  test('gets no requests until the delay has passed', async () => {
     expect(await send()).toBe('failed');
     expect([await send(), await send()]).toEqual(['overloaded', 'overloaded']);
-    await clock.advance(REST_S * 1_000);
+    await clock.advance(RETRY_AFTER_S * 1_000);
     expect(await send()).toBe('failed');
     expect(client.urls).toHaveLength(2);
   });
--- a/packages/puffinturn-gateway/src/index.ts
+++ b/packages/puffinturn-gateway/src/index.ts
@@ -5,24 +5,24 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Serves callers: admission, running, answers and retries across boxes. */
-export type {AnswerEnd, AnswerHead} from './Answer';
-export {Answer} from './Answer';
+/** Serves requests of callers: admission, upstream calls, retries and responses. */
+export type {ResponseEnd, ResponseHead} from './BufferedResponse';
+export {BufferedResponse} from './BufferedResponse';
 export type {CallerHttpParts} from './CallerHttp';
 export {callerHttp} from './CallerHttp';
 export type {CompletionBody} from './CompletionBody';
 export {checkCompletion} from './CompletionBody';
 export type {CrashingRequestsParts} from './CrashingRequests';
 export {CrashingRequests} from './CrashingRequests';
-export type {CallerAnswer, GatewayParts} from './Gateway';
+export type {CallerResponse, GatewayParts} from './Gateway';
 export {Gateway} from './Gateway';
 export {CALLER_TIMEOUT_MS} from './GatewayConstants';
 export type {FailureCode, GatewayFailure, Outcome} from './GatewayFailure';
 export {FAILURE, OUTCOME} from './GatewayFailure';
 export {GatewayMetrics} from './GatewayMetrics';
 export {HttpUpstreamClient} from './HttpUpstreamClient';
-export type {CallerRequest} from './Plan';
 export {Pools} from './Pools';
+export type {CallerRequest} from './RequestPlan';
 export type {
   UpstreamAnswer,
   UpstreamFailure,
