--- a/packages/puffinturn-ledger/src/AdmissionQueue.ts
+++ b/packages/puffinturn-ledger/src/AdmissionQueue.ts
@@ -6,9 +6,9 @@
  */
 
 /**
- * Admissions that wait on the leader for units to come free: highest priority
- * first, then in order of arrival. One that can no longer be met is refused at
- * once.
+ * Queue of admissions that wait on the leader until units become available, by
+ * priority and then by time of arrival. An admission is refused as soon as its
+ * units cannot become available.
  */
 import type {ResultAsync} from 'neverthrow';
 import {ok} from 'neverthrow';
@@ -18,194 +18,200 @@
 import type {AdmitOutcome} from './LedgerOutcomes';
 import type {AdmitRecord} from './LedgerRecords';
 
-/** The outcome, or why there is none. */
+/** Pending outcome of an admission, or the failure to commit it. */
 export type Admission = ResultAsync<AdmitOutcome, ProposalFailure>;
 
-/** What the queue needs to know and do. */
+/** Dependencies of an AdmissionQueue. */
 export interface AdmissionQueueParts {
   readonly clock: Clock;
   readonly propose: (record: AdmitRecord) => Admission;
-  /** Whether the key of a record was admitted before. */
+  /** Whether a request with the record's key exists. */
   readonly isKnown: (record: AdmitRecord) => boolean;
-  /** Told when an admission starts to wait. */
+  /** Called when an admission starts to wait. */
   readonly onWait: () => void;
-  /** Units that requests in flight hold. */
-  readonly reserved: (budget: string) => number;
-  /** Units free at the moment. */
-  readonly available: (budget: string) => number;
-  /** Units that may still come free, those at the moment included. */
-  readonly outlook: (budget: string) => number;
+  /** Units reserved by requests in flight. */
+  readonly reservedUnits: (budget: string) => number;
+  /** Units available now. */
+  readonly availableUnits: (budget: string) => number;
+  /** Units that are or may become available. */
+  readonly obtainableUnits: (budget: string) => number;
 }
 
-type Answer = Awaited<Admission>;
+type AdmissionResult = Awaited<Admission>;
 
-/** How an admission waits. */
-export interface Patience {
-  /** Longest wait from now, ms. */
+/** Wait and priority of an admission. */
+export interface WaitOptions {
+  /** Maximum wait from now, ms. */
   readonly waitMs: number;
-  /** Time that it has waited before, ms; keeps its place in the order. */
+  /** Time waited in earlier calls, ms; counts for the position in the queue. */
   readonly waitedMs: number;
-  /** 0 goes first. */
+  /** 0 is the highest priority. */
   readonly priority: number;
 }
 
 interface Waiter {
   readonly record: AdmitRecord;
   readonly priority: number;
-  readonly since: number;
+  readonly waitingSince: number;
   readonly deadline: number;
-  readonly refusal: Answer;
-  readonly resolve: (answer: Answer) => void;
+  readonly lastResult: AdmissionResult;
+  readonly resolve: (result: AdmissionResult) => void;
 }
 
-/** See the module comment. */
+/** Queue of admissions that wait for units, by budget. */
 export class AdmissionQueue {
-  private readonly waiting = new Map<string, Waiter[]>();
-  private readonly pumping = new Set<string>();
+  private readonly waitersByBudget = new Map<string, Waiter[]>();
+  private readonly processing = new Set<string>();
 
   constructor(private readonly parts: AdmissionQueueParts) {}
 
-  /** Admissions that wait, over all budgets. */
+  /** Number of waiting admissions. */
   get size(): number {
     let size = 0;
-    for (const waiters of this.waiting.values()) {
+    for (const waiters of this.waitersByBudget.values()) {
       size += waiters.length;
     }
     return size;
   }
 
-  /** Budgets that are waited for. */
+  /** Names of the budgets with waiting admissions. */
   get budgets(): string[] {
-    return [...this.waiting.keys()];
+    return [...this.waitersByBudget.keys()];
   }
 
-  /** Units that the waiting admissions of a budget ask for. */
-  wanted(budget: string): number {
-    const waiters = this.waiting.get(budget) ?? [];
+  /** Returns the units requested by the waiting admissions of a budget. */
+  queuedUnits(budget: string): number {
+    const waiters = this.waitersByBudget.get(budget) ?? [];
     return waiters.reduce((sum, {record}) => sum + record.reserve, 0);
   }
 
-  /** Admits now, or waits up to `waitMs` for units. */
-  async admit(record: AdmitRecord, patience: Patience): Promise<Answer> {
-    const {priority, waitMs} = patience;
-    const behind = this.isBehind(record.budget, priority);
-    const queued = behind && !this.parts.isKnown(record);
-    const answer = queued
-      ? this.refusal(record)
+  /** Admits a request, waiting up to `waitMs` until units become available. */
+  async admit(
+    record: AdmitRecord,
+    options: WaitOptions,
+  ): Promise<AdmissionResult> {
+    const {priority, waitMs} = options;
+    const hasWaiterAhead = this.hasWaiterAhead(record.budget, priority);
+    const skipProposal = hasWaiterAhead && !this.parts.isKnown(record);
+    const result = skipProposal
+      ? this.insufficientResult(record)
       : await this.parts.propose(record);
-    const lacking = answer.isOk() && answer.value.kind === 'insufficient';
-    if (!lacking || !this.hasHope(record)) {
-      return answer;
+    const isInsufficient =
+      result.isOk() && result.value.kind === 'insufficient';
+    if (!isInsufficient || !this.isObtainable(record)) {
+      return result;
     }
     return waitMs > 0
-      ? this.wait(record, patience, answer)
-      : answer.map((outcome) => ({...outcome, mayWait: true}));
+      ? this.enqueue(record, options, result)
+      : result.map((outcome) => ({...outcome, mayWait: true}));
   }
 
-  /** Admits waiters of a budget as far as its units go. */
-  async pump(budget: string): Promise<void> {
-    if (this.pumping.has(budget)) {
+  /** Admits waiting requests of a budget while units are available. */
+  async processQueue(budget: string): Promise<void> {
+    if (this.processing.has(budget)) {
       return;
     }
-    this.pumping.add(budget);
-    this.refuseHopeless(budget);
+    this.processing.add(budget);
+    this.refuseExpiredOrUnobtainable(budget);
     for (
-      let next = this.firstThatFits(budget);
+      let next = this.firstAffordable(budget);
       next !== undefined;
-      next = this.firstThatFits(budget)
+      next = this.firstAffordable(budget)
     ) {
-      const answer = await this.parts.propose(next.record);
-      if (answer.isOk() && answer.value.kind === 'insufficient') {
+      const result = await this.parts.propose(next.record);
+      if (result.isOk() && result.value.kind === 'insufficient') {
         break;
       }
-      this.finish(next, answer);
+      this.resolveWaiter(next, result);
     }
-    this.pumping.delete(budget);
+    this.processing.delete(budget);
   }
 
-  /** Answers every waiter, as when this replica no longer leads. */
-  failAll(answer: Answer): void {
-    for (const waiters of [...this.waiting.values()]) {
+  /** Resolves every waiting admission with a failure. */
+  failAll(result: AdmissionResult): void {
+    for (const waiters of [...this.waitersByBudget.values()]) {
       for (const waiter of [...waiters]) {
-        this.finish(waiter, answer);
+        this.resolveWaiter(waiter, result);
       }
     }
   }
 
-  private wait(
+  private enqueue(
     record: AdmitRecord,
-    patience: Patience,
-    refusal: Answer,
-  ): Promise<Answer> {
+    options: WaitOptions,
+    lastResult: AdmissionResult,
+  ): Promise<AdmissionResult> {
     return new Promise((resolve) => {
       const now = this.parts.clock.now();
       const waiter: Waiter = {
-        deadline: now + patience.waitMs,
-        priority: patience.priority,
+        deadline: now + options.waitMs,
+        lastResult,
+        priority: options.priority,
         record,
-        refusal,
         resolve,
-        since: now - patience.waitedMs,
+        waitingSince: now - options.waitedMs,
       };
-      const waiters = this.waiting.get(record.budget) ?? [];
+      const waiters = this.waitersByBudget.get(record.budget) ?? [];
       waiters.push(waiter);
-      waiters.sort((a, b) => a.priority - b.priority || a.since - b.since);
-      this.waiting.set(record.budget, waiters);
+      waiters.sort(
+        (a, b) => a.priority - b.priority || a.waitingSince - b.waitingSince,
+      );
+      this.waitersByBudget.set(record.budget, waiters);
       this.parts.onWait();
     });
   }
 
-  private refusal({budget}: AdmitRecord): Answer {
+  private insufficientResult({budget}: AdmitRecord): AdmissionResult {
     return ok({
-      available: this.parts.available(budget),
+      available: this.parts.availableUnits(budget),
       kind: 'insufficient',
       mayWait: false,
-      reserved: this.parts.reserved(budget),
+      reserved: this.parts.reservedUnits(budget),
     });
   }
 
-  /** Whether somebody waits who goes before a newcomer of this priority. */
-  private isBehind(budget: string, priority: number): boolean {
-    const first = this.waiting.get(budget)?.[0];
+  /** Whether a waiting admission precedes a new one of this priority. */
+  private hasWaiterAhead(budget: string, priority: number): boolean {
+    const first = this.waitersByBudget.get(budget)?.[0];
     return first !== undefined && first.priority <= priority;
   }
 
-  private hasHope(record: AdmitRecord): boolean {
-    return record.reserve <= this.parts.outlook(record.budget);
+  private isObtainable(record: AdmitRecord): boolean {
+    return record.reserve <= this.parts.obtainableUnits(record.budget);
   }
 
-  private refuseHopeless(budget: string): void {
+  private refuseExpiredOrUnobtainable(budget: string): void {
     const now = this.parts.clock.now();
-    for (const waiter of [...(this.waiting.get(budget) ?? [])]) {
-      const mayWait = this.hasHope(waiter.record);
+    for (const waiter of [...(this.waitersByBudget.get(budget) ?? [])]) {
+      const mayWait = this.isObtainable(waiter.record);
       if (waiter.deadline <= now || !mayWait) {
-        const {refusal} = waiter;
-        this.finish(
+        const {lastResult} = waiter;
+        this.resolveWaiter(
           waiter,
-          refusal.map((outcome) => ({...outcome, mayWait})),
+          lastResult.map((outcome) => ({...outcome, mayWait})),
         );
       }
     }
   }
 
-  private firstThatFits(budget: string): Waiter | undefined {
-    const first = this.waiting.get(budget)?.[0];
-    const free = this.parts.available(budget);
-    return first !== undefined && first.record.reserve <= free
+  private firstAffordable(budget: string): Waiter | undefined {
+    const first = this.waitersByBudget.get(budget)?.[0];
+    const availableUnits = this.parts.availableUnits(budget);
+    return first !== undefined && first.record.reserve <= availableUnits
       ? first
       : undefined;
   }
 
-  private finish(waiter: Waiter, answer: Answer): void {
+  private resolveWaiter(waiter: Waiter, result: AdmissionResult): void {
     const {budget} = waiter.record;
-    const rest = (this.waiting.get(budget) ?? []).filter(
+    const remaining = (this.waitersByBudget.get(budget) ?? []).filter(
       (other) => other !== waiter,
     );
-    if (rest.length === 0) {
-      this.waiting.delete(budget);
+    if (remaining.length === 0) {
+      this.waitersByBudget.delete(budget);
     } else {
-      this.waiting.set(budget, rest);
+      this.waitersByBudget.set(budget, remaining);
     }
-    waiter.resolve(answer);
+    waiter.resolve(result);
   }
 }
--- a/packages/puffinturn-ledger/src/BoxTable.ts
+++ b/packages/puffinturn-ledger/src/BoxTable.ts
@@ -5,56 +5,56 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The processes of boxes that a region knows. */
+/** Registered boxes of a region and their incarnations. */
 
-/** One box with its newest process. */
+/** A box and its current incarnation. */
 export interface BoxEntry {
   box: string;
   hall: string;
   incarnation: string;
-  /** Admissions below this serial are closed for good. */
+  /** Admissions with a serial number below this one are rejected. */
   floor: number;
 }
 
-/** A process that is gone. */
+/** A fenced incarnation of a box. */
 export interface FencedEntry {
   box: string;
   incarnation: string;
   at: number;
 }
 
-/** Registered and fenced processes. */
+/** Current and fenced incarnations of boxes. */
 export class BoxTable {
   private readonly boxes = new Map<string, BoxEntry>();
   private readonly fenced = new Map<string, FencedEntry>();
 
-  /** The newest process of a box; undefined when fenced or unknown. */
+  /** Returns the box if `incarnation` is its current one, else undefined. */
   current(box: string, incarnation: string): BoxEntry | undefined {
     const entry = this.boxes.get(box);
     return entry?.incarnation === incarnation ? entry : undefined;
   }
 
-  /** Adds a process; the former one of the same box is gone. */
+  /** Registers an incarnation and fences the previous one of the same box. */
   register(
     box: string,
     incarnation: string,
     hall: string,
     at: number,
   ): 'fenced' | 'noted' {
-    if (this.isGone(box, incarnation)) {
+    if (this.isFenced(box, incarnation)) {
       return 'fenced';
     }
-    const former = this.boxes.get(box);
-    if (former !== undefined && former.incarnation !== incarnation) {
-      this.fence(box, former.incarnation, at);
+    const previous = this.boxes.get(box);
+    if (previous !== undefined && previous.incarnation !== incarnation) {
+      this.fence(box, previous.incarnation, at);
     }
-    if (former?.incarnation !== incarnation) {
+    if (previous?.incarnation !== incarnation) {
       this.boxes.set(box, {box, floor: 0, hall, incarnation});
     }
     return 'noted';
   }
 
-  /** Marks a process as gone. */
+  /** Fences an incarnation. */
   fence(box: string, incarnation: string, at: number): void {
     if (this.boxes.get(box)?.incarnation === incarnation) {
       this.boxes.delete(box);
@@ -65,18 +65,18 @@
     }
   }
 
-  /** Whether a process is gone. */
-  isGone(box: string, incarnation: string): boolean {
+  /** Whether an incarnation is fenced. */
+  isFenced(box: string, incarnation: string): boolean {
     return this.fenced.has(`${box}\n${incarnation}`);
   }
 
-  /** Processes that have been gone since before `before`. */
-  goneBefore(before: number): FencedEntry[] {
+  /** Returns the incarnations fenced at or before `before`. */
+  fencedBefore(before: number): FencedEntry[] {
     return [...this.fenced.values()].filter(({at}) => at <= before);
   }
 
-  /** Forgets processes that went before `before`. */
-  forgetBefore(before: number): void {
+  /** Deletes the incarnations fenced before `before`. */
+  deleteFencedBefore(before: number): void {
     for (const [id, {at}] of this.fenced) {
       if (at < before) {
         this.fenced.delete(id);
@@ -84,17 +84,17 @@
     }
   }
 
-  /** The newest process of each box. */
+  /** Returns every box with its current incarnation. */
   all(): BoxEntry[] {
     return [...this.boxes.values()];
   }
 
-  /** Processes that are gone. */
+  /** Returns every fenced incarnation. */
   allFenced(): FencedEntry[] {
     return [...this.fenced.values()];
   }
 
-  /** Takes over stored entries. */
+  /** Replaces all entries by those of a snapshot. */
   restore(boxes: readonly BoxEntry[], fenced: readonly FencedEntry[]): void {
     this.boxes.clear();
     this.fenced.clear();
--- a/packages/puffinturn-ledger/src/BudgetAccount.ts
+++ b/packages/puffinturn-ledger/src/BudgetAccount.ts
@@ -6,27 +6,28 @@
  */
 
 /**
- * One budget as one region sees it. The home region holds the whole limit and
- * grants parts of it; another region holds what it has received. Always:
- * settled + reserved + granted ≤ limit + received.
+ * Account of one budget in one region. The home region holds the limit and grants
+ * units to other regions; another region holds the units that it has received.
+ * Invariant: settled + reserved + granted ≤ limit + received, where granted and
+ * received exclude returned units.
  */
 import {invariant} from 'shared';
 
-/** Parts of a budget at another region, as the home region counts them. */
+/** The home region's totals of its transfers with another region. */
 export interface GrantTally {
-  /** Grants so far; the next one has the next number. */
+  /** Number of the last grant. */
   grants: number;
-  /** Amount of the last grant, for a repeated request. */
+  /** Units of the last grant, returned when its request is repeated. */
   lastGrant: number;
   granted: number;
   returns: number;
   returned: number;
 }
 
-/** Everything about a budget that is stored. */
+/** Stored state of a budget. */
 export interface BudgetState {
   name: string;
-  /** Whether this region is the home. */
+  /** Whether this region is the home region. */
   home: boolean;
   homeRegion: string;
   limit: number;
@@ -40,14 +41,14 @@
   lastReturn: number;
 }
 
-/** A budget with nothing spent. */
+/** Creates a budget with a limit of 0 and nothing spent. */
 export function emptyBudget(
   name: string,
   homeRegion: string,
-  home: boolean,
+  isHome: boolean,
 ): BudgetState {
   return {
-    home,
+    home: isHome,
     homeRegion,
     lastReturn: 0,
     limit: 0,
@@ -62,7 +63,7 @@
   };
 }
 
-/** Units granted to other regions and not returned. */
+/** Returns the units granted to other regions and not returned. */
 export function grantedOut(budget: BudgetState): number {
   return Object.values(budget.regions).reduce(
     (sum, {granted, returned}) => sum + granted - returned,
@@ -70,51 +71,54 @@
   );
 }
 
-/** Units that this region may spend in all. */
+/** Returns the units that this region may spend, including those already spent. */
 export function allotted(budget: BudgetState): number {
   return budget.home
     ? budget.limit - grantedOut(budget)
     : budget.received - budget.returned;
 }
 
-/** Units that are neither spent nor reserved here. */
-export function available(budget: BudgetState): number {
+/** Returns the units that are neither spent nor reserved in this region. */
+export function availableUnits(budget: BudgetState): number {
   return allotted(budget) - budget.settled - budget.reserved;
 }
 
-/** Units that can never be taken back: spent, reserved or granted. */
-export function committed(budget: BudgetState): number {
+/** Returns the units that are spent, reserved or granted to other regions. */
+export function committedUnits(budget: BudgetState): number {
   return budget.settled + budget.reserved + grantedOut(budget);
 }
 
-/** Takes `amount` for a request, if there is as much. */
-export function reserve(budget: BudgetState, amount: number): boolean {
-  if (amount > available(budget)) {
+/** Reserves units for a request; returns false if too few are available. */
+export function tryReserve(budget: BudgetState, amount: number): boolean {
+  if (amount > availableUnits(budget)) {
     return false;
   }
   budget.reserved += amount;
   return true;
 }
 
-/** Gives a reservation back. */
-export function release(budget: BudgetState, amount: number): void {
+/** Releases a reservation. */
+export function releaseReservation(budget: BudgetState, amount: number): void {
   budget.reserved -= amount;
-  checkBudget(budget);
+  assertBudgetInvariants(budget);
 }
 
-/** Turns a reservation into a charge that is no larger. */
-export function settle(
+/** Replaces a reservation by a charge between 0 and the reservation. */
+export function settleReservation(
   budget: BudgetState,
   reserved: number,
   charge: number,
 ): void {
-  invariant(charge >= 0 && charge <= reserved, 'a charge above the reserve');
+  invariant(
+    charge >= 0 && charge <= reserved,
+    `budget ${budget.name}: charge ${charge} is not between 0 and the reservation of ${reserved}`,
+  );
   budget.reserved -= reserved;
   budget.settled += charge;
-  checkBudget(budget);
+  assertBudgetInvariants(budget);
 }
 
-function tallyOf(budget: BudgetState, region: string): GrantTally {
+function getOrCreateTally(budget: BudgetState, region: string): GrantTally {
   return (budget.regions[region] ??= {
     granted: 0,
     grants: 0,
@@ -124,30 +128,33 @@
   });
 }
 
-/** Grants up to `amount`; undefined when `number` is not the next one. */
-export function grant(
+/**
+ * Grants up to `amount` units and returns the units granted. A repeated number
+ * returns the last amount; any other unexpected number undefined.
+ */
+export function issueGrant(
   budget: BudgetState,
   region: string,
   number: number,
   amount: number,
 ): number | undefined {
-  const tally = tallyOf(budget, region);
+  const tally = getOrCreateTally(budget, region);
   if (number === tally.grants) {
     return tally.lastGrant;
   }
   if (!budget.home || number !== tally.grants + 1) {
     return undefined;
   }
-  const granted = Math.max(0, Math.min(amount, available(budget)));
+  const granted = Math.max(0, Math.min(amount, availableUnits(budget)));
   tally.grants = number;
   tally.lastGrant = granted;
   tally.granted += granted;
-  checkBudget(budget);
+  assertBudgetInvariants(budget);
   return granted;
 }
 
-/** Adds a grant on the receiving side, once. */
-export function receive(
+/** Adds a grant in the receiving region; false unless `number` is the next one. */
+export function receiveGrant(
   budget: BudgetState,
   number: number,
   amount: number,
@@ -160,8 +167,11 @@
   return true;
 }
 
-/** Sends up to `amount` back; undefined when `number` is not the next one. */
-export function giveBack(
+/**
+ * Sends up to `amount` units back to the home region and returns the units sent. A
+ * repeated number returns the last amount; any other unexpected number undefined.
+ */
+export function returnUnits(
   budget: BudgetState,
   number: number,
   amount: number,
@@ -172,32 +182,35 @@
   if (budget.home || number !== budget.returns + 1) {
     return undefined;
   }
-  const sent = Math.max(0, Math.min(amount, available(budget)));
+  const sent = Math.max(0, Math.min(amount, availableUnits(budget)));
   budget.returns = number;
   budget.lastReturn = sent;
   budget.returned += sent;
-  checkBudget(budget);
+  assertBudgetInvariants(budget);
   return sent;
 }
 
-/** Adds a returned part at home, once. */
+/** Adds returned units in the home region; false unless `number` is the next one. */
 export function acceptReturn(
   budget: BudgetState,
   region: string,
   number: number,
   amount: number,
 ): boolean {
-  const tally = tallyOf(budget, region);
+  const tally = getOrCreateTally(budget, region);
   if (!budget.home || number !== tally.returns + 1) {
     return false;
   }
   tally.returns = number;
   tally.returned += amount;
-  checkBudget(budget);
+  assertBudgetInvariants(budget);
   return true;
 }
 
-function checkBudget(budget: BudgetState): void {
-  invariant(budget.reserved >= 0, `budget ${budget.name}: negative reserve`);
-  invariant(available(budget) >= 0, `budget ${budget.name}: overspent`);
+function assertBudgetInvariants(budget: BudgetState): void {
+  invariant(
+    budget.reserved >= 0,
+    `budget ${budget.name} has a negative reservation`,
+  );
+  invariant(availableUnits(budget) >= 0, `budget ${budget.name} is overspent`);
 }
--- a/packages/puffinturn-ledger/src/BudgetTransfers.ts
+++ b/packages/puffinturn-ledger/src/BudgetTransfers.ts
@@ -5,21 +5,26 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Transfers of budgets between regions. */
+/** Applies transfers of budget units between regions. */
 import type {BudgetState} from './BudgetAccount';
-import {acceptReturn, giveBack, grant, receive} from './BudgetAccount';
+import {
+  acceptReturn,
+  issueGrant,
+  receiveGrant,
+  returnUnits,
+} from './BudgetAccount';
 import type {LedgerBreakage} from './LedgerBreakage';
 import type {TransferOutcome} from './LedgerOutcomes';
 import type {LedgerRecord} from './LedgerRecords';
 
-/** A step of a transfer. */
+/** A record of one step of a transfer. */
 export type TransferRecord = Extract<
   LedgerRecord,
   {kind: 'accept-return' | 'grant' | 'receive' | 'return'}
 >;
 
-/** Moves units of a budget between two regions, each step once and in order. */
-export function transfer(
+/** Applies one step of a transfer; repeated and out-of-order steps have no effect. */
+export function applyTransfer(
   budgets: ReadonlyMap<string, BudgetState>,
   record: TransferRecord,
   {receiveTwice}: LedgerBreakage,
@@ -31,16 +36,20 @@
   const {amount, number} = record;
   switch (record.kind) {
     case 'grant':
-      return transferred(grant(budget, record.region, number, amount));
+      return toTransferOutcome(
+        issueGrant(budget, record.region, number, amount),
+      );
     case 'return':
-      return transferred(giveBack(budget, number, amount));
+      return toTransferOutcome(returnUnits(budget, number, amount));
     case 'receive':
       if (receiveTwice === true) {
         budget.receipts = number - 1;
       }
-      return transferred(receive(budget, number, amount) ? amount : undefined);
+      return toTransferOutcome(
+        receiveGrant(budget, number, amount) ? amount : undefined,
+      );
     case 'accept-return':
-      return transferred(
+      return toTransferOutcome(
         acceptReturn(budget, record.region, number, amount)
           ? amount
           : undefined,
@@ -48,7 +57,7 @@
   }
 }
 
-function transferred(amount: number | undefined): TransferOutcome {
+function toTransferOutcome(amount: number | undefined): TransferOutcome {
   return amount === undefined
     ? {amount: 0, kind: 'out-of-order'}
     : {amount, kind: 'transferred'};
--- a/packages/puffinturn-ledger/src/ControlClient.ts
+++ b/packages/puffinturn-ledger/src/ControlClient.ts
@@ -6,9 +6,9 @@
  */
 
 /**
- * A box's way to the leader of its region: finds it, follows it, asks again
- * until a deadline, and goes through another box when the leader cannot be
- * reached directly. Records are idempotent, so asking again is harmless.
+ * Calls the leader of a region, with retries until a deadline and through another
+ * box if the control boxes cannot be reached. Records are idempotent, so retries
+ * are safe.
  */
 import type {Result} from 'neverthrow';
 import {err, ok, ResultAsync} from 'neverthrow';
@@ -22,211 +22,229 @@
 } from './ControlMessages';
 import {CONTROL_SERVICE} from './ControlMessages';
 import {
-  ADMIT_GRACE_MS,
-  CONTROL_CALL_MS,
-  CONTROL_RETRY_MS,
-  WAIT_SLICE_MS,
+  ADMIT_CALL_MARGIN_MS,
+  CONTROL_CALL_TIMEOUT_MS,
+  CONTROL_RETRY_DELAY_MS,
+  MAX_WAIT_PER_CALL_MS,
 } from './LedgerConstants';
 import type {LedgerOutcome} from './LedgerOutcomes';
 import type {LedgerRecord} from './LedgerRecords';
 
 const RELAY_SERVICE = 'relay';
 
-/** Control boxes that fail in a row before another box is asked to relay. */
+/** Consecutive failed calls before a call goes through a relay. */
 const FAILURES_BEFORE_RELAY = 3;
 
-/** What the client needs. */
+/** Dependencies and settings of a ControlClient. */
 export interface ControlClientParts {
   readonly box: string;
-  /** The region whose leader is asked. */
+  /** The region whose leader is called. */
   readonly region: string;
   readonly clock: Clock;
   readonly link: Link;
   /** Control boxes of the region. */
   readonly controlBoxes: readonly string[];
-  /** Other boxes of the region that may relay. */
+  /** Other boxes of the region, which can relay calls. */
   readonly relayBoxes: readonly string[];
 }
 
-/** How long to try, and how an admission may wait. */
-export interface SubmitLimits {
+/** Timeout of a submitted record, and the wait and priority of an admission. */
+export interface SubmitOptions {
   readonly timeoutMs: number;
   readonly waitMs?: number;
   readonly priority?: number;
 }
 
-/** See the module comment. */
+/** Client of a region's control boxes. */
 export class ControlClient {
   private leader: string | undefined;
-  private next = 0;
-  private failures = 0;
+  private nextBox = 0;
+  private consecutiveFailures = 0;
 
   constructor(private readonly parts: ControlClientParts) {}
 
   /**
-   * Passes requests on for boxes that cannot reach the leader, until the
-   * result is disposed. One client of a box may do so: that of its own region.
+   * Relays requests of boxes that cannot reach the leader, until the result is
+   * disposed. Only the client for the box's own region may do this.
    */
   serveRelay(): Disposable {
     return this.parts.link.register(RELAY_SERVICE, (body) =>
-      this.relay(body as ControlRequest),
+      this.relayRequest(body as ControlRequest),
     );
   }
 
   /** Commits one record and returns its outcome. */
   submit(
     record: LedgerRecord,
-    limits: SubmitLimits,
+    options: SubmitOptions,
   ): ResultAsync<LedgerOutcome, ControlFailure> {
-    return new ResultAsync(this.submitUntil(record, limits));
+    return new ResultAsync(this.submitWithRetries(record, options));
   }
 
-  /** Asks the leader until it answers or the time is up. */
+  /** Calls the leader until it replies or the timeout expires. */
   ask(
     request: ControlRequest,
     timeoutMs: number,
-    callMs = CONTROL_CALL_MS,
+    callTimeoutMs = CONTROL_CALL_TIMEOUT_MS,
   ): ResultAsync<ControlReply, ControlFailure> {
-    return new ResultAsync(this.askUntil(request, timeoutMs, callMs));
+    return new ResultAsync(
+      this.callWithRetries(request, timeoutMs, callTimeoutMs),
+    );
   }
 
   /**
-   * An admission waits in short calls, so that it does not hang on a leader
-   * that is cut off; it keeps its place by the time it has waited.
+   * Splits the wait of an admission into short calls, so that a partitioned leader
+   * is noticed. The time waited so far keeps its position in the queue.
    */
-  private async submitUntil(
+  private async submitWithRetries(
     record: LedgerRecord,
-    {priority = 5, timeoutMs, waitMs = 0}: SubmitLimits,
+    {priority = 5, timeoutMs, waitMs = 0}: SubmitOptions,
   ): Promise<Result<LedgerOutcome, ControlFailure>> {
     const {clock} = this.parts;
     const start = clock.now();
-    let first = true;
+    let isFirstCall = true;
     for (;;) {
       const waitedMs = clock.now() - start;
-      // The first call does not wait, so that it soon shows a silent leader.
-      const longest = first ? 0 : WAIT_SLICE_MS;
-      const slice = Math.max(0, Math.min(waitMs - waitedMs, longest));
-      first = false;
+      // The first call does not wait, so that an unresponsive leader is noticed early.
+      const maxWaitMs = isFirstCall ? 0 : MAX_WAIT_PER_CALL_MS;
+      const callWaitMs = Math.max(0, Math.min(waitMs - waitedMs, maxWaitMs));
+      isFirstCall = false;
       const reply = await this.ask(
         {
           kind: 'submit',
           priority,
           record,
           region: this.parts.region,
-          waitMs: slice,
+          waitMs: callWaitMs,
           waitedMs,
         },
         Math.max(1, timeoutMs - waitedMs),
-        slice + ADMIT_GRACE_MS,
+        callWaitMs + ADMIT_CALL_MARGIN_MS,
       );
       if (reply.isErr()) {
         return err(reply.error);
       }
       if (reply.value.kind !== 'outcome') {
-        return err(unavailable(`an answer of kind ${reply.value.kind}`));
+        return err(
+          unavailableFailure(
+            `unexpected reply of kind ${reply.value.kind} to a submit request`,
+          ),
+        );
       }
       const {outcome} = reply.value;
-      const again = outcome.kind === 'insufficient' && outcome.mayWait;
-      if (!again || clock.now() - start >= waitMs) {
+      const mayRetry = outcome.kind === 'insufficient' && outcome.mayWait;
+      if (!mayRetry || clock.now() - start >= waitMs) {
         return ok(outcome);
       }
     }
   }
 
-  private async askUntil(
+  private async callWithRetries(
     request: ControlRequest,
     timeoutMs: number,
-    callMs: number,
+    callTimeoutMs: number,
   ): Promise<Result<ControlReply, ControlFailure>> {
     const {clock} = this.parts;
     const deadline = clock.now() + timeoutMs;
     for (;;) {
-      const left = deadline - clock.now();
-      if (left <= 0) {
-        return err(unavailable('no leader answered in time'));
+      const remainingMs = deadline - clock.now();
+      if (remainingMs <= 0) {
+        return err(
+          unavailableFailure(
+            `no leader of region ${this.parts.region} replied within ${timeoutMs} ms`,
+          ),
+        );
       }
-      const reply = await this.askOnce(request, Math.min(left, callMs));
+      const reply = await this.callOnce(
+        request,
+        Math.min(remainingMs, callTimeoutMs),
+      );
       if (reply !== undefined) {
         return ok(reply);
       }
-      await clock.sleep(Math.min(CONTROL_RETRY_MS, left));
+      await clock.sleep(Math.min(CONTROL_RETRY_DELAY_MS, remainingMs));
     }
   }
 
-  private async askOnce(
+  private async callOnce(
     request: ControlRequest,
-    callMs: number,
+    callTimeoutMs: number,
   ): Promise<ControlReply | undefined> {
-    const relayed = this.failures >= FAILURES_BEFORE_RELAY;
-    const target = relayed ? this.nextRelay() : this.target();
-    const service = relayed ? RELAY_SERVICE : CONTROL_SERVICE;
-    if (relayed) {
-      this.failures = 0;
+    const useRelay = this.consecutiveFailures >= FAILURES_BEFORE_RELAY;
+    const target = useRelay ? this.nextRelay() : this.currentTarget();
+    const service = useRelay ? RELAY_SERVICE : CONTROL_SERVICE;
+    if (useRelay) {
+      this.consecutiveFailures = 0;
     }
-    const answer = await this.parts.link.call(target, service, request, callMs);
-    if (answer.isErr()) {
-      this.failures += 1;
-      this.forget(target);
+    const result = await this.parts.link.call(
+      target,
+      service,
+      request,
+      callTimeoutMs,
+    );
+    if (result.isErr()) {
+      this.consecutiveFailures += 1;
+      this.switchTarget(target);
       return undefined;
     }
-    const reply = answer.value as ControlReply;
+    const reply = result.value as ControlReply;
     if (reply.kind === 'not-leader') {
-      this.follow(target, reply.leader);
+      this.updateLeader(target, reply.leader);
       return undefined;
     }
-    this.failures = 0;
+    this.consecutiveFailures = 0;
     return reply.kind === 'failed' ? undefined : reply;
   }
 
-  private target(): string {
+  private currentTarget(): string {
     const {controlBoxes} = this.parts;
     return (
       this.leader ??
-      controlBoxes[this.next % controlBoxes.length] ??
+      controlBoxes[this.nextBox % controlBoxes.length] ??
       this.parts.box
     );
   }
 
   private nextRelay(): string {
     const {relayBoxes} = this.parts;
-    this.next += 1;
-    return relayBoxes[this.next % relayBoxes.length] ?? this.target();
+    this.nextBox += 1;
+    return relayBoxes[this.nextBox % relayBoxes.length] ?? this.currentTarget();
   }
 
-  private forget(target: string): void {
-    this.next += 1;
+  private switchTarget(target: string): void {
+    this.nextBox += 1;
     if (this.leader === target) {
       this.leader = undefined;
     }
   }
 
-  private follow(target: string, leader: string | undefined): void {
+  private updateLeader(target: string, leader: string | undefined): void {
     if (leader === undefined || leader === target) {
-      this.forget(target);
+      this.switchTarget(target);
     } else {
       this.leader = leader;
     }
   }
 
-  /** Passes a request on for a box that cannot reach the leader. */
-  private async relay(request: ControlRequest): Promise<ControlReply> {
-    const answer = await this.parts.link.call(
-      this.target(),
+  /** Relays a request of a box that cannot reach the leader. */
+  private async relayRequest(request: ControlRequest): Promise<ControlReply> {
+    const result = await this.parts.link.call(
+      this.currentTarget(),
       CONTROL_SERVICE,
       request,
-      CONTROL_CALL_MS,
+      CONTROL_CALL_TIMEOUT_MS,
     );
-    if (answer.isErr()) {
+    if (result.isErr()) {
       return {kind: 'not-leader', leader: undefined};
     }
-    const reply = answer.value as ControlReply;
+    const reply = result.value as ControlReply;
     if (reply.kind === 'not-leader') {
-      this.follow(this.target(), reply.leader);
+      this.updateLeader(this.currentTarget(), reply.leader);
     }
     return reply;
   }
 }
 
-function unavailable(message: string): ControlFailure {
+function unavailableFailure(message: string): ControlFailure {
   return {kind: 'control-unavailable', message};
 }
--- a/packages/puffinturn-ledger/src/ControlMessages.ts
+++ b/packages/puffinturn-ledger/src/ControlMessages.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Messages to the control boxes of a region. */
+/** Messages between boxes and the control boxes of a region. */
 import type {Declaration} from 'puffinturn-settings';
 import type {Failure} from 'shared';
 
@@ -13,24 +13,24 @@
 import type {DeclareOutcome, LedgerOutcome} from './LedgerOutcomes';
 import type {LedgerRecord} from './LedgerRecords';
 
-/** The service name on the link. */
+/** Name under which control boxes register their service on the link. */
 export const CONTROL_SERVICE = 'control';
 
-/** Commits one record; an admission may wait for units to come free. */
+/** Commits one record; an admission may wait until units become available. */
 export interface SubmitRequest {
   readonly kind: 'submit';
-  /** The region that the record is meant for. */
+  /** The region that must commit the record. */
   readonly region: string;
   readonly record: LedgerRecord;
-  /** How long an admission may wait, ms. */
+  /** Maximum wait of an admission in this call, ms. */
   readonly waitMs: number;
-  /** How long it has waited in earlier calls, ms. */
+  /** Time that the admission waited in earlier calls, ms. */
   readonly waitedMs: number;
-  /** Order among waiting admissions; 0 goes first. */
+  /** Priority among waiting admissions; 0 is the highest. */
   readonly priority: number;
 }
 
-/** Changes the configuration, in the region that decides its scope. */
+/** Changes the configuration; sent to the region that decides its scope. */
 export interface DeclareRequest {
   readonly kind: 'declare';
   readonly declaration: Declaration;
@@ -38,38 +38,38 @@
   readonly operator: string;
 }
 
-/** Reads the configuration after an index, proved current. */
+/** Linearizable read of the configuration changes after a log index. */
 export interface ConfigRequest {
   readonly kind: 'config';
   readonly since: number;
 }
 
-/** Reads budgets and figures, proved current. */
+/** Linearizable read of the region's budgets and status. */
 export interface ReportRequest {
   readonly kind: 'report';
 }
 
-/** What one region tells about a budget whose home is elsewhere. */
-export interface BudgetNeed {
+/** A region's state of a budget and its request for a grant from the home region. */
+export interface GrantRequest {
   readonly budget: string;
-  /** Number of the grant that is asked for. */
+  /** Number of the requested grant. */
   readonly number: number;
   readonly available: number;
   readonly reserved: number;
-  /** Spending, units a millisecond. */
+  /** Spending rate, units per ms. */
   readonly rate: number;
-  /** Units that waiting admissions lack. */
+  /** Units that waiting admissions need beyond those available. */
   readonly lacking: number;
 }
 
-/** A part of a budget on its way home. */
+/** Units of a budget returned to its home region. */
 export interface BudgetReturn {
   readonly budget: string;
   readonly number: number;
   readonly amount: number;
 }
 
-/** A request with the caller's key that a region has billed. */
+/** A request with a caller's idempotency key that a region has billed. */
 export interface BilledRequest {
   readonly team: string;
   readonly key: string;
@@ -81,51 +81,51 @@
   readonly keepMs: number;
 }
 
-/** The home region's answer to a BilledRequest. */
-export interface BilledVerdict {
+/** The home region's reply to a BilledRequest. */
+export interface BilledRequestReply {
   readonly team: string;
   readonly key: string;
   readonly attempt: number;
-  /** True when another region bills it. */
+  /** True if another region bills the request. */
   readonly duplicate: boolean;
 }
 
-/** One round between the leaders of two regions. */
+/** Request of one exchange between the leaders of two regions. */
 export interface ExchangeRequest {
   readonly kind: 'exchange';
   readonly region: string;
-  /** Global changes in force in the asking region. */
+  /** Position of the last global change applied in the sending region. */
   readonly sequence: number;
-  readonly needs: readonly BudgetNeed[];
+  readonly needs: readonly GrantRequest[];
   readonly returns: readonly BudgetReturn[];
   readonly billed: readonly BilledRequest[];
 }
 
-/** What the home region answers about one budget. */
-export interface BudgetGrant {
+/** The home region's reply to a GrantRequest. */
+export interface GrantReply {
   readonly budget: string;
-  /** 0 when nothing is granted. */
+  /** Number of the grant; 0 if nothing is granted. */
   readonly number: number;
   readonly amount: number;
-  /** Units that may yet come, at home or from other regions. */
+  /** Units that are available or may be released in the home region. */
   readonly outlook: number;
-  /** Units that the home region would like back. */
+  /** Units that the home region asks to have returned. */
   readonly recall: number;
 }
 
-/** Answer to an ExchangeRequest. */
+/** Reply to an ExchangeRequest. */
 export interface ExchangeReply {
   readonly kind: 'exchange';
-  /** Global changes after the asked sequence, from the primary region. */
+  /** Global changes after the sender's last one; empty unless from the primary region. */
   readonly changes: readonly DeclarationEntry[];
-  readonly grants: readonly BudgetGrant[];
+  readonly grants: readonly GrantReply[];
   readonly acceptedReturns: readonly BudgetReturn[];
-  readonly verdicts: readonly BilledVerdict[];
-  /** Budgets that the home region wants to hear about in the next round. */
+  readonly verdicts: readonly BilledRequestReply[];
+  /** Budgets that the next ExchangeRequest must include. */
   readonly queries: readonly string[];
 }
 
-/** Every request to a control box. */
+/** Any request to a control box. */
 export type ControlRequest =
   | ConfigRequest
   | DeclareRequest
@@ -133,7 +133,7 @@
   | ReportRequest
   | SubmitRequest;
 
-/** A budget as `report` shows it. */
+/** State of a budget in a RegionReport. */
 export interface BudgetReport {
   readonly name: string;
   readonly team: string;
@@ -146,7 +146,7 @@
   readonly received: number;
 }
 
-/** Figures of a region. */
+/** Status of a region. */
 export interface RegionReport {
   readonly kind: 'report';
   readonly region: string;
@@ -167,22 +167,22 @@
   readonly waiting: number;
 }
 
-/** The configuration after an index. */
+/** Reply to a ConfigRequest: the changes after its log index. */
 export interface ConfigReply {
   readonly kind: 'config';
   readonly index: number;
   readonly entries: readonly DeclarationEntry[];
 }
 
-/** The answer to a change, once the other regions were asked. */
+/** Reply to a DeclareRequest, sent after waiting for the other regions. */
 export interface DeclareReply {
   readonly kind: 'declare';
   readonly outcome: DeclareOutcome;
-  /** Regions that have not confirmed yet; the change is pending there. */
+  /** Regions that have not yet confirmed the change. */
   readonly pending: readonly string[];
 }
 
-/** Every answer of a control box. */
+/** Any reply of a control box. */
 export type ControlReply =
   | ConfigReply
   | DeclareReply
@@ -192,5 +192,5 @@
   | {readonly kind: 'not-leader'; readonly leader: string | undefined}
   | {readonly kind: 'outcome'; readonly outcome: LedgerOutcome};
 
-/** No control box gave an outcome in time; it may have been committed. */
+/** No outcome was received in time; the record may still have been committed. */
 export type ControlFailure = Failure<'control-unavailable'>;
--- a/packages/puffinturn-ledger/src/ControlService.ts
+++ b/packages/puffinturn-ledger/src/ControlService.ts
@@ -6,8 +6,8 @@
  */
 
 /**
- * A control box's answers to the other boxes. Only the leader of the region
- * answers; the others name it.
+ * Handles requests to a control box. Only the leader of the region executes them;
+ * other control boxes reply with the leader's name.
  */
 import {err} from 'neverthrow';
 import type {ProposalFailure, Replica} from 'puffinturn-log';
@@ -22,7 +22,7 @@
 
 import {AdmissionQueue} from './AdmissionQueue';
 import type {BudgetState} from './BudgetAccount';
-import {available, grantedOut} from './BudgetAccount';
+import {availableUnits, grantedOut} from './BudgetAccount';
 import type {
   BudgetReport,
   ControlReply,
@@ -36,11 +36,11 @@
 import type {SplitSide} from './GrantSplit';
 import type {Ledger} from './Ledger';
 import {
-  ACCEPT_WAIT_MS,
-  CONTROL_CALL_MS,
-  EXCHANGE_EVERY_MS,
-  QUEUE_TICK_MS,
-  SWEEP_EVERY_MS,
+  CONFIRM_TIMEOUT_MS,
+  CONTROL_CALL_TIMEOUT_MS,
+  EXCHANGE_INTERVAL_MS,
+  QUEUE_POLL_INTERVAL_MS,
+  SWEEP_INTERVAL_MS,
 } from './LedgerConstants';
 import type {
   AdmitOutcome,
@@ -50,7 +50,7 @@
 import type {LedgerRecord} from './LedgerRecords';
 import {RegionExchange} from './RegionExchange';
 
-/** What a control box's service is made of. */
+/** Dependencies and settings of a ControlService. */
 export interface ControlServiceParts {
   readonly box: string;
   readonly clock: Clock;
@@ -60,37 +60,39 @@
   readonly primaryRegion: string;
   /** Control boxes of each other region. */
   readonly otherRegions: ReadonlyMap<string, readonly string[]>;
-  /** How budgets are split between regions; for comparisons. */
+  /** Replaces `computeGrantTarget` as the way to split a budget; for benchmarks. */
   readonly split?: (home: SplitSide, other: SplitSide) => number;
-  /** Refuses at once near the end of a budget; for comparisons. */
+  /** Refuses admissions instead of queueing them; for benchmarks. */
   readonly neverWait?: boolean;
 }
 
-/** See the module comment. */
+/** Service of a control box. */
 export class ControlService implements AsyncDisposable {
-  /** Rounds with the other regions. */
+  /** Exchanges with the other regions. */
   readonly exchange: RegionExchange;
   private readonly forecast: DemandForecast;
   private readonly queue: AdmissionQueue;
   private readonly tasks = new TaskGroup();
   private readonly registrations = new DisposableList();
-  private readonly hurry = new Condition();
-  private readonly leaders = new Map<string, string>();
+  private readonly exchangeRequested = new Condition();
+  private readonly leadersByRegion = new Map<string, string>();
 
   constructor(private readonly parts: ControlServiceParts) {
     const {clock, ledger, link, primaryRegion, split} = parts;
     this.forecast = new DemandForecast(clock);
     this.queue = new AdmissionQueue({
-      available: (name) => this.read(name, available),
+      availableUnits: (name) => this.readBudget(name, availableUnits),
       clock,
       isKnown: ({key, team}) => ledger.requests.get(team, key) !== undefined,
-      onWait: () => this.hurry.notify(),
-      outlook: (name) => this.read(name, (budget) => this.outlook(budget)),
+      onWait: () => this.exchangeRequested.notify(),
+      obtainableUnits: (name) =>
+        this.readBudget(name, (budget) => this.obtainableUnits(budget)),
       propose: (record) =>
         parts.replica
           .propose({...record, at: clock.wallTime()})
           .map((outcome) => outcome as AdmitOutcome),
-      reserved: (name) => this.read(name, (budget) => budget.reserved),
+      reservedUnits: (name) =>
+        this.readBudget(name, (budget) => budget.reserved),
     });
     this.exchange = new RegionExchange({
       clock,
@@ -98,7 +100,7 @@
       forecast: this.forecast,
       ledger,
       primaryRegion,
-      wanted: (budget) => this.queue.wanted(budget),
+      queuedUnits: (budget) => this.queue.queuedUnits(budget),
       ...(split === undefined ? {} : {split}),
     });
     this.registrations.add(
@@ -116,10 +118,10 @@
     }
   }
 
-  /** Answers one request. */
+  /** Handles one request. */
   async handle(request: ControlRequest): Promise<ControlReply> {
     if (!this.parts.replica.isLeader) {
-      return this.notLeader();
+      return this.notLeaderReply();
     }
     switch (request.kind) {
       case 'submit':
@@ -127,16 +129,16 @@
       case 'declare':
         return this.declare(request);
       case 'exchange': {
-        const current = await this.parts.replica.barrier();
-        return current.isErr()
-          ? this.refusal(current.error)
-          : this.exchange.answer(request);
+        const barrier = await this.parts.replica.barrier();
+        return barrier.isErr()
+          ? this.failureReply(barrier.error)
+          : this.exchange.handleRequest(request);
       }
       case 'config': {
-        const current = await this.parts.replica.barrier();
+        const barrier = await this.parts.replica.barrier();
         const {declarations} = this.parts.ledger;
-        return current.isErr()
-          ? this.refusal(current.error)
+        return barrier.isErr()
+          ? this.failureReply(barrier.error)
           : {
               entries: declarations.since(request.since),
               index: declarations.configIndex,
@@ -144,8 +146,10 @@
             };
       }
       case 'report': {
-        const current = await this.parts.replica.barrier();
-        return current.isErr() ? this.refusal(current.error) : this.report();
+        const barrier = await this.parts.replica.barrier();
+        return barrier.isErr()
+          ? this.failureReply(barrier.error)
+          : this.buildReport();
       }
     }
   }
@@ -153,7 +157,7 @@
   async [Symbol.asyncDispose](): Promise<void> {
     this.registrations[Symbol.dispose]();
     this.tasks.abort();
-    this.hurry.notify();
+    this.exchangeRequested.notify();
     this.queue.failAll(err({kind: 'stopped', message: 'the box is stopping'}));
     await this.tasks[Symbol.asyncDispose]();
   }
@@ -165,47 +169,52 @@
       return {kind: 'failed', reason: `a record for region ${region}`};
     }
     const waitMs = neverWait ? 0 : request.waitMs;
-    const answer =
+    const result =
       record.kind === 'admit'
         ? await this.queue.admit(record, {priority, waitedMs, waitMs})
         : await replica.propose(
             'at' in record ? {...record, at: clock.wallTime()} : record,
           );
-    return answer.isErr()
-      ? this.refusal(answer.error)
-      : {kind: 'outcome', outcome: answer.value as LedgerOutcome};
+    return result.isErr()
+      ? this.failureReply(result.error)
+      : {kind: 'outcome', outcome: result.value as LedgerOutcome};
   }
 
   private async declare(request: DeclareRequest): Promise<ControlReply> {
     const {clock, otherRegions, replica} = this.parts;
     const {declaration, digest, operator} = request;
-    const answer = await replica.propose({
+    const result = await replica.propose({
       at: clock.wallTime(),
       declaration,
       digest,
       kind: 'declare',
       operator,
     } satisfies LedgerRecord);
-    if (answer.isErr()) {
-      return this.refusal(answer.error);
+    if (result.isErr()) {
+      return this.failureReply(result.error);
     }
-    const outcome = answer.value as DeclareOutcome;
+    const outcome = result.value as DeclareOutcome;
     if (outcome.kind !== 'accepted' || outcome.sequence === 0) {
       return {kind: 'declare', outcome, pending: []};
     }
     const {sequence} = outcome;
-    const missing = (): string[] =>
+    const unconfirmedRegions = (): string[] =>
       [...otherRegions.keys()].filter(
-        (region) => (this.exchange.sequences.get(region) ?? 0) < sequence,
+        (region) =>
+          (this.exchange.confirmedSequences.get(region) ?? 0) < sequence,
       );
-    const end = clock.now() + ACCEPT_WAIT_MS;
-    while (missing().length > 0 && clock.now() < end && !this.tasks.ended) {
-      await clock.sleep(EXCHANGE_EVERY_MS / 4, this.tasks.signal);
+    const deadline = clock.now() + CONFIRM_TIMEOUT_MS;
+    while (
+      unconfirmedRegions().length > 0 &&
+      clock.now() < deadline &&
+      !this.tasks.ended
+    ) {
+      await clock.sleep(EXCHANGE_INTERVAL_MS / 4, this.tasks.signal);
     }
-    return {kind: 'declare', outcome, pending: missing()};
+    return {kind: 'declare', outcome, pending: unconfirmedRegions()};
   }
 
-  private report(): RegionReport {
+  private buildReport(): RegionReport {
     const {box, ledger, replica} = this.parts;
     const {commitIndex, members, term} = replica.status();
     return {
@@ -215,7 +224,7 @@
         incarnation,
       })),
       budgets: [...ledger.budgets.values()].map((budget) =>
-        this.reportBudget(budget),
+        this.buildBudgetReport(budget),
       ),
       commitIndex,
       configIndex: ledger.declarations.configIndex,
@@ -231,12 +240,12 @@
     };
   }
 
-  private reportBudget(budget: BudgetState): BudgetReport {
+  private buildBudgetReport(budget: BudgetState): BudgetReport {
     const entry = this.parts.ledger.declarations.get('budget', budget.name);
     const declared = entry?.declaration;
     const team = declared?.kind === 'budget' ? declared.spec?.team : undefined;
     return {
-      available: available(budget),
+      available: availableUnits(budget),
       granted: grantedOut(budget),
       home: budget.homeRegion,
       limit: budget.limit,
@@ -248,22 +257,27 @@
     };
   }
 
-  private read(name: string, figure: (budget: BudgetState) => number): number {
+  private readBudget(
+    name: string,
+    getUnits: (budget: BudgetState) => number,
+  ): number {
     const budget = this.parts.ledger.budgets.get(name);
-    return budget === undefined ? 0 : figure(budget);
+    return budget === undefined ? 0 : getUnits(budget);
   }
 
-  private outlook(budget: BudgetState): number {
+  private obtainableUnits(budget: BudgetState): number {
     return (
-      available(budget) + budget.reserved + this.exchange.elsewhere(budget)
+      availableUnits(budget) +
+      budget.reserved +
+      this.exchange.obtainableElsewhere(budget)
     );
   }
 
-  private notLeader(): ControlReply {
+  private notLeaderReply(): ControlReply {
     return {kind: 'not-leader', leader: this.parts.replica.leaderBox};
   }
 
-  private refusal(failure: ProposalFailure): ControlReply {
+  private failureReply(failure: ProposalFailure): ControlReply {
     return failure.kind === 'not-leader'
       ? {kind: 'not-leader', leader: failure.leader}
       : {kind: 'failed', reason: failure.message};
@@ -281,24 +295,24 @@
       return;
     }
     if (record.kind === 'settle' && outcome.kind === 'done') {
-      this.forecast.add(outcome.budget, outcome.charge);
+      this.forecast.recordSpending(outcome.budget, outcome.charge);
     }
     if (record.kind !== 'admit') {
-      this.pumpAll();
+      this.processQueues();
     }
   }
 
-  private pumpAll(): void {
+  private processQueues(): void {
     for (const budget of this.queue.budgets) {
-      void this.queue.pump(budget);
+      void this.queue.processQueue(budget);
     }
   }
 
   private async runQueue(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.parts.clock.sleep(QUEUE_TICK_MS, signal);
+      await this.parts.clock.sleep(QUEUE_POLL_INTERVAL_MS, signal);
       if (this.parts.replica.isLeader) {
-        this.pumpAll();
+        this.processQueues();
       } else if (this.queue.size > 0) {
         const leader = this.parts.replica.leaderBox;
         const message = 'the leader changed';
@@ -310,7 +324,7 @@
   private async runSweep(signal: AbortSignal): Promise<void> {
     const {clock, replica} = this.parts;
     while (!signal.aborted) {
-      await clock.sleep(SWEEP_EVERY_MS, signal);
+      await clock.sleep(SWEEP_INTERVAL_MS, signal);
       if (replica.isLeader) {
         await this.commit({at: clock.wallTime(), kind: 'sweep'});
       }
@@ -326,38 +340,44 @@
       if (replica.isLeader) {
         await this.exchangeOnce(region);
       }
-      await this.pauseExchange(signal);
+      await this.waitForNextExchange(signal);
     }
   }
 
-  /** Waits for the next round, less when an admission has begun to wait. */
-  private async pauseExchange(signal: AbortSignal): Promise<void> {
+  /** Waits for the next exchange; ends early if an admission starts to wait. */
+  private async waitForNextExchange(signal: AbortSignal): Promise<void> {
     const {clock} = this.parts;
-    await clock.sleep(EXCHANGE_EVERY_MS / 10, signal);
-    await sleepUnlessNotified(clock, this.hurry, EXCHANGE_EVERY_MS, signal);
+    await clock.sleep(EXCHANGE_INTERVAL_MS / 10, signal);
+    await sleepUnlessNotified(
+      clock,
+      this.exchangeRequested,
+      EXCHANGE_INTERVAL_MS,
+      signal,
+    );
   }
 
   private async exchangeOnce(region: string): Promise<void> {
     const {link, otherRegions} = this.parts;
     const boxes = otherRegions.get(region) ?? [];
-    const target = this.leaders.get(region) ?? boxes[0];
+    const target = this.leadersByRegion.get(region) ?? boxes[0];
     if (target === undefined) {
       return;
     }
-    const request = this.exchange.request(region);
-    const answer = await link.call(
+    const request = this.exchange.buildRequest(region);
+    const result = await link.call(
       target,
       CONTROL_SERVICE,
       request,
-      CONTROL_CALL_MS,
+      CONTROL_CALL_TIMEOUT_MS,
     );
-    const reply = answer.isOk() ? (answer.value as ControlReply) : undefined;
+    const reply = result.isOk() ? (result.value as ControlReply) : undefined;
     if (reply?.kind === 'exchange') {
-      await this.exchange.accept(region, reply);
+      await this.exchange.applyReply(region, reply);
       return;
     }
-    const named = reply?.kind === 'not-leader' ? reply.leader : undefined;
-    const next = boxes[(boxes.indexOf(target) + 1) % boxes.length];
-    this.leaders.set(region, named ?? next ?? target);
+    const reportedLeader =
+      reply?.kind === 'not-leader' ? reply.leader : undefined;
+    const nextBox = boxes[(boxes.indexOf(target) + 1) % boxes.length];
+    this.leadersByRegion.set(region, reportedLeader ?? nextBox ?? target);
   }
 }
--- a/packages/puffinturn-ledger/src/DeclarationLedger.ts
+++ b/packages/puffinturn-ledger/src/DeclarationLedger.ts
@@ -5,58 +5,60 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** What the records of declarations change: those in force, and the budgets' limits. */
+/** Applies declaration records to the declarations and to the limits of budgets. */
 import type {Declaration} from 'puffinturn-settings';
 
 import type {BudgetState} from './BudgetAccount';
-import {committed, emptyBudget} from './BudgetAccount';
+import {committedUnits, emptyBudget} from './BudgetAccount';
 import type {DeclarationTable} from './DeclarationTable';
 import type {DeclareOutcome} from './LedgerOutcomes';
 import type {DeclareRecord, ImportRecord} from './LedgerRecords';
 
-/** The state that declarations change; the ledger owns it. */
+/** State that declaration records change; owned by the ledger. */
 export interface DeclarationLedgerParts {
   readonly budgets: Map<string, BudgetState>;
   readonly declarations: DeclarationTable;
-  /** Whether this region orders the global declarations. */
-  readonly primary: boolean;
+  /** Whether this is the primary region, which decides global declarations. */
+  readonly isPrimary: boolean;
   readonly region: string;
 }
 
-/** See the module comment. */
+/** Validates and applies declaration records. */
 export class DeclarationLedger {
   constructor(private readonly parts: DeclarationLedgerParts) {}
 
-  /** Puts a declaration in force, unless something speaks against it. */
+  /** Applies a declaration if its version is newer and it is valid. */
   declare(record: DeclareRecord, index: number): DeclareOutcome {
     const {declaration, digest, operator} = record;
-    const objection =
-      this.parts.declarations.objection(declaration, digest) ??
-      this.rejection(declaration);
-    if (objection !== undefined) {
-      return objection;
+    const refusal =
+      this.parts.declarations.checkVersion(declaration, digest) ??
+      this.validate(declaration);
+    if (refusal !== undefined) {
+      return refusal;
     }
-    const global = declaration.scope === 'global';
-    const sequence = global ? this.parts.declarations.globalSequence + 1 : 0;
-    this.putInForce(declaration, digest, operator, index, sequence);
+    const isGlobal = declaration.scope === 'global';
+    const sequence = isGlobal ? this.parts.declarations.globalSequence + 1 : 0;
+    this.applyDeclaration(declaration, digest, operator, index, sequence);
     return {index, kind: 'accepted', sequence};
   }
 
-  /** Puts a declaration of the primary region in force, unless a newer one is. */
+  /** Applies a declaration of the primary region unless it was imported before. */
   import(record: ImportRecord, index: number): DeclareOutcome {
     const {declaration, digest, operator, sequence} = record;
     if (sequence > this.parts.declarations.globalSequence) {
-      this.putInForce(declaration, digest, operator, index, sequence);
+      this.applyDeclaration(declaration, digest, operator, index, sequence);
     }
     return {index, kind: 'accepted', sequence};
   }
 
-  private rejection(declaration: Declaration): DeclareOutcome | undefined {
+  private validate(declaration: Declaration): DeclareOutcome | undefined {
     const {scope} = declaration;
     if (
-      scope === 'global' ? !this.parts.primary : scope !== this.parts.region
+      scope === 'global' ? !this.parts.isPrimary : scope !== this.parts.region
     ) {
-      return rejected(`scope ${scope} is not decided in ${this.parts.region}`);
+      return rejectedOutcome(
+        `scope ${scope} is not decided in ${this.parts.region}`,
+      );
     }
     const budget = this.parts.budgets.get(declaration.name);
     if (declaration.kind !== 'budget' || budget === undefined) {
@@ -64,16 +66,18 @@
     }
     const {spec} = declaration;
     if (spec !== null && spec.home !== budget.homeRegion) {
-      return rejected(`the home of a budget stays ${budget.homeRegion}`);
+      return rejectedOutcome(`the home of a budget stays ${budget.homeRegion}`);
     }
-    if (spec !== null && budget.home && spec.limit < committed(budget)) {
-      const amount = committed(budget);
-      return rejected(`${amount} units are spent, reserved or granted already`);
+    if (spec !== null && budget.home && spec.limit < committedUnits(budget)) {
+      const committed = committedUnits(budget);
+      return rejectedOutcome(
+        `${committed} units are spent, reserved or granted already`,
+      );
     }
     return undefined;
   }
 
-  private putInForce(
+  private applyDeclaration(
     declaration: Declaration,
     digest: string,
     operator: string,
@@ -82,22 +86,25 @@
   ): void {
     this.parts.declarations.put(declaration, digest, operator, index, sequence);
     if (declaration.kind === 'budget' && declaration.spec !== null) {
-      this.openBudget(declaration.name, declaration.spec);
+      this.createOrUpdateBudget(declaration.name, declaration.spec);
     }
   }
 
-  private openBudget(name: string, spec: {home: string; limit: number}): void {
+  private createOrUpdateBudget(
+    name: string,
+    spec: {home: string; limit: number},
+  ): void {
     const budget =
       this.parts.budgets.get(name) ??
       emptyBudget(name, spec.home, spec.home === this.parts.region);
-    // The home region may have committed more since the change was checked.
+    // More units may have been committed since the change was validated.
     budget.limit = budget.home
-      ? Math.max(spec.limit, committed(budget))
+      ? Math.max(spec.limit, committedUnits(budget))
       : spec.limit;
     this.parts.budgets.set(name, budget);
   }
 }
 
-function rejected(reason: string): DeclareOutcome {
+function rejectedOutcome(reason: string): DeclareOutcome {
   return {kind: 'rejected', reason};
 }
--- a/packages/puffinturn-ledger/src/DeclarationTable.ts
+++ b/packages/puffinturn-ledger/src/DeclarationTable.ts
@@ -10,64 +10,70 @@
 
 import type {DeclarationVersion, DeclareOutcome} from './LedgerOutcomes';
 
-/** A declaration in force. */
+/** The current version of a declaration. */
 export interface DeclarationEntry {
   declaration: Declaration;
   digest: string;
   operator: string;
-  /** Log index of this region from which it is in force. */
+  /** Index in this region's log at which it took effect. */
   index: number;
-  /** Position among the global changes; 0 for one region's own. */
+  /** Position among the global changes; 0 for a change of one region. */
   sequence: number;
 }
 
-function idOf({kind, name}: {kind: DeclarationKind; name: string}): string {
+function declarationId({
+  kind,
+  name,
+}: {
+  kind: DeclarationKind;
+  name: string;
+}): string {
   return `${kind}/${name}`;
 }
 
-/** See the module comment. */
+/** Current declarations by kind and name. */
 export class DeclarationTable {
   private readonly entries = new Map<string, DeclarationEntry>();
-  private index = 0;
-  private sequence = 0;
+  private lastIndex = 0;
+  private lastSequence = 0;
 
-  /** Log index of the newest change. */
+  /** Log index of the last change. */
   get configIndex(): number {
-    return this.index;
+    return this.lastIndex;
   }
 
-  /** Position of the newest global change. */
+  /** Position of the last global change. */
   get globalSequence(): number {
-    return this.sequence;
+    return this.lastSequence;
   }
 
-  /** The entry of a kind and name. */
+  /** Returns the declaration of a kind and name. */
   get(kind: DeclarationKind, name: string): DeclarationEntry | undefined {
     return this.entries.get(`${kind}/${name}`);
   }
 
-  /** What stands against a change: undefined when nothing does. */
-  objection(
+  /** Returns undefined for a newer version, else the outcome of the change. */
+  checkVersion(
     declaration: Declaration,
     digest: string,
   ): DeclareOutcome | undefined {
-    const entry = this.entries.get(idOf(declaration));
+    const entry = this.entries.get(declarationId(declaration));
     if (entry === undefined) {
       return undefined;
     }
     const {number} = entry.declaration;
     if (declaration.number < number) {
-      return {current: versionOf(entry), kind: 'stale'};
+      return {current: toVersion(entry), kind: 'stale'};
     }
     if (declaration.number > number) {
       return undefined;
     }
     return entry.digest === digest
       ? {index: entry.index, kind: 'accepted', sequence: entry.sequence}
-      : {kind: 'conflict', winner: versionOf(entry)};
+      : {kind: 'conflict', winner: toVersion(entry)};
   }
 
-  /** Puts a change in force; `sequence` counts up for global ones. */
+  /** Applies a change; `sequence` is 0 unless the change is global. */
   put(
     declaration: Declaration,
     digest: string,
@@ -75,37 +81,37 @@
     index: number,
     sequence: number,
   ): void {
-    this.entries.set(idOf(declaration), {
+    this.entries.set(declarationId(declaration), {
       declaration,
       digest,
       index,
       operator,
       sequence,
     });
-    this.index = index;
-    this.sequence = Math.max(this.sequence, sequence);
+    this.lastIndex = index;
+    this.lastSequence = Math.max(this.lastSequence, sequence);
   }
 
-  /** Changes after a log index, oldest first. */
+  /** Returns the changes after a log index, oldest first. */
   since(index: number): DeclarationEntry[] {
     return this.all()
       .filter((entry) => entry.index > index)
       .sort((a, b) => a.index - b.index);
   }
 
-  /** Global changes after a position, oldest first. */
-  sinceSequence(sequence: number): DeclarationEntry[] {
+  /** Returns the global changes after a position, oldest first. */
+  globalChangesSince(sequence: number): DeclarationEntry[] {
     return this.all()
       .filter((entry) => entry.sequence > sequence)
       .sort((a, b) => a.sequence - b.sequence);
   }
 
-  /** Every entry, removed declarations included. */
+  /** Returns every declaration, including deleted ones. */
   all(): DeclarationEntry[] {
     return [...this.entries.values()];
   }
 
-  /** Takes over stored entries. */
+  /** Replaces all entries by those of a snapshot. */
   restore(
     entries: readonly DeclarationEntry[],
     index: number,
@@ -113,14 +119,14 @@
   ): void {
     this.entries.clear();
     for (const entry of entries) {
-      this.entries.set(idOf(entry.declaration), entry);
+      this.entries.set(declarationId(entry.declaration), entry);
     }
-    this.index = index;
-    this.sequence = sequence;
+    this.lastIndex = index;
+    this.lastSequence = sequence;
   }
 }
 
-function versionOf(entry: DeclarationEntry): DeclarationVersion {
+function toVersion(entry: DeclarationEntry): DeclarationVersion {
   const {declaration, digest, operator} = entry;
   return {digest, number: declaration.number, operator};
 }
--- a/packages/puffinturn-ledger/src/DemandForecast.ts
+++ b/packages/puffinturn-ledger/src/DemandForecast.ts
@@ -5,45 +5,49 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** How fast each budget is spent: sums that halve in a fixed time. */
+/** Estimates the spending rate of each budget. */
 import type {Clock} from 'shared';
 
 import {DEMAND_HALF_LIFE_MS} from './LedgerConstants';
 
-interface Demand {
-  sum: number;
-  at: number;
+interface DecayedTotal {
+  total: number;
+  updatedAt: number;
 }
 
-/** See the module comment. */
+/** Estimates spending rates from exponentially decaying totals. */
 export class DemandForecast {
-  private readonly demands = new Map<string, Demand>();
+  private readonly totals = new Map<string, DecayedTotal>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Counts spending. */
-  add(budget: string, amount: number): void {
+  /** Adds spent units to the total of a budget. */
+  recordSpending(budget: string, amount: number): void {
     const now = this.clock.now();
-    this.demands.set(budget, {at: now, sum: this.sum(budget, now) + amount});
+    this.totals.set(budget, {
+      total: this.decayedTotal(budget, now) + amount,
+      updatedAt: now,
+    });
   }
 
-  /** Present spending, units a millisecond. */
-  rate(budget: string): number {
-    const sum = this.sum(budget, this.clock.now());
-    return (sum * Math.LN2) / DEMAND_HALF_LIFE_MS;
+  /** Returns the current spending rate of a budget, units per ms. */
+  ratePerMs(budget: string): number {
+    const total = this.decayedTotal(budget, this.clock.now());
+    return (total * Math.LN2) / DEMAND_HALF_LIFE_MS;
   }
 
-  private sum(budget: string, now: number): number {
-    const demand = this.demands.get(budget);
-    if (demand === undefined) {
+  private decayedTotal(budget: string, now: number): number {
+    const entry = this.totals.get(budget);
+    if (entry === undefined) {
       return 0;
     }
-    const sum = demand.sum * 2 ** ((demand.at - now) / DEMAND_HALF_LIFE_MS);
-    // Less than one unit counts as rest, so that idle budgets are forgotten.
-    if (sum < 1) {
-      this.demands.delete(budget);
+    const total =
+      entry.total * 2 ** ((entry.updatedAt - now) / DEMAND_HALF_LIFE_MS);
+    // Drops totals below one unit, so that idle budgets use no memory.
+    if (total < 1) {
+      this.totals.delete(budget);
       return 0;
     }
-    return sum;
+    return total;
   }
 }
--- a/packages/puffinturn-ledger/src/GrantSplit.ts
+++ b/packages/puffinturn-ledger/src/GrantSplit.ts
@@ -5,27 +5,27 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** How a budget is split between its home region and another one. */
-import {FIRST_GRANT_SHARE, GRANT_HORIZON_MS} from './LedgerConstants';
+/** Splits a budget between its home region and another region. */
+import {DEFAULT_GRANT_SHARE, GRANT_HORIZON_MS} from './LedgerConstants';
 
-/** One side of a split. */
+/** Units and spending rate of one region. */
 export interface SplitSide {
-  /** Units that are free there. */
+  /** Units available in the region. */
   readonly available: number;
-  /** Spending, units a millisecond. */
+  /** Spending rate, units per ms. */
   readonly rate: number;
 }
 
 /**
- * Units that the other region should hold so that both run dry together. A
- * budget that outlasts the horizon at the present rates is split by fixed
- * shares instead, since its rates say little about the far future.
+ * Returns the units that the other region should hold so that both regions use
+ * up their units at the same time. A budget that lasts longer than the horizon is
+ * split mainly by fixed shares: current rates do not predict that far ahead.
  */
-export function targetFor(home: SplitSide, other: SplitSide): number {
+export function computeGrantTarget(home: SplitSide, other: SplitSide): number {
   const total = home.available + other.available;
-  const idle = total / GRANT_HORIZON_MS;
-  const homeWeight = home.rate + idle * (1 - FIRST_GRANT_SHARE);
-  const otherWeight = other.rate + idle * FIRST_GRANT_SHARE;
+  const baseRate = total / GRANT_HORIZON_MS;
+  const homeWeight = home.rate + baseRate * (1 - DEFAULT_GRANT_SHARE);
+  const otherWeight = other.rate + baseRate * DEFAULT_GRANT_SHARE;
   const weight = homeWeight + otherWeight;
   return weight === 0 ? 0 : Math.floor((total * otherWeight) / weight);
 }
--- a/packages/puffinturn-ledger/src/Ledger.ts
+++ b/packages/puffinturn-ledger/src/Ledger.ts
@@ -6,9 +6,8 @@
  */
 
 /**
- * The state that the log of a region keeps: declarations, budgets, requests, orders
- * and boxes; each kind of record is applied by the module of its job. Applying is
- * deterministic; times come in the records.
+ * Replicated state machine of a region: declarations, budgets, requests, orders and
+ * boxes. Records carry their times, so that all replicas reach the same state.
  */
 import {Decoder, Encoder} from 'cbor-x';
 import {Machine} from 'puffinturn-log';
@@ -16,7 +15,7 @@
 import type {BoxEntry, FencedEntry} from './BoxTable';
 import {BoxTable} from './BoxTable';
 import type {BudgetState} from './BudgetAccount';
-import {transfer} from './BudgetTransfers';
+import {applyTransfer} from './BudgetTransfers';
 import {DeclarationLedger} from './DeclarationLedger';
 import type {DeclarationEntry} from './DeclarationTable';
 import {DeclarationTable} from './DeclarationTable';
@@ -30,7 +29,7 @@
 const encoder = new Encoder({useRecords: false});
 const decoder = new Decoder({useRecords: false});
 
-/** Told of every record after it was applied on this replica. */
+/** Called after a record was applied on this replica. */
 export type AppliedListener = (
   record: LedgerRecord,
   outcome: LedgerOutcome,
@@ -48,17 +47,17 @@
   readonly orders: readonly OpenOrder[];
 }
 
-/** See the module comment. */
+/** State machine that applies the records of a region's log. */
 export class Ledger extends Machine {
-  /** Declarations in force. */
+  /** Current declarations. */
   readonly declarations = new DeclarationTable();
   /** Budgets by name. */
   readonly budgets = new Map<string, BudgetState>();
-  /** Requests known. */
+  /** Open and recently closed requests. */
   readonly requests = new RequestTable();
-  /** Orders to engines that are not answered, by `POOL/UPSTREAM`. */
+  /** Open orders to engines, by `POOL/UPSTREAM`. */
   readonly orders = new Map<string, OpenOrder>();
-  /** Processes known. */
+  /** Registered boxes and their incarnations. */
   readonly boxes = new BoxTable();
   private readonly listeners = new Set<AppliedListener>();
   private readonly requestLedger: RequestLedger;
@@ -67,15 +66,15 @@
   constructor(
     /** The region of this ledger. */
     readonly region: string,
-    /** Whether this region orders the global declarations. */
-    readonly primary: boolean,
-    private readonly breakage: LedgerBreakage = {},
+    /** Whether this is the primary region, which decides global declarations. */
+    readonly isPrimary: boolean,
+    private readonly injectedFaults: LedgerBreakage = {},
   ) {
     super();
     const {boxes, budgets, declarations, requests} = this;
     this.requestLedger = new RequestLedger({
       boxes,
-      breakage,
+      injectedFaults,
       budgets,
       declarations,
       requests,
@@ -83,12 +82,12 @@
     this.declarationLedger = new DeclarationLedger({
       budgets,
       declarations,
-      primary,
+      isPrimary,
       region,
     });
   }
 
-  /** Calls `listener` after every record until the result is disposed. */
+  /** Calls `listener` after every applied record until the result is disposed. */
   subscribe(listener: AppliedListener): Disposable {
     this.listeners.add(listener);
     return {[Symbol.dispose]: () => void this.listeners.delete(listener)};
@@ -145,7 +144,7 @@
       case 'settle':
         return this.requestLedger.settle(record);
       case 'void':
-        return this.requestLedger.cancel(record);
+        return this.requestLedger.voidRequest(record);
       case 'declare':
         return this.declarationLedger.declare(record, index);
       case 'import':
@@ -167,9 +166,9 @@
       case 'claim':
         return this.requestLedger.claim(record);
       case 'reported':
-        return this.requestLedger.noteReported(record);
+        return this.requestLedger.applyReported(record);
       case 'order':
-        return this.order(record, index);
+        return this.placeOrder(record, index);
       case 'order-done':
         if (this.orders.get(record.upstream)?.fence === record.fence) {
           this.orders.delete(record.upstream);
@@ -178,12 +177,12 @@
       case 'sweep':
         return this.requestLedger.sweep(record.at);
       default:
-        return transfer(this.budgets, record, this.breakage);
+        return applyTransfer(this.budgets, record, this.injectedFaults);
     }
   }
 
-  /** One order at a time for each engine; the log index is its fence. */
-  private order(record: OrderRecord, index: number): OrderOutcome {
+  /** Opens an order unless the engine has one; the log index is its fencing token. */
+  private placeOrder(record: OrderRecord, index: number): OrderOutcome {
     const {action, at, model, upstream} = record;
     const open = this.orders.get(upstream);
     if (open !== undefined) {
--- a/packages/puffinturn-ledger/src/LedgerBreakage.ts
+++ b/packages/puffinturn-ledger/src/LedgerBreakage.ts
@@ -5,16 +5,16 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Deliberate breakages; the fuzzer checks that each one is found. */
+/** Faults that tests inject into the ledger; the fuzzer must find each one. */
 export interface LedgerBreakage {
-  /** Settles again although the request is closed. */
+  /** Charges a settlement again after the request was closed. */
   readonly settleTwice?: boolean;
-  /** Forgets the keys of never-repeated requests at once. */
+  /** Deletes the key of an at-most-once request as soon as the request is closed. */
   readonly forgetTombstone?: boolean;
-  /** Takes a dispatched never-repeated request over. */
+  /** Admits a retry of an at-most-once request that was already dispatched. */
   readonly repeatMarked?: boolean;
-  /** Admits under an older configuration. */
+  /** Accepts admissions that were decided under an older configuration. */
   readonly ignoreConfigIndex?: boolean;
-  /** Adds a grant again when it arrives again. */
+  /** Adds a grant again when it is received again. */
   readonly receiveTwice?: boolean;
 }
--- a/packages/puffinturn-ledger/src/LedgerConstants.ts
+++ b/packages/puffinturn-ledger/src/LedgerConstants.ts
@@ -7,59 +7,59 @@
 
 /** Limits and periods of the ledger. */
 
-/** Wait for a retry elsewhere before an orphaned request is closed, ms. */
-export const ORPHAN_MS = 60_000;
+/** Time to wait for a retry on another box before closing an orphaned request, ms. */
+export const ORPHAN_TIMEOUT_MS = 60_000;
 
-/** Largest answer of a never-repeated request that the ledger keeps, bytes. */
+/** Largest stored response of an at-most-once request, bytes. */
 export const MAX_KEPT_ANSWER_BYTES = 64 * 1024;
 
-/** Requests whose time is up are removed this often, ms. */
-export const SWEEP_EVERY_MS = 5_000;
+/** Interval between sweeps of expired and orphaned requests, ms. */
+export const SWEEP_INTERVAL_MS = 5_000;
 
-/** Granularity of the index of expiry times, ms. */
+/** Width of a bucket in the index of expiry times, ms. */
 export const EXPIRY_BUCKET_MS = 10_000;
 
-/** Limit for one call to a control box, ms. */
-export const CONTROL_CALL_MS = 2_000;
+/** Timeout of one call to a control box, ms. */
+export const CONTROL_CALL_TIMEOUT_MS = 2_000;
 
-/** Pause before another control box is tried, ms. */
-export const CONTROL_RETRY_MS = 50;
+/** Delay before another control box is tried, ms. */
+export const CONTROL_RETRY_DELAY_MS = 50;
 
-/** How often the leaders of regions exchange grants and changes, ms. */
-export const EXCHANGE_EVERY_MS = 200;
+/** Interval between exchanges of grants and changes between region leaders, ms. */
+export const EXCHANGE_INTERVAL_MS = 200;
 
-/** Demand that a region may hold ahead, as time at its present rate, ms. */
+/** Budgets that last longer at current rates are split mainly by fixed shares, ms. */
 export const GRANT_HORIZON_MS = 2 * 3_600_000;
 
-/** Share of a budget that a region without demand is given ahead. */
-export const FIRST_GRANT_SHARE = 0.25;
+/** Fraction of a budget granted to another region when there is no demand. */
+export const DEFAULT_GRANT_SHARE = 0.25;
 
-/** Half-life of the demand forecast, ms. */
+/** Half-life of the decaying average of spending, ms. */
 export const DEMAND_HALF_LIFE_MS = 30_000;
 
-/** Time that an operator's change waits for the other regions, ms. */
-export const ACCEPT_WAIT_MS = 5_000;
+/** Time to wait for the other regions to confirm an operator's change, ms. */
+export const CONFIRM_TIMEOUT_MS = 5_000;
 
-/** How long processes that are gone are remembered, ms. */
-export const FENCED_KEEP_MS = 24 * 3_600_000;
+/** Retention time of fenced incarnations, ms. */
+export const FENCED_RETENTION_MS = 24 * 3_600_000;
 
-/** An exchange older than this says nothing about the other region, ms. */
-export const EXCHANGE_FRESH_MS = 2_000;
+/** Age above which data from an exchange with another region is ignored, ms. */
+export const EXCHANGE_MAX_AGE_MS = 2_000;
 
-/** How often waiting admissions are looked at without a cause, ms. */
-export const QUEUE_TICK_MS = 100;
+/** Interval between checks of the admission queue, ms. */
+export const QUEUE_POLL_INTERVAL_MS = 100;
 
-/** Smallest share of its target that a region is refilled by. */
-export const REFILL_SHARE = 0.2;
+/** Smallest refill, as a fraction of the region's target. */
+export const MIN_REFILL_SHARE = 0.2;
 
-/** Budgets in one round between two regions at most. */
-export const MAX_NEEDS = 1_000;
+/** Maximum number of budgets in one exchange between two regions. */
+export const MAX_BUDGETS_PER_EXCHANGE = 1_000;
 
-/** Wait for the leader's answer beyond an admission's own wait, ms. */
-export const ADMIT_GRACE_MS = 500;
+/** Time added to an admission's wait to get the timeout of its call, ms. */
+export const ADMIT_CALL_MARGIN_MS = 500;
 
-/** Longest wait of an admission within one call, ms. */
-export const WAIT_SLICE_MS = 1_500;
+/** Maximum time that an admission waits within one call, ms. */
+export const MAX_WAIT_PER_CALL_MS = 1_500;
 
-/** Billed requests in one round between two regions at most. */
-export const MAX_REPORTS = 500;
+/** Maximum number of billed requests in one exchange between two regions. */
+export const MAX_BILLED_REQUESTS_PER_EXCHANGE = 500;
--- a/packages/puffinturn-ledger/src/LedgerOutcomes.ts
+++ b/packages/puffinturn-ledger/src/LedgerOutcomes.ts
@@ -5,110 +5,111 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** What applying a record answers. */
+/** Outcomes of applying records. */
 import type {KeptAnswer, RequestState} from './LedgerRecords';
 
-/** What is known of a request. */
+/** State of a request, as returned to a retry. */
 export interface RequestView {
   readonly attempt: number;
   readonly box: string;
   readonly incarnation: string;
-  /** True when the owner's process is fenced. */
+  /** True if the owner's incarnation is fenced. */
   readonly ownerGone: boolean;
   readonly state: RequestState;
+  /** True for an at-most-once request. */
   readonly marked: boolean;
   readonly charge: number;
   readonly answer?: KeptAnswer | undefined;
 }
 
-/** Answer to an admission. */
+/** Outcome of an admission. */
 export type AdmitOutcome =
   | {
       readonly kind: 'admitted';
       readonly attempt: number;
-      /** Units that the budget has left here. */
+      /** Units of the budget that are left in this region. */
       readonly available: number;
     }
-  /** The key is known; the request is not admitted again. */
+  /** A request with this key exists; it is not admitted again. */
   | {readonly kind: 'present'; readonly request: RequestView}
-  /** The key belongs to another request. */
+  /** The key is in use by a request with other content. */
   | {readonly kind: 'key-conflict'}
   | {
       readonly kind: 'insufficient';
       readonly available: number;
-      /** Units that requests in flight hold and may give back. */
+      /** Units reserved by requests in flight, some of which may be released. */
       readonly reserved: number;
-      /** True when asking again, at once, may still succeed. */
+      /** True if a retry may still succeed. */
       readonly mayWait: boolean;
     }
   | {readonly kind: 'no-budget'}
-  /** Decided under an older configuration than the one in force. */
+  /** Admitted under an older configuration than the current one. */
   | {readonly kind: 'stale-config'; readonly configIndex: number}
-  /** The process that asks is fenced, unknown, or has given this one up. */
+  /** The incarnation is fenced or unknown, or the serial number is below its floor. */
   | {readonly kind: 'fenced'};
 
-/** Answer to dispatch, settle and void. */
+/** Outcome of dispatch, settle and void records. */
 export type AttemptOutcome =
   | {
       readonly kind: 'done';
       readonly charge: number;
       readonly budget: string;
     }
-  /** Closed before: the first outcome stands. */
+  /** The attempt was closed before; its first outcome is unchanged. */
   | {
       readonly kind: 'closed';
       readonly state: RequestState;
       readonly charge: number;
     }
-  /** Another attempt has taken over, or the request is forgotten. */
+  /** A newer attempt exists, or the request has expired. */
   | {readonly kind: 'superseded'};
 
-/** Answer to a change of configuration. */
+/** Outcome of a configuration change. */
 export type DeclareOutcome =
   | {
       readonly kind: 'accepted';
-      /** Log index from which it is in force. */
+      /** Log index at which the change takes effect. */
       readonly index: number;
-      /** Position among the global changes; 0 for one region's own. */
+      /** Position among the global changes; 0 for a change of one region. */
       readonly sequence: number;
     }
-  /** Another change has the same number. */
+  /** A different change with the same number was applied before. */
   | {readonly kind: 'conflict'; readonly winner: DeclarationVersion}
-  /** A higher number is in force. */
+  /** A change with a higher number was applied before. */
   | {readonly kind: 'stale'; readonly current: DeclarationVersion}
-  /** Breaks a rule of the ledger, such as a limit below what is spent. */
+  /** The change is invalid, such as a limit below the units already spent. */
   | {readonly kind: 'rejected'; readonly reason: string};
 
-/** Which change is in force. */
+/** Identifies the current version of a declaration. */
 export interface DeclarationVersion {
   readonly number: number;
   readonly digest: string;
   readonly operator: string;
 }
 
-/** Answer to grants, receipts and returns. */
+/** Outcome of grants, receipts and returns. */
 export interface TransferOutcome {
   readonly kind: 'transferred' | 'out-of-order';
-  /** The amount that really went over. */
+  /** Units that were transferred; may be fewer than requested. */
   readonly amount: number;
 }
 
-/** Answer to a claim of another region. */
+/** Outcome of another region's claim to a billed request. */
 export interface ClaimOutcome {
   readonly kind: 'claimed' | 'duplicate';
 }
 
-/** Answer to an order. */
+/** Outcome of an order to an engine. */
 export type OrderOutcome =
   | {
       readonly kind: 'ordered';
-      /** Grows with every order of the region. */
+      /** Fencing token; increases with every order of the region. */
       readonly fence: number;
     }
-  /** The engine has an order that is not answered. */
+  /** The engine has an open order. */
   | {readonly kind: 'busy'; readonly open: OpenOrder};
 
-/** An order that is not answered. */
+/** An order that was neither answered nor abandoned. */
 export interface OpenOrder {
   readonly upstream: string;
   readonly action: 'load' | 'unload';
@@ -117,12 +118,12 @@
   readonly at: number;
 }
 
-/** Answer to records that only note something. */
+/** Outcome of records that return no data. */
 export interface NotedOutcome {
   readonly kind: 'noted';
 }
 
-/** Every answer. */
+/** Outcome of any record. */
 export type LedgerOutcome =
   | AdmitOutcome
   | AttemptOutcome
--- a/packages/puffinturn-ledger/src/LedgerRecords.ts
+++ b/packages/puffinturn-ledger/src/LedgerRecords.ts
@@ -6,8 +6,8 @@
  */
 
 /**
- * The records that the log carries. Each is idempotent by its own id, so that
- * sending it again after a lost answer changes nothing.
+ * Records of the replicated log. Each record is idempotent by its identifier, so
+ * that a retry after a lost reply has no effect.
  */
 import type {Declaration} from 'puffinturn-settings';
 
@@ -15,34 +15,34 @@
 export const REQUEST_STATE = {
   /** May run on the box that owns it. */
   admitted: 'admitted',
-  /** Never-repeated and possibly sent to an upstream. */
+  /** At-most-once request that may have been sent to an upstream. */
   dispatched: 'dispatched',
-  /** Ran and was billed. */
+  /** Completed and billed. */
   settled: 'settled',
-  /** May or may not have run; billed in full. */
+  /** Outcome unknown; the whole reservation is billed. */
   unknown: 'unknown',
-  /** Certainly did not run; not billed. */
+  /** Did not run; not billed. */
   void: 'void',
 } as const;
 
 /** One of REQUEST_STATE. */
 export type RequestState = (typeof REQUEST_STATE)[keyof typeof REQUEST_STATE];
 
-/** An answer that is kept for retries. */
+/** A response that is stored to answer retries of the request. */
 export interface KeptAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly body: Uint8Array;
 }
 
-/** Identifies one attempt at one request. */
+/** Identifies one attempt of a request. */
 export interface AttemptId {
   readonly team: string;
   readonly key: string;
   readonly attempt: number;
 }
 
-/** A change of configuration made in this region. */
+/** Applies a configuration change that this region decides. */
 export interface DeclareRecord {
   readonly kind: 'declare';
   readonly declaration: Declaration;
@@ -51,17 +51,17 @@
   readonly at: number;
 }
 
-/** A global change that the primary region has accepted. */
+/** Applies a global change that the primary region has accepted. */
 export interface ImportRecord {
   readonly kind: 'import';
-  /** Position in the primary region's order; imported without gaps. */
+  /** Position among the global changes. */
   readonly sequence: number;
   readonly declaration: Declaration;
   readonly digest: string;
   readonly operator: string;
 }
 
-/** A process of a box has started. */
+/** Registers a new incarnation of a box. */
 export interface RegisterRecord {
   readonly kind: 'register';
   readonly box: string;
@@ -70,7 +70,7 @@
   readonly at: number;
 }
 
-/** A process of a box is held to be gone; others may take its work over. */
+/** Fences an incarnation of a box, so that other boxes may retry its requests. */
 export interface FenceRecord {
   readonly kind: 'fence';
   readonly box: string;
@@ -78,7 +78,7 @@
   readonly at: number;
 }
 
-/** A box has closed all of its admissions below `serial`. */
+/** Closes all open admissions of an incarnation with a lower serial number. */
 export interface FloorRecord {
   readonly kind: 'floor';
   readonly box: string;
@@ -87,69 +87,70 @@
   readonly at: number;
 }
 
-/** Reserves the worst-case cost, claims the key and names the owner. */
+/** Reserves the worst-case cost and assigns the idempotency key to its owner. */
 export interface AdmitRecord {
   readonly kind: 'admit';
   readonly team: string;
   readonly key: string;
-  /** True when the caller gave no key, so that no retry can come. */
+  /** True if the caller sent no idempotency key, so that retries are impossible. */
   readonly generatedKey: boolean;
-  /** Digest of what is asked, to tell a retry from another request. */
+  /** Digest of the request; tells a retry from another request with the same key. */
   readonly digest: string;
   readonly box: string;
   readonly incarnation: string;
-  /** Counts the admissions of this incarnation. */
+  /** Sequence number of the admission within its incarnation. */
   readonly serial: number;
   readonly budget: string;
   /** Worst-case cost, budget units. */
   readonly reserve: number;
+  /** True for an at-most-once request. */
   readonly marked: boolean;
-  /** The configuration that the decision was made under. */
+  /** Log index of the configuration under which the request was admitted. */
   readonly configIndex: number;
-  /** How long the record stays after it is closed, ms. */
+  /** Retention time of the request after it is closed, ms. */
   readonly keepMs: number;
   readonly at: number;
 }
 
-/** A never-repeated request is about to be sent. */
+/** Marks an at-most-once request as dispatched, before it is sent. */
 export interface DispatchRecord extends AttemptId {
   readonly kind: 'dispatch';
   readonly upstream: string;
 }
 
-/** The one settlement of a request. */
+/** Settles an attempt; only the first settlement counts. */
 export interface SettleRecord extends AttemptId {
   readonly kind: 'settle';
   readonly outcome: 'settled' | 'unknown';
-  /** Cost, budget units; never more than was reserved. */
+  /** Cost, budget units; limited to the reservation. */
   readonly charge: number;
   readonly answer?: KeptAnswer | undefined;
   readonly at: number;
 }
 
-/** The attempt has certainly not run and never will. */
+/** Closes an attempt that did not run and will not run. */
 export interface VoidRecord extends AttemptId {
   readonly kind: 'void';
   readonly at: number;
 }
 
-/** Removes what has expired and closes orphans. */
+/** Removes expired requests and closes orphaned ones. */
 export interface SweepRecord {
   readonly kind: 'sweep';
   readonly at: number;
 }
 
-/** At home: a part of a budget goes to another region. */
+/** In the home region: grants units of a budget to another region. */
 export interface GrantRecord {
   readonly kind: 'grant';
   readonly budget: string;
   readonly region: string;
-  /** Counts the grants to this region. */
+  /** Sequence number of the grant to this region. */
   readonly number: number;
   readonly amount: number;
 }
 
-/** At the receiver: a grant has arrived. */
+/** In the receiving region: adds a grant. */
 export interface ReceiveRecord {
   readonly kind: 'receive';
   readonly budget: string;
@@ -157,7 +158,7 @@
   readonly amount: number;
 }
 
-/** At the receiver: a part goes back home. */
+/** In the receiving region: returns units to the home region. */
 export interface ReturnRecord {
   readonly kind: 'return';
   readonly budget: string;
@@ -165,7 +166,7 @@
   readonly amount: number;
 }
 
-/** At home: a returned part has arrived. */
+/** In the home region: adds returned units. */
 export interface AcceptReturnRecord {
   readonly kind: 'accept-return';
   readonly budget: string;
@@ -175,8 +176,8 @@
 }
 
 /**
- * At home: another region has billed a request with the caller's key. Of two
- * regions that billed the same one, the first to claim it keeps its charge.
+ * In the home region: claims a request that another region has billed. If two
+ * regions billed the same request, only the first claim keeps its charge.
  */
 export interface ClaimRecord extends AttemptId {
   readonly kind: 'claim';
@@ -189,14 +190,14 @@
   readonly at: number;
 }
 
-/** At the region that billed a request: the home region's answer. */
+/** In the region that billed a request: stores the home region's reply to the claim. */
 export interface ReportedRecord extends AttemptId {
   readonly kind: 'reported';
-  /** True when another region bills it; the charge here is taken back. */
+  /** True if another region bills the request; the charge is refunded here. */
   readonly duplicate: boolean;
 }
 
-/** An engine is about to be ordered to do something. */
+/** Opens an order to an engine, before the order is sent. */
 export interface OrderRecord {
   readonly kind: 'order';
   /** `POOL/UPSTREAM`. */
@@ -206,14 +207,14 @@
   readonly at: number;
 }
 
-/** An order has been answered, or is given up. */
+/** Closes an order that was answered or abandoned. */
 export interface OrderDoneRecord {
   readonly kind: 'order-done';
   readonly upstream: string;
   readonly fence: number;
 }
 
-/** Every record. */
+/** Any record of the log. */
 export type LedgerRecord =
   | AcceptReturnRecord
   | AdmitRecord
--- a/packages/puffinturn-ledger/src/RegionExchange.ts
+++ b/packages/puffinturn-ledger/src/RegionExchange.ts
@@ -6,113 +6,120 @@
  */
 
 /**
- * What the leaders of two regions tell each other: global changes from the
- * primary region, and parts of budgets between their home and other regions.
- * Every transfer has a number and is logged on both sides, so that it counts
- * once however often it is sent. Nothing is taken back without the holder.
+ * Exchange between the leaders of two regions: global changes from the primary
+ * region, transfers of budget units, and requests billed outside the home region.
+ * Transfers are numbered and logged in both regions, so that each is applied once.
+ * Granted units come back only when the other region returns them.
  */
 import type {Clock} from 'shared';
 
 import type {BudgetState} from './BudgetAccount';
-import {available} from './BudgetAccount';
+import {availableUnits} from './BudgetAccount';
 import type {
   BilledRequest,
-  BilledVerdict,
-  BudgetGrant,
-  BudgetNeed,
+  BilledRequestReply,
   BudgetReturn,
   ExchangeReply,
   ExchangeRequest,
+  GrantReply,
+  GrantRequest,
 } from './ControlMessages';
 import type {DemandForecast} from './DemandForecast';
 import type {SplitSide} from './GrantSplit';
-import {targetFor} from './GrantSplit';
+import {computeGrantTarget} from './GrantSplit';
 import type {Ledger} from './Ledger';
 import {
-  EXCHANGE_FRESH_MS,
-  MAX_NEEDS,
-  MAX_REPORTS,
-  REFILL_SHARE,
+  EXCHANGE_MAX_AGE_MS,
+  MAX_BILLED_REQUESTS_PER_EXCHANGE,
+  MAX_BUDGETS_PER_EXCHANGE,
+  MIN_REFILL_SHARE,
 } from './LedgerConstants';
 import type {LedgerOutcome, TransferOutcome} from './LedgerOutcomes';
 import type {LedgerRecord} from './LedgerRecords';
 
-/** What the exchange needs of its box. */
+/** Dependencies and settings of a RegionExchange. */
 export interface RegionExchangeParts {
   readonly clock: Clock;
   readonly ledger: Ledger;
   readonly forecast: DemandForecast;
   readonly primaryRegion: string;
-  /** Units that waiting admissions of a budget ask for. */
-  readonly wanted: (budget: string) => number;
-  /** Commits a record; undefined when this box no longer leads. */
+  /** Units requested by waiting admissions of a budget. */
+  readonly queuedUnits: (budget: string) => number;
+  /** Commits a record; undefined if the commit failed. */
   readonly commit: (record: LedgerRecord) => Promise<LedgerOutcome | undefined>;
-  /** How a budget is split; the default is `targetFor`. */
+  /** Replaces `computeGrantTarget` as the way to split a budget. */
   readonly split?: (home: SplitSide, other: SplitSide) => number;
 }
 
-interface Report {
-  readonly need: BudgetNeed;
-  readonly at: number;
+interface ReceivedGrantRequest {
+  readonly request: GrantRequest;
+  readonly receivedAt: number;
 }
 
-/** See the module comment. */
+/** Both sides of the exchange with other regions. */
 export class RegionExchange {
-  /** Sequence that each other region has in force. */
-  readonly sequences = new Map<string, number>();
-  private readonly reports = new Map<string, Map<string, Report>>();
-  private readonly outlooks = new Map<string, {units: number; at: number}>();
-  private readonly askedAt = new Map<string, number>();
-  private readonly answeredAt = new Map<string, number>();
-  private readonly queried = new Set<string>();
+  /** Position of the last global change that each other region has applied. */
+  readonly confirmedSequences = new Map<string, number>();
+  private readonly grantRequests = new Map<
+    string,
+    Map<string, ReceivedGrantRequest>
+  >();
+  private readonly obtainableFromHome = new Map<
+    string,
+    {units: number; receivedAt: number}
+  >();
+  private readonly lastRequestAt = new Map<string, number>();
+  private readonly lastReplyAt = new Map<string, number>();
+  private readonly queriedBudgets = new Set<string>();
   private readonly acceptedReturns = new Map<string, number>();
-  private readonly lastRates = new Map<string, number>();
+  private readonly lastSentRates = new Map<string, number>();
 
   constructor(private readonly parts: RegionExchangeParts) {}
 
   /**
-   * Units of a budget that may yet come from elsewhere. Unknown counts as
-   * plenty while the other region answers, and as none while it does not.
+   * Returns the units of a budget that may be obtained from other regions. Outside
+   * the home region an unknown amount is Infinity while the home region replies,
+   * and 0 while it does not.
    */
-  elsewhere(budget: BudgetState): number {
+  obtainableElsewhere(budget: BudgetState): number {
     if (budget.home) {
-      return this.heldByOthers(budget);
+      return this.unitsHeldElsewhere(budget);
     }
-    if (!this.isFresh(this.answeredAt.get(budget.homeRegion))) {
+    if (!this.isFresh(this.lastReplyAt.get(budget.homeRegion))) {
       return 0;
     }
-    const outlook = this.outlooks.get(budget.name);
-    return outlook !== undefined && this.isFresh(outlook.at)
-      ? outlook.units
+    const obtainable = this.obtainableFromHome.get(budget.name);
+    return obtainable !== undefined && this.isFresh(obtainable.receivedAt)
+      ? obtainable.units
       : Infinity;
   }
 
-  // The asking side
+  // Sending side
 
-  /** What this region's leader sends to another region's. */
-  request(region: string): ExchangeRequest {
+  /** Builds the request to the leader of another region. */
+  buildRequest(region: string): ExchangeRequest {
     const {ledger} = this.parts;
-    const needs: BudgetNeed[] = [];
+    const needs: GrantRequest[] = [];
     const returns: BudgetReturn[] = [];
     for (const budget of ledger.budgets.values()) {
       if (budget.home || budget.homeRegion !== region) {
         continue;
       }
-      const need = this.needOf(budget);
-      if (need !== undefined) {
-        needs.push(need);
+      const grantRequest = this.buildGrantRequest(budget);
+      if (grantRequest !== undefined) {
+        needs.push(grantRequest);
       }
       const pending = this.pendingReturn(budget);
       if (pending !== undefined) {
         returns.push(pending);
       }
     }
-    this.queried.clear();
+    this.queriedBudgets.clear();
     needs.sort((a, b) => b.lacking - a.lacking);
-    needs.length = Math.min(needs.length, MAX_NEEDS);
+    needs.length = Math.min(needs.length, MAX_BUDGETS_PER_EXCHANGE);
     const sequence = ledger.declarations.globalSequence;
     return {
-      billed: this.billedFor(region),
+      billed: this.unreportedRequests(region),
       kind: 'exchange',
       needs,
       region: ledger.region,
@@ -121,10 +128,10 @@
     };
   }
 
-  /** Commits what the other region answered. */
-  async accept(region: string, reply: ExchangeReply): Promise<void> {
+  /** Commits the contents of another region's reply. */
+  async applyReply(region: string, reply: ExchangeReply): Promise<void> {
     const now = this.parts.clock.now();
-    this.answeredAt.set(region, now);
+    this.lastReplyAt.set(region, now);
     for (const entry of reply.changes) {
       const {declaration, digest, operator, sequence} = entry;
       await this.parts.commit({
@@ -139,8 +146,11 @@
       this.acceptedReturns.set(budget, number);
     }
     for (const grant of reply.grants) {
-      this.outlooks.set(grant.budget, {at: now, units: grant.outlook});
-      await this.acceptGrant(grant);
+      this.obtainableFromHome.set(grant.budget, {
+        receivedAt: now,
+        units: grant.outlook,
+      });
+      await this.applyGrant(grant);
     }
     await Promise.all(
       reply.verdicts.map((verdict) =>
@@ -148,17 +158,17 @@
       ),
     );
     for (const budget of reply.queries) {
-      this.queried.add(budget);
+      this.queriedBudgets.add(budget);
     }
   }
 
-  // The answering side
+  // Receiving side
 
-  /** Answers the leader of another region. */
-  async answer(request: ExchangeRequest): Promise<ExchangeReply> {
+  /** Handles the request of another region's leader. */
+  async handleRequest(request: ExchangeRequest): Promise<ExchangeReply> {
     const {ledger, primaryRegion} = this.parts;
-    this.sequences.set(request.region, request.sequence);
-    this.askedAt.set(request.region, this.parts.clock.now());
+    this.confirmedSequences.set(request.region, request.sequence);
+    this.lastRequestAt.set(request.region, this.parts.clock.now());
     const acceptedReturns: BudgetReturn[] = [];
     for (const item of request.returns) {
       await this.parts.commit({
@@ -171,16 +181,18 @@
         acceptedReturns.push(item);
       }
     }
-    const answers = await Promise.all(
-      request.needs.map((need) => this.answerNeed(request.region, need)),
+    const replies = await Promise.all(
+      request.needs.map((need) =>
+        this.handleGrantRequest(request.region, need),
+      ),
     );
-    const grants = answers.filter((grant) => grant !== undefined);
+    const grants = replies.filter((grant) => grant !== undefined);
     const changes =
       ledger.region === primaryRegion
-        ? ledger.declarations.sinceSequence(request.sequence)
+        ? ledger.declarations.globalChangesSince(request.sequence)
         : [];
-    const queries = this.queriesFor(request.region);
-    const verdicts = await this.judge(request);
+    const queries = this.budgetsToQuery(request.region);
+    const verdicts = await this.claimBilledRequests(request);
     return {
       acceptedReturns,
       changes,
@@ -191,11 +203,11 @@
     };
   }
 
-  private billedFor(region: string): BilledRequest[] {
+  private unreportedRequests(region: string): BilledRequest[] {
     const {ledger} = this.parts;
     const billed: BilledRequest[] = [];
     for (const entry of ledger.requests.unreported) {
-      if (billed.length >= MAX_REPORTS) {
+      if (billed.length >= MAX_BILLED_REQUESTS_PER_EXCHANGE) {
         break;
       }
       if (ledger.budgets.get(entry.budget)?.homeRegion === region) {
@@ -216,10 +228,12 @@
     return billed;
   }
 
-  /** Decides for each reported request whether it was billed before. */
-  private async judge(request: ExchangeRequest): Promise<BilledVerdict[]> {
+  /** Claims each reported request; replies whether another region bills it. */
+  private async claimBilledRequests(
+    request: ExchangeRequest,
+  ): Promise<BilledRequestReply[]> {
     const at = this.parts.clock.wallTime();
-    const verdicts = request.billed.map(async (billed) => {
+    const replies = request.billed.map(async (billed) => {
       const {attempt, key, team} = billed;
       const outcome = await this.parts.commit({
         ...billed,
@@ -230,23 +244,28 @@
       const duplicate = outcome?.kind === 'duplicate';
       return outcome && {attempt, duplicate, key, team};
     });
-    const known = await Promise.all(verdicts);
-    return known.filter((verdict) => verdict !== undefined);
+    const committedReplies = await Promise.all(replies);
+    return committedReplies.filter((verdict) => verdict !== undefined);
   }
 
-  private needOf(budget: BudgetState): BudgetNeed | undefined {
-    const {forecast, wanted} = this.parts;
-    const free = available(budget);
-    const rate = forecast.rate(budget.name);
-    const lacking = Math.max(0, wanted(budget.name) - free);
-    const changed = rate !== (this.lastRates.get(budget.name) ?? 0);
-    const first = budget.receipts === 0;
-    if (!changed && !first && lacking === 0 && !this.queried.has(budget.name)) {
+  private buildGrantRequest(budget: BudgetState): GrantRequest | undefined {
+    const {forecast, queuedUnits} = this.parts;
+    const available = availableUnits(budget);
+    const rate = forecast.ratePerMs(budget.name);
+    const lacking = Math.max(0, queuedUnits(budget.name) - available);
+    const rateChanged = rate !== (this.lastSentRates.get(budget.name) ?? 0);
+    const isFirstRequest = budget.receipts === 0;
+    if (
+      !rateChanged &&
+      !isFirstRequest &&
+      lacking === 0 &&
+      !this.queriedBudgets.has(budget.name)
+    ) {
       return undefined;
     }
-    this.lastRates.set(budget.name, rate);
+    this.lastSentRates.set(budget.name, rate);
     return {
-      available: free,
+      available,
       budget: budget.name,
       lacking,
       number: budget.receipts + 1,
@@ -266,7 +285,7 @@
       : undefined;
   }
 
-  private async acceptGrant(grant: BudgetGrant): Promise<void> {
+  private async applyGrant(grant: GrantReply): Promise<void> {
     const {budget, number, amount, recall} = grant;
     if (number > 0) {
       await this.parts.commit({amount, budget, kind: 'receive', number});
@@ -283,95 +302,109 @@
     }
   }
 
-  private async answerNeed(
+  private async handleGrantRequest(
     region: string,
-    need: BudgetNeed,
-  ): Promise<BudgetGrant | undefined> {
-    const budget = this.parts.ledger.budgets.get(need.budget);
+    request: GrantRequest,
+  ): Promise<GrantReply | undefined> {
+    const budget = this.parts.ledger.budgets.get(request.budget);
     if (budget === undefined || !budget.home) {
       return undefined;
     }
-    this.note(region, need);
+    this.recordGrantRequest(region, request);
     const tally = budget.regions[region];
-    const repeated = tally !== undefined && need.number <= tally.grants;
-    const amount = repeated ? tally.lastGrant : this.amountFor(budget, need);
-    const granted =
-      amount > 0 || repeated
+    const isRepeated = tally !== undefined && request.number <= tally.grants;
+    const amount = isRepeated
+      ? tally.lastGrant
+      : this.computeGrantAmount(budget, request);
+    const outcome =
+      amount > 0 || isRepeated
         ? await this.parts.commit({
             amount,
             budget: budget.name,
             kind: 'grant',
-            number: need.number,
+            number: request.number,
             region,
           })
         : undefined;
-    const transfer = granted as TransferOutcome | undefined;
-    const done = transfer?.kind === 'transferred';
+    const transfer = outcome as TransferOutcome | undefined;
+    const isTransferred = transfer?.kind === 'transferred';
     return {
-      amount: done ? transfer.amount : 0,
+      amount: isTransferred ? transfer.amount : 0,
       budget: budget.name,
-      number: done ? need.number : 0,
-      outlook: available(budget) + budget.reserved,
-      recall: this.recallFrom(budget, need),
+      number: isTransferred ? request.number : 0,
+      outlook: availableUnits(budget) + budget.reserved,
+      recall: this.computeRecallAmount(budget, request),
     };
   }
 
-  private target(budget: BudgetState, need: BudgetNeed): number {
-    const split = this.parts.split ?? targetFor;
-    const rate = this.parts.forecast.rate(budget.name);
-    return split({available: available(budget), rate}, need);
+  private computeTarget(budget: BudgetState, request: GrantRequest): number {
+    const split = this.parts.split ?? computeGrantTarget;
+    const rate = this.parts.forecast.ratePerMs(budget.name);
+    return split({available: availableUnits(budget), rate}, request);
   }
 
-  private amountFor(budget: BudgetState, need: BudgetNeed): number {
-    const target = this.target(budget, need);
-    const refill = target - need.available;
-    const worthwhile = refill >= Math.max(1, target * REFILL_SHARE);
-    const amount = Math.max(worthwhile ? refill : 0, need.lacking);
-    return Math.min(amount, available(budget));
+  private computeGrantAmount(
+    budget: BudgetState,
+    request: GrantRequest,
+  ): number {
+    const target = this.computeTarget(budget, request);
+    const refill = target - request.available;
+    const isWorthwhile = refill >= Math.max(1, target * MIN_REFILL_SHARE);
+    const amount = Math.max(isWorthwhile ? refill : 0, request.lacking);
+    return Math.min(amount, availableUnits(budget));
   }
 
-  private recallFrom(budget: BudgetState, need: BudgetNeed): number {
-    const free = available(budget);
-    const lacking = this.parts.wanted(budget.name) - free;
+  private computeRecallAmount(
+    budget: BudgetState,
+    request: GrantRequest,
+  ): number {
+    const available = availableUnits(budget);
+    const lacking = this.parts.queuedUnits(budget.name) - available;
     if (lacking <= 0) {
       return 0;
     }
-    const target = this.target(budget, need);
-    const surplus = need.available - Math.max(target, need.lacking);
-    const idle = need.rate === 0 ? need.available - need.lacking : surplus;
-    return Math.max(0, Math.min(idle, Math.max(surplus, lacking)));
+    const target = this.computeTarget(budget, request);
+    const surplus = request.available - Math.max(target, request.lacking);
+    const returnable =
+      request.rate === 0 ? request.available - request.lacking : surplus;
+    return Math.max(0, Math.min(returnable, Math.max(surplus, lacking)));
   }
 
-  private queriesFor(region: string): string[] {
-    const {ledger, wanted} = this.parts;
+  private budgetsToQuery(region: string): string[] {
+    const {ledger, queuedUnits} = this.parts;
     const queries: string[] = [];
     for (const budget of ledger.budgets.values()) {
-      const held = budget.regions[region];
-      const holds = held !== undefined && held.granted > held.returned;
-      if (budget.home && holds && wanted(budget.name) > available(budget)) {
+      const tally = budget.regions[region];
+      const holdsUnits = tally !== undefined && tally.granted > tally.returned;
+      if (
+        budget.home &&
+        holdsUnits &&
+        queuedUnits(budget.name) > availableUnits(budget)
+      ) {
         queries.push(budget.name);
       }
     }
     return queries;
   }
 
-  private note(region: string, need: BudgetNeed): void {
-    const reports = this.reports.get(region) ?? new Map<string, Report>();
-    this.reports.set(region, reports);
-    reports.set(need.budget, {at: this.parts.clock.now(), need});
+  private recordGrantRequest(region: string, request: GrantRequest): void {
+    const requests =
+      this.grantRequests.get(region) ?? new Map<string, ReceivedGrantRequest>();
+    this.grantRequests.set(region, requests);
+    requests.set(request.budget, {receivedAt: this.parts.clock.now(), request});
   }
 
-  /** Units that other regions, as far as they answer, may still send back. */
-  private heldByOthers(budget: BudgetState): number {
+  /** Returns the units that recently connected regions hold and may return. */
+  private unitsHeldElsewhere(budget: BudgetState): number {
     let held = 0;
     for (const [region, tally] of Object.entries(budget.regions)) {
-      if (!this.isFresh(this.askedAt.get(region))) {
+      if (!this.isFresh(this.lastRequestAt.get(region))) {
         continue;
       }
-      const report = this.reports.get(region)?.get(budget.name);
+      const received = this.grantRequests.get(region)?.get(budget.name);
       held +=
-        report !== undefined && this.isFresh(report.at)
-          ? report.need.available + report.need.reserved
+        received !== undefined && this.isFresh(received.receivedAt)
+          ? received.request.available + received.request.reserved
           : tally.granted - tally.returned;
     }
     return held;
@@ -379,6 +412,6 @@
 
   private isFresh(at: number | undefined): boolean {
     const now = this.parts.clock.now();
-    return at !== undefined && now - at <= EXCHANGE_FRESH_MS;
+    return at !== undefined && now - at <= EXCHANGE_MAX_AGE_MS;
   }
 }
--- a/packages/puffinturn-ledger/src/RequestLedger.ts
+++ b/packages/puffinturn-ledger/src/RequestLedger.ts
@@ -6,17 +6,22 @@
  */
 
 /**
- * What the records of requests change: their entries, and the budgets that pay for
- * them. Applying is deterministic; times come in the records.
+ * Applies request records to the requests and to the budgets that pay for them.
+ * Records carry their times, so that all replicas reach the same state.
  */
 import {invariant} from 'shared';
 
 import type {BoxTable} from './BoxTable';
 import type {BudgetState} from './BudgetAccount';
-import {available, release, reserve, settle} from './BudgetAccount';
+import {
+  availableUnits,
+  releaseReservation,
+  settleReservation,
+  tryReserve,
+} from './BudgetAccount';
 import type {DeclarationTable} from './DeclarationTable';
 import type {LedgerBreakage} from './LedgerBreakage';
-import {FENCED_KEEP_MS, ORPHAN_MS} from './LedgerConstants';
+import {FENCED_RETENTION_MS, ORPHAN_TIMEOUT_MS} from './LedgerConstants';
 import type {
   AdmitOutcome,
   AttemptOutcome,
@@ -39,25 +44,25 @@
 import type {RequestEntry, RequestTable} from './RequestTable';
 import {isOpen} from './RequestTable';
 
-/** The state that requests rest on; the ledger owns it. */
+/** State that request records read or change; owned by the ledger. */
 export interface RequestLedgerParts {
   readonly boxes: BoxTable;
-  readonly breakage: LedgerBreakage;
+  readonly injectedFaults: LedgerBreakage;
   readonly budgets: ReadonlyMap<string, BudgetState>;
   readonly declarations: DeclarationTable;
   readonly requests: RequestTable;
 }
 
-/** See the module comment. */
+/** Applies request records. */
 export class RequestLedger {
   constructor(private readonly parts: RequestLedgerParts) {}
 
-  /** Reserves the most that a request can cost, and claims its key. */
+  /** Reserves the worst-case cost of a request and assigns its key to the owner. */
   admit(record: AdmitRecord): AdmitOutcome {
     const {configIndex} = this.parts.declarations;
     if (
       record.configIndex < configIndex &&
-      this.parts.breakage.ignoreConfigIndex !== true
+      this.parts.injectedFaults.ignoreConfigIndex !== true
     ) {
       return {configIndex, kind: 'stale-config'};
     }
@@ -65,75 +70,81 @@
     if (box === undefined || record.serial < box.floor) {
       return {kind: 'fenced'};
     }
-    const known = this.parts.requests.get(record.team, record.key);
-    const answer = known && this.answerKnown(known, record);
-    return answer ?? this.admitNew(record, known);
+    const existing = this.parts.requests.get(record.team, record.key);
+    const outcome = existing && this.outcomeForKnownKey(existing, record);
+    return outcome ?? this.admitNew(record, existing);
   }
 
-  /** The answer for a known key, or undefined when it may be admitted anew. */
-  private answerKnown(
-    known: RequestEntry,
+  /** Returns the outcome for an existing key; undefined if a new attempt may start. */
+  private outcomeForKnownKey(
+    existing: RequestEntry,
     record: AdmitRecord,
   ): AdmitOutcome | undefined {
-    if (known.digest !== record.digest) {
+    if (existing.digest !== record.digest) {
       return {kind: 'key-conflict'};
     }
-    const sameOwner =
-      known.box === record.box && known.incarnation === record.incarnation;
-    if (sameOwner && known.serial === record.serial && isOpen(known)) {
-      return this.admitted(known.attempt, known.budget);
+    const isSameOwner =
+      existing.box === record.box &&
+      existing.incarnation === record.incarnation;
+    if (isSameOwner && existing.serial === record.serial && isOpen(existing)) {
+      return this.admittedOutcome(existing.attempt, existing.budget);
     }
-    if (known.state === REQUEST_STATE.void) {
+    if (existing.state === REQUEST_STATE.void) {
       return undefined;
     }
-    const ownerGone = this.parts.boxes.isGone(known.box, known.incarnation);
-    const unsent =
-      known.state === REQUEST_STATE.admitted ||
-      (this.parts.breakage.repeatMarked === true && isOpen(known));
-    return ownerGone && unsent
+    const ownerGone = this.parts.boxes.isFenced(
+      existing.box,
+      existing.incarnation,
+    );
+    const isUnsent =
+      existing.state === REQUEST_STATE.admitted ||
+      (this.parts.injectedFaults.repeatMarked === true && isOpen(existing));
+    return ownerGone && isUnsent
       ? undefined
-      : {kind: 'present', request: this.view(known)};
+      : {kind: 'present', request: this.toView(existing)};
   }
 
   private admitNew(
     record: AdmitRecord,
-    known: RequestEntry | undefined,
+    existing: RequestEntry | undefined,
   ): AdmitOutcome {
     const budget = this.parts.budgets.get(record.budget);
     const declared = this.parts.declarations.get('budget', record.budget);
     if (budget === undefined || !declared?.declaration.spec) {
       return {kind: 'no-budget'};
     }
-    const held = known !== undefined && isOpen(known) ? known : undefined;
-    const heldIn = held && this.parts.budgets.get(held.budget);
-    if (held !== undefined && heldIn !== undefined) {
-      release(heldIn, held.reserve);
+    const openRequest =
+      existing !== undefined && isOpen(existing) ? existing : undefined;
+    const previousBudget =
+      openRequest && this.parts.budgets.get(openRequest.budget);
+    if (openRequest !== undefined && previousBudget !== undefined) {
+      releaseReservation(previousBudget, openRequest.reserve);
     }
-    if (!reserve(budget, record.reserve)) {
-      if (held !== undefined && heldIn !== undefined) {
-        heldIn.reserved += held.reserve;
+    if (!tryReserve(budget, record.reserve)) {
+      if (openRequest !== undefined && previousBudget !== undefined) {
+        previousBudget.reserved += openRequest.reserve;
       }
       return {
-        available: available(budget),
+        available: availableUnits(budget),
         kind: 'insufficient',
         mayWait: false,
         reserved: budget.reserved,
       };
     }
-    const attempt = (known?.attempt ?? 0) + 1;
-    this.parts.requests.put(entryOf(record, attempt, known?.claimedBy));
-    return this.admitted(attempt, record.budget);
+    const attempt = (existing?.attempt ?? 0) + 1;
+    this.parts.requests.put(createEntry(record, attempt, existing?.claimedBy));
+    return this.admittedOutcome(attempt, record.budget);
   }
 
-  private admitted(attempt: number, name: string): AdmitOutcome {
+  private admittedOutcome(attempt: number, name: string): AdmitOutcome {
     const budget = this.parts.budgets.get(name);
-    const free = budget === undefined ? 0 : available(budget);
-    return {attempt, available: free, kind: 'admitted'};
+    const available = budget === undefined ? 0 : availableUnits(budget);
+    return {attempt, available, kind: 'admitted'};
   }
 
-  private view(entry: RequestEntry): RequestView {
+  private toView(entry: RequestEntry): RequestView {
     const {answer, attempt, box, charge, incarnation, marked, state} = entry;
-    const ownerGone = this.parts.boxes.isGone(box, incarnation);
+    const ownerGone = this.parts.boxes.isFenced(box, incarnation);
     return {
       answer,
       attempt,
@@ -146,8 +157,8 @@
     };
   }
 
-  /** The request of an attempt if that attempt is open, else its outcome. */
-  private openAttempt(
+  /** Returns the request if the attempt is open, else the outcome of the record. */
+  private findOpenAttempt(
     id: AttemptId,
   ): {entry: RequestEntry} | {outcome: AttemptOutcome} {
     const entry = this.parts.requests.get(id.team, id.key);
@@ -161,9 +172,9 @@
     return {entry};
   }
 
-  /** Notes that a request is about to be sent. */
+  /** Marks a request as dispatched, before it is sent. */
   dispatch(record: DispatchRecord): AttemptOutcome {
-    const found = this.openAttempt(record);
+    const found = this.findOpenAttempt(record);
     if ('outcome' in found) {
       return found.outcome;
     }
@@ -171,51 +182,59 @@
     return {budget: found.entry.budget, charge: 0, kind: 'done'};
   }
 
-  /** Bills a request and releases the rest of its reserve. */
+  /** Bills a request and releases the rest of its reservation. */
   settle(record: SettleRecord): AttemptOutcome {
-    const found = this.openAttempt(record);
+    const found = this.findOpenAttempt(record);
     if ('outcome' in found) {
-      this.settleAgainIfBroken(record);
+      this.chargeAgainIfFaultInjected(record);
       return found.outcome;
     }
     const {entry} = found;
     entry.answer = entry.marked ? record.answer : undefined;
-    this.close(entry, record.outcome, record.charge, record.at);
+    this.closeRequest(entry, record.outcome, record.charge, record.at);
     const {charge} = entry;
     return {budget: entry.budget, charge, kind: 'done'};
   }
 
-  private settleAgainIfBroken(record: SettleRecord): void {
+  private chargeAgainIfFaultInjected(record: SettleRecord): void {
     const entry = this.parts.requests.get(record.team, record.key);
     const budget = entry && this.parts.budgets.get(entry.budget);
-    if (this.parts.breakage.settleTwice === true && budget !== undefined) {
-      budget.settled += Math.min(record.charge, available(budget));
+    if (
+      this.parts.injectedFaults.settleTwice === true &&
+      budget !== undefined
+    ) {
+      budget.settled += Math.min(record.charge, availableUnits(budget));
     }
   }
 
-  /** Closes a request that has not run. */
-  cancel(record: VoidRecord): AttemptOutcome {
-    const found = this.openAttempt(record);
+  /** Closes a request that did not run, without a charge. */
+  voidRequest(record: VoidRecord): AttemptOutcome {
+    const found = this.findOpenAttempt(record);
     if ('outcome' in found) {
       return found.outcome;
     }
-    this.close(found.entry, REQUEST_STATE.void, 0, record.at);
+    this.closeRequest(found.entry, REQUEST_STATE.void, 0, record.at);
     return {budget: found.entry.budget, charge: 0, kind: 'done'};
   }
 
-  /** Closes an open request; one that another region bills costs nothing. */
-  private close(
+  /** Closes an open request; charges nothing if another region bills it. */
+  private closeRequest(
     entry: RequestEntry,
     state: RequestState,
     cost: number,
     at: number,
   ): void {
-    const billedHere = entry.claimedBy === undefined;
-    const charge = billedHere ? Math.max(0, Math.min(cost, entry.reserve)) : 0;
+    const isBilledHere = entry.claimedBy === undefined;
+    const charge = isBilledHere
+      ? Math.max(0, Math.min(cost, entry.reserve))
+      : 0;
     const budget = this.parts.budgets.get(entry.budget);
-    invariant(budget !== undefined, 'an open request without a budget');
-    settle(budget, entry.reserve, charge);
-    if (this.parts.breakage.forgetTombstone === true && entry.marked) {
+    invariant(
+      budget !== undefined,
+      `open request has an unknown budget ${entry.budget}`,
+    );
+    settleReservation(budget, entry.reserve, charge);
+    if (this.parts.injectedFaults.forgetTombstone === true && entry.marked) {
       entry.generatedKey = true;
     }
     this.parts.requests.close(entry, state, charge, at);
@@ -225,26 +244,26 @@
     }
   }
 
-  /** Notes that another region has billed a key, unless this one has. */
+  /** Lets another region bill a key, unless this or a third region bills it. */
   claim(record: ClaimRecord): ClaimOutcome {
     const {region, team} = record;
-    const known = this.parts.requests.get(team, record.key);
-    if (known === undefined || known.state === REQUEST_STATE.void) {
-      this.parts.requests.put(claimedEntry(record));
+    const existing = this.parts.requests.get(team, record.key);
+    if (existing === undefined || existing.state === REQUEST_STATE.void) {
+      this.parts.requests.put(createClaimedEntry(record));
       return {kind: 'claimed'};
     }
-    if (known.claimedBy === region || known.digest !== record.digest) {
+    if (existing.claimedBy === region || existing.digest !== record.digest) {
       return {kind: 'claimed'};
     }
-    if (known.claimedBy === undefined && isOpen(known)) {
-      known.claimedBy = region;
+    if (existing.claimedBy === undefined && isOpen(existing)) {
+      existing.claimedBy = region;
       return {kind: 'claimed'};
     }
     return {kind: 'duplicate'};
   }
 
-  /** Takes in what the home region said of a charge. */
-  noteReported(record: ReportedRecord): LedgerOutcome {
+  /** Marks a charge as reported; refunds it if the home region found a duplicate. */
+  applyReported(record: ReportedRecord): LedgerOutcome {
     const entry = this.parts.requests.get(record.team, record.key);
     if (entry?.unreported !== true || entry.attempt !== record.attempt) {
       return {kind: 'noted'};
@@ -259,8 +278,8 @@
   }
 
   /**
-   * Releases what a process has given up. A fenced process may still say so,
-   * if it goes on under another incarnation; what it gave up has not run.
+   * Voids the open requests below the floor, which have not run. Also accepted
+   * from a fenced incarnation, whose process may continue under a new one.
    */
   raiseFloor(record: FloorRecord): LedgerOutcome {
     const {at, incarnation, serial} = record;
@@ -270,41 +289,41 @@
     }
     for (const entry of this.parts.requests.openOf(record.box, incarnation)) {
       if (entry.serial < serial) {
-        this.close(entry, REQUEST_STATE.void, 0, at);
+        this.closeRequest(entry, REQUEST_STATE.void, 0, at);
       }
     }
     return {kind: 'noted'};
   }
 
-  /** Closes what nobody will, and forgets what is long over. */
+  /** Closes orphaned requests and deletes expired requests and fenced incarnations. */
   sweep(at: number): LedgerOutcome {
-    this.parts.requests.expire(at);
-    for (const {box, incarnation} of this.parts.boxes.goneBefore(
-      at - ORPHAN_MS,
+    this.parts.requests.deleteExpired(at);
+    for (const {box, incarnation} of this.parts.boxes.fencedBefore(
+      at - ORPHAN_TIMEOUT_MS,
     )) {
       for (const entry of this.parts.requests.openOf(box, incarnation)) {
         this.closeOrphan(entry, at);
       }
     }
-    this.parts.boxes.forgetBefore(at - FENCED_KEEP_MS);
+    this.parts.boxes.deleteFencedBefore(at - FENCED_RETENTION_MS);
     return {kind: 'noted'};
   }
 
   /**
-   * A never-repeated request that was not dispatched has certainly not run.
-   * Any other orphan may have run, so its whole reserve is charged.
+   * Closes an orphaned request. An at-most-once request that was not dispatched
+   * has not run; any other may have run, so its whole reservation is charged.
    */
   private closeOrphan(entry: RequestEntry, at: number): void {
-    const unsent = entry.marked && entry.state === REQUEST_STATE.admitted;
-    if (unsent) {
-      this.close(entry, REQUEST_STATE.void, 0, at);
+    const isUnsent = entry.marked && entry.state === REQUEST_STATE.admitted;
+    if (isUnsent) {
+      this.closeRequest(entry, REQUEST_STATE.void, 0, at);
     } else {
-      this.close(entry, REQUEST_STATE.unknown, entry.reserve, at);
+      this.closeRequest(entry, REQUEST_STATE.unknown, entry.reserve, at);
     }
   }
 }
 
-function entryOf(
+function createEntry(
   record: AdmitRecord,
   attempt: number,
   claimedBy: string | undefined,
@@ -329,7 +348,7 @@
   };
 }
 
-function claimedEntry(record: ClaimRecord): RequestEntry {
+function createClaimedEntry(record: ClaimRecord): RequestEntry {
   const {at, attempt, box, budget, digest, incarnation} = record;
   const {keepMs, key, region, team} = record;
   return {
--- a/packages/puffinturn-ledger/src/RequestTable.ts
+++ b/packages/puffinturn-ledger/src/RequestTable.ts
@@ -10,7 +10,7 @@
 import type {KeptAnswer, RequestState} from './LedgerRecords';
 import {REQUEST_STATE} from './LedgerRecords';
 
-/** What is stored of a request. */
+/** Stored state of a request. */
 export interface RequestEntry {
   team: string;
   key: string;
@@ -24,18 +24,19 @@
   budget: string;
   reserve: number;
   charge: number;
+  /** True for an at-most-once request. */
   marked: boolean;
   keepMs: number;
-  /** When a closed request is forgotten; 0 while open. */
+  /** Time at which a closed request expires; 0 while open. */
   expiresAt: number;
   answer?: KeptAnswer | undefined;
-  /** Another region that bills this request. */
+  /** The other region that bills this request, if any. */
   claimedBy?: string | undefined;
-  /** Billed here, and the home region has not been told. */
+  /** True if the request was billed here and not yet reported to the home region. */
   unreported?: boolean | undefined;
 }
 
-/** Whether the request may still run or be running. */
+/** Whether the request is not closed yet. */
 export function isOpen(entry: RequestEntry): boolean {
   return (
     entry.state === REQUEST_STATE.admitted ||
@@ -43,42 +44,42 @@
   );
 }
 
-function idOf(team: string, key: string): string {
+function entryId(team: string, key: string): string {
   return `${team}\n${key}`;
 }
 
-function ownerOf(box: string, incarnation: string): string {
+function ownerId(box: string, incarnation: string): string {
   return `${box}\n${incarnation}`;
 }
 
-/** Requests with an index of the open ones by owner and of expiry times. */
+/** Requests, indexed by team and key, by owner while open, and by expiry time. */
 export class RequestTable {
   private readonly entries = new Map<string, RequestEntry>();
-  private readonly open = new Map<string, Map<number, RequestEntry>>();
-  private readonly untold = new Set<RequestEntry>();
-  private readonly expiring = new Map<number, Set<RequestEntry>>();
+  private readonly openByOwner = new Map<string, Map<number, RequestEntry>>();
+  private readonly unreportedEntries = new Set<RequestEntry>();
+  private readonly expiryBuckets = new Map<number, Set<RequestEntry>>();
 
-  /** Requests known, open and closed. */
+  /** Number of open and closed requests. */
   get size(): number {
     return this.entries.size;
   }
 
-  /** The request of a team and key. */
+  /** Returns the request of a team with an idempotency key. */
   get(team: string, key: string): RequestEntry | undefined {
-    return this.entries.get(idOf(team, key));
+    return this.entries.get(entryId(team, key));
   }
 
   /** Adds or replaces a request. */
   put(entry: RequestEntry): void {
-    const former = this.get(entry.team, entry.key);
-    if (former !== undefined) {
-      this.unindex(former);
+    const previous = this.get(entry.team, entry.key);
+    if (previous !== undefined) {
+      this.unindex(previous);
     }
-    this.entries.set(idOf(entry.team, entry.key), entry);
+    this.entries.set(entryId(entry.team, entry.key), entry);
     this.index(entry);
   }
 
-  /** Closes a request; one whose key cannot come again is forgotten. */
+  /** Closes a request; deletes it if its key was generated, since it has no retries. */
   close(
     entry: RequestEntry,
     state: RequestState,
@@ -89,85 +90,85 @@
     entry.state = state;
     entry.charge = charge;
     if (entry.generatedKey) {
-      this.entries.delete(idOf(entry.team, entry.key));
+      this.entries.delete(entryId(entry.team, entry.key));
       return;
     }
     entry.expiresAt = at + entry.keepMs;
     this.index(entry);
   }
 
-  /** Open requests of one process, in the order in which they were admitted. */
+  /** Returns the open requests of an incarnation in the order of admission. */
   openOf(box: string, incarnation: string): RequestEntry[] {
-    const owned = this.open.get(ownerOf(box, incarnation));
+    const owned = this.openByOwner.get(ownerId(box, incarnation));
     return owned === undefined ? [] : [...owned.values()];
   }
 
-  /** Billed requests of which the home region has not been told. */
+  /** Billed requests that were not yet reported to the home region. */
   get unreported(): ReadonlySet<RequestEntry> {
-    return this.untold;
+    return this.unreportedEntries;
   }
 
-  /** Notes whether the home region must be told of a request. */
+  /** Sets whether a request must be reported to the home region. */
   setUnreported(entry: RequestEntry, unreported: boolean): void {
     entry.unreported = unreported;
     if (unreported) {
-      this.untold.add(entry);
+      this.unreportedEntries.add(entry);
     } else {
-      this.untold.delete(entry);
+      this.unreportedEntries.delete(entry);
     }
   }
 
-  /** Forgets closed requests whose time is up. */
-  expire(at: number): void {
-    for (const [bucket, entries] of this.expiring) {
+  /** Deletes closed requests that have expired. */
+  deleteExpired(at: number): void {
+    for (const [bucket, entries] of this.expiryBuckets) {
       if ((bucket + 1) * EXPIRY_BUCKET_MS > at) {
         continue;
       }
-      this.expiring.delete(bucket);
+      this.expiryBuckets.delete(bucket);
       for (const entry of entries) {
-        this.entries.delete(idOf(entry.team, entry.key));
-        this.untold.delete(entry);
+        this.entries.delete(entryId(entry.team, entry.key));
+        this.unreportedEntries.delete(entry);
       }
     }
   }
 
-  /** Forgets everything. */
+  /** Deletes all requests. */
   clear(): void {
     this.entries.clear();
-    this.open.clear();
-    this.untold.clear();
-    this.expiring.clear();
+    this.openByOwner.clear();
+    this.unreportedEntries.clear();
+    this.expiryBuckets.clear();
   }
 
-  /** All requests, for snapshots and reports. */
+  /** Returns all requests. */
   all(): RequestEntry[] {
     return [...this.entries.values()];
   }
 
   private index(entry: RequestEntry): void {
     if (isOpen(entry)) {
-      const owner = ownerOf(entry.box, entry.incarnation);
-      const owned = this.open.get(owner) ?? new Map();
-      this.open.set(owner, owned.set(entry.serial, entry));
+      const owner = ownerId(entry.box, entry.incarnation);
+      const owned = this.openByOwner.get(owner) ?? new Map();
+      this.openByOwner.set(owner, owned.set(entry.serial, entry));
       return;
     }
     if (entry.unreported === true) {
-      this.untold.add(entry);
+      this.unreportedEntries.add(entry);
     }
     const bucket = Math.floor(entry.expiresAt / EXPIRY_BUCKET_MS);
-    const expiring = this.expiring.get(bucket) ?? new Set();
-    this.expiring.set(bucket, expiring.add(entry));
+    const bucketEntries = this.expiryBuckets.get(bucket) ?? new Set();
+    this.expiryBuckets.set(bucket, bucketEntries.add(entry));
   }
 
   private unindex(entry: RequestEntry): void {
-    this.untold.delete(entry);
-    const owner = ownerOf(entry.box, entry.incarnation);
-    const owned = this.open.get(owner);
+    this.unreportedEntries.delete(entry);
+    const owner = ownerId(entry.box, entry.incarnation);
+    const owned = this.openByOwner.get(owner);
     owned?.delete(entry.serial);
     if (owned?.size === 0) {
-      this.open.delete(owner);
+      this.openByOwner.delete(owner);
     }
     const bucket = Math.floor(entry.expiresAt / EXPIRY_BUCKET_MS);
-    this.expiring.get(bucket)?.delete(entry);
+    this.expiryBuckets.get(bucket)?.delete(entry);
   }
 }
--- a/packages/puffinturn-ledger/src/__tests__/unit/ControlClient.test.ts
+++ b/packages/puffinturn-ledger/src/__tests__/unit/ControlClient.test.ts
@@ -13,53 +13,55 @@
 
 const SWEEP: LedgerRecord = {at: 0, kind: 'sweep'};
 
-function setUp() {
+function createFixture() {
   const clock = new ManualClock();
   const network = new MemoryNetwork(clock, new Random(1));
-  const client = (box: string, region: string, control: string) =>
+  const createClient = (box: string, region: string, controlBox: string) =>
     new ControlClient({
       box,
       clock,
-      controlBoxes: [control],
+      controlBoxes: [controlBox],
       link: network.connect(box),
       region,
       relayBoxes: ['b'],
     });
-  return {client, clock, network};
+  return {clock, createClient, network};
 }
 
 describe('ControlClient', () => {
-  test('goes through another box when the leader cannot be reached, and that box asks its own region', async () => {
-    const {client, clock, network} = setUp();
-    const asked: string[] = [];
+  // Guards against losing records when a box cannot reach the leader, and against
+  // relays that forward them to the leader of another region.
+  test('relays a record through another box to the leader of its own region', async () => {
+    const {clock, createClient, network} = createFixture();
+    const askedLeaders: string[] = [];
     for (const leader of ['north-leader', 'south-leader']) {
       network.connect(leader).register(CONTROL_SERVICE, async () => {
-        asked.push(leader);
+        askedLeaders.push(leader);
         return {kind: 'outcome', outcome: {kind: 'noted'}} as ControlReply;
       });
     }
     const link = network.connect('b');
     const parts = {box: 'b', clock, link, relayBoxes: []};
-    const own = new ControlClient({
+    const relayingClient = new ControlClient({
       ...parts,
       controlBoxes: ['north-leader'],
       region: 'north',
     });
-    using _relay = own.serveRelay();
-    // A box also has clients for other regions; they relay nothing.
+    using _relay = relayingClient.serveRelay();
+    // Clients for other regions do not serve the relay.
     new ControlClient({
       ...parts,
       controlBoxes: ['south-leader'],
       region: 'south',
     });
-    const cutOff = client('a', 'north', 'north-leader');
+    const isolatedClient = createClient('a', 'north', 'north-leader');
     network.cut('a', 'north-leader');
-    let done = '';
-    void cutOff
+    let outcomeKind = '';
+    void isolatedClient
       .submit(SWEEP, {timeoutMs: 20_000})
-      .map(({kind}) => (done = kind));
+      .map(({kind}) => (outcomeKind = kind));
     await clock.advance(20_000);
-    expect(done).toBe('noted');
-    expect(new Set(asked)).toEqual(new Set(['north-leader']));
+    expect(outcomeKind).toBe('noted');
+    expect(new Set(askedLeaders)).toEqual(new Set(['north-leader']));
   });
 });
--- a/packages/puffinturn-ledger/src/__tests__/unit/Ledger.test.ts
+++ b/packages/puffinturn-ledger/src/__tests__/unit/Ledger.test.ts
@@ -9,7 +9,12 @@
 import type {Declaration} from 'puffinturn-settings';
 
 import type {AdmitRecord, LedgerOutcome, LedgerRecord} from '../../index';
-import {available, Ledger, ORPHAN_MS, targetFor} from '../../index';
+import {
+  availableUnits,
+  computeGrantTarget,
+  Ledger,
+  ORPHAN_TIMEOUT_MS,
+} from '../../index';
 
 const BUDGET = 'b';
 
@@ -25,7 +30,11 @@
   return {at: 0, declaration, digest, kind: 'declare', operator: 'o'};
 }
 
-function admit(key: string, serial: number, change: Partial<AdmitRecord> = {}) {
+function admit(
+  key: string,
+  serial: number,
+  overrides: Partial<AdmitRecord> = {},
+) {
   return {
     at: 0,
     box: 'box',
@@ -41,11 +50,11 @@
     reserve: 10,
     serial,
     team: 't',
-    ...change,
+    ...overrides,
   } as const satisfies LedgerRecord;
 }
 
-/** A ledger that numbers its own records. */
+/** A ledger with a budget and a registered box; assigns log indexes. */
 class Fixture {
   readonly ledger = new Ledger('north', true);
   private index = 0;
@@ -67,18 +76,18 @@
   get budget() {
     const budget = this.ledger.budgets.get(BUDGET);
     if (budget === undefined) {
-      throw new Error('no budget');
+      throw new Error(`budget ${BUDGET} does not exist`);
     }
     return budget;
   }
 }
 
-const ID = {attempt: 1, key: 'k', team: 't'};
+const ATTEMPT = {attempt: 1, key: 'k', team: 't'};
 
-/** Another region has billed the request of ID. */
-function claimBy(region: string): LedgerRecord {
+/** Claims the request of ATTEMPT for a region that has billed it. */
+function claimFrom(region: string): LedgerRecord {
   return {
-    ...ID,
+    ...ATTEMPT,
     at: 0,
     box: 's',
     budget: BUDGET,
@@ -91,18 +100,20 @@
 }
 
 describe('Ledger', () => {
-  test('an admission that is sent again reserves once', () => {
+  // Guards against reserving twice when the reply to an admission is lost.
+  test('a repeated admission reserves once', () => {
     const fixture = new Fixture();
     fixture.apply(admit('k', 1));
     expect(fixture.apply(admit('k', 1))).toMatchObject({kind: 'admitted'});
     expect(fixture.budget.reserved).toBe(10);
   });
 
-  test('a settlement that is sent again charges once', () => {
+  // Guards against charging twice when the reply to a settlement is lost.
+  test('a repeated settlement charges once', () => {
     const fixture = new Fixture();
     fixture.apply(admit('k', 1));
     const settle = {
-      ...ID,
+      ...ATTEMPT,
       at: 0,
       charge: 7,
       kind: 'settle',
@@ -113,7 +124,8 @@
     expect(fixture.budget).toMatchObject({reserved: 0, settled: 7});
   });
 
-  test('a late admission below the floor is refused', () => {
+  // Guards against a delayed admission that nobody would settle.
+  test('an admission below the floor is refused', () => {
     const fixture = new Fixture();
     fixture.apply({
       at: 0,
@@ -125,7 +137,8 @@
     expect(fixture.apply(admit('k', 4)).kind).toBe('fenced');
   });
 
-  test('a floor releases admissions whose answer was lost', () => {
+  // Guards against reservations that stay open after the reply was lost.
+  test('a floor releases the admissions below it', () => {
     const fixture = new Fixture();
     fixture.apply(admit('k', 1));
     fixture.apply({
@@ -138,7 +151,8 @@
     expect(fixture.budget.reserved).toBe(0);
   });
 
-  test('a fenced process still releases what it gave up, unbilled', () => {
+  // Guards against billing requests that a fenced process did not run.
+  test('a floor from a fenced incarnation releases its admissions without a charge', () => {
     const fixture = new Fixture();
     fixture.apply(admit('k', 1, {generatedKey: true}));
     fixture.apply({at: 0, box: 'box', incarnation: 'i1', kind: 'fence'});
@@ -149,22 +163,24 @@
       kind: 'floor',
       serial: 2,
     });
-    fixture.apply({at: ORPHAN_MS + 1, kind: 'sweep'});
+    fixture.apply({at: ORPHAN_TIMEOUT_MS + 1, kind: 'sweep'});
     expect(fixture.budget).toMatchObject({reserved: 0, settled: 0});
   });
 
-  test('a decision under an older configuration is refused', () => {
+  // Guards against admissions under limits that were replaced.
+  test('an admission under an older configuration is refused', () => {
     const fixture = new Fixture();
     fixture.apply(declareBudget(2, 200));
     const outcome = fixture.apply(admit('k', 1, {configIndex: 1}));
     expect(outcome).toMatchObject({configIndex: 3, kind: 'stale-config'});
   });
 
-  test('a dispatched request of a dead box is never taken over', () => {
+  // Guards against running an at-most-once request twice.
+  test('a dispatched at-most-once request of a fenced box is not admitted again', () => {
     const fixture = new Fixture();
     fixture.register('other', 'i2');
     fixture.apply(admit('k', 1, {marked: true}));
-    fixture.apply({...ID, kind: 'dispatch', upstream: 'u'});
+    fixture.apply({...ATTEMPT, kind: 'dispatch', upstream: 'u'});
     fixture.apply({at: 0, box: 'box', incarnation: 'i1', kind: 'fence'});
     const retry = admit('k', 1, {
       box: 'other',
@@ -175,14 +191,15 @@
       kind: 'present',
       request: {ownerGone: true, state: 'dispatched'},
     });
-    fixture.apply({at: ORPHAN_MS + 1, kind: 'sweep'});
+    fixture.apply({at: ORPHAN_TIMEOUT_MS + 1, kind: 'sweep'});
     expect(fixture.budget).toMatchObject({reserved: 0, settled: 10});
     expect(fixture.apply(retry)).toMatchObject({
       request: {state: 'unknown'},
     });
   });
 
-  test('a repeatable request of a dead box goes on under the next attempt', () => {
+  // Guards against a second reservation, and against a settlement by the old attempt.
+  test("a retry of a fenced box's request starts a new attempt", () => {
     const fixture = new Fixture();
     fixture.register('other', 'i2');
     fixture.apply(admit('k', 1));
@@ -190,17 +207,18 @@
     const retry = admit('k', 1, {box: 'other', incarnation: 'i2'});
     expect(fixture.apply(retry)).toMatchObject({attempt: 2, kind: 'admitted'});
     expect(fixture.budget.reserved).toBe(10);
-    const late = {
-      ...ID,
+    const lateSettlement = {
+      ...ATTEMPT,
       at: 0,
       charge: 5,
       kind: 'settle',
       outcome: 'settled',
     } as const;
-    expect(fixture.apply(late).kind).toBe('superseded');
+    expect(fixture.apply(lateSettlement).kind).toBe('superseded');
   });
 
-  test('racing changes with one number: one wins, the same one repeats', () => {
+  // Guards against two versions of a declaration with the same number.
+  test('of two changes with one number the first is accepted, also when repeated', () => {
     const fixture = new Fixture();
     expect(fixture.apply(declareBudget(2, 300)).kind).toBe('accepted');
     expect(fixture.apply(declareBudget(2, 400)).kind).toBe('conflict');
@@ -209,29 +227,32 @@
     expect(fixture.budget.limit).toBe(300);
   });
 
-  test('a limit below what is committed is rejected', () => {
+  // Guards against an overspent budget after its limit is lowered.
+  test('a limit below the committed units is rejected', () => {
     const fixture = new Fixture();
     fixture.apply(admit('k', 1));
     expect(fixture.apply(declareBudget(2, 9)).kind).toBe('rejected');
   });
 
-  test('of two regions that billed one request the second takes it back', () => {
+  // Guards against billing a request in two regions.
+  test('only the first of two regions that billed a request keeps the charge', () => {
     const fixture = new Fixture();
-    expect(fixture.apply(claimBy('south')).kind).toBe('claimed');
-    expect(fixture.apply(claimBy('south')).kind).toBe('claimed');
-    expect(fixture.apply(claimBy('west')).kind).toBe('duplicate');
+    expect(fixture.apply(claimFrom('south')).kind).toBe('claimed');
+    expect(fixture.apply(claimFrom('south')).kind).toBe('claimed');
+    expect(fixture.apply(claimFrom('west')).kind).toBe('duplicate');
     expect(fixture.apply(admit('k', 1)).kind).toBe('present');
   });
 
-  test('a claim outlives the attempt that was running here', () => {
+  // Guards against billing a claimed request when another box retries it.
+  test('a claim by another region still holds for a new attempt', () => {
     const fixture = new Fixture();
     fixture.register('other', 'i2');
     fixture.apply(admit('k', 1));
-    fixture.apply(claimBy('south'));
+    fixture.apply(claimFrom('south'));
     fixture.apply({at: 0, box: 'box', incarnation: 'i1', kind: 'fence'});
     fixture.apply(admit('k', 1, {box: 'other', incarnation: 'i2'}));
     fixture.apply({
-      ...ID,
+      ...ATTEMPT,
       at: 0,
       attempt: 2,
       charge: 5,
@@ -241,23 +262,25 @@
     expect(fixture.budget).toMatchObject({reserved: 0, settled: 0});
   });
 
-  test('an orphan that another region bills costs nothing', () => {
+  // Guards against billing a claimed request when it is swept.
+  test('an orphaned request that another region bills is not charged', () => {
     const fixture = new Fixture();
     fixture.apply(admit('k', 1));
-    fixture.apply(claimBy('south'));
+    fixture.apply(claimFrom('south'));
     fixture.apply({at: 0, box: 'box', incarnation: 'i1', kind: 'fence'});
-    fixture.apply({at: ORPHAN_MS + 1, kind: 'sweep'});
+    fixture.apply({at: ORPHAN_TIMEOUT_MS + 1, kind: 'sweep'});
     expect(fixture.budget).toMatchObject({reserved: 0, settled: 0});
   });
 
+  // Guards against adding a grant twice, and against a fault that has no effect.
   test.each([
-    ['counts once', {}, 30],
-    ['would count twice if the ledger were broken', {receiveTwice: true}, 60],
-  ])('a grant that arrives again %s', (_name, breakage, expected) => {
-    const south = new Ledger('south', false, breakage);
-    const declared = declareBudget(1, 100);
-    if (declared.kind === 'declare') {
-      south.apply({...declared, kind: 'import', sequence: 1}, 1);
+    ['once', {}, 30],
+    ['twice with the injected fault', {receiveTwice: true}, 60],
+  ])('a repeated grant is added %s', (_name, injectedFaults, expected) => {
+    const south = new Ledger('south', false, injectedFaults);
+    const declareRecord = declareBudget(1, 100);
+    if (declareRecord.kind === 'declare') {
+      south.apply({...declareRecord, kind: 'import', sequence: 1}, 1);
     }
     const receive = {
       amount: 30,
@@ -270,7 +293,8 @@
     expect(south.budgets.get(BUDGET)?.received).toBe(expected);
   });
 
-  test('any records keep the budget and survive a snapshot', () => {
+  // Guards against overspending and against state missing from snapshots.
+  test('no sequence of records overspends the budget or changes in a snapshot', () => {
     const key = fc.constantFrom('k1', 'k2', 'k3');
     const serial = fc.integer({max: 6, min: 1});
     const attempt = fc.integer({max: 3, min: 1});
@@ -318,37 +342,39 @@
     fc.assert(
       fc.property(fc.array(record, {maxLength: 40}), (records) => {
         const fixture = new Fixture();
-        for (const one of records) {
-          // Returns without a grant are never sent; the receiver counts them.
+        for (const next of records) {
+          // Other regions never return units that were not granted to them.
           const granted = fixture.budget.regions.south?.granted ?? 0;
-          if (one.kind !== 'accept-return' || granted > 10) {
-            fixture.apply(one);
+          if (next.kind !== 'accept-return' || granted > 10) {
+            fixture.apply(next);
           }
-          expect(available(fixture.budget)).toBeGreaterThanOrEqual(0);
+          expect(availableUnits(fixture.budget)).toBeGreaterThanOrEqual(0);
         }
-        const copy = new Ledger('north', true);
-        copy.restore(fixture.ledger.snapshot());
-        expect(copy.snapshot()).toEqual(fixture.ledger.snapshot());
+        const restored = new Ledger('north', true);
+        restored.restore(fixture.ledger.snapshot());
+        expect(restored.snapshot()).toEqual(fixture.ledger.snapshot());
       }),
       {numRuns: 200, seed: 3},
     );
   });
 });
 
-describe('targetFor', () => {
-  test('both regions run dry together', () => {
+describe('computeGrantTarget', () => {
+  // Guards against one region running out while the other has units left.
+  test('both regions use up their units at the same time', () => {
     const home = {available: 900, rate: 3};
     const other = {available: 100, rate: 1};
-    expect(targetFor(home, other)).toBeGreaterThanOrEqual(249);
-    expect(targetFor(home, other)).toBeLessThanOrEqual(251);
+    expect(computeGrantTarget(home, other)).toBeGreaterThanOrEqual(249);
+    expect(computeGrantTarget(home, other)).toBeLessThanOrEqual(251);
   });
 
-  test('never gives more than there is', () => {
+  // Guards against granting units that do not exist.
+  test('the target is between 0 and the units of both regions', () => {
     const amount = fc.integer({max: 1e9, min: 0});
     const rate = fc.double({max: 1e6, min: 0, noNaN: true});
     fc.assert(
       fc.property(amount, amount, rate, rate, (a, b, r, s) => {
-        const target = targetFor(
+        const target = computeGrantTarget(
           {available: a, rate: r},
           {available: b, rate: s},
         );
--- a/packages/puffinturn-ledger/src/index.ts
+++ b/packages/puffinturn-ledger/src/index.ts
@@ -5,11 +5,16 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Budgets, requests and declarations of a region, kept by its log. */
+/** Replicated budgets, requests and declarations of a region. */
 export type {BoxEntry} from './BoxTable';
 export type {BudgetState} from './BudgetAccount';
-export {allotted, available, committed, grantedOut} from './BudgetAccount';
-export type {ControlClientParts, SubmitLimits} from './ControlClient';
+export {
+  allotted,
+  availableUnits,
+  committedUnits,
+  grantedOut,
+} from './BudgetAccount';
+export type {ControlClientParts, SubmitOptions} from './ControlClient';
 export {ControlClient} from './ControlClient';
 export type {
   BudgetReport,
@@ -25,10 +30,10 @@
 export {ControlService} from './ControlService';
 export type {DeclarationEntry} from './DeclarationTable';
 export type {SplitSide} from './GrantSplit';
-export {targetFor} from './GrantSplit';
+export {computeGrantTarget} from './GrantSplit';
 export {Ledger} from './Ledger';
 export type {LedgerBreakage} from './LedgerBreakage';
-export {MAX_KEPT_ANSWER_BYTES, ORPHAN_MS} from './LedgerConstants';
+export {MAX_KEPT_ANSWER_BYTES, ORPHAN_TIMEOUT_MS} from './LedgerConstants';
 export type {
   AdmitOutcome,
   AttemptOutcome,
