--- a/packages/puffinturn-ledger/src/DeclarationTable.ts
+++ b/packages/puffinturn-ledger/src/DeclarationTable.ts
@@ -21,13 +21,7 @@
   sequence: number;
 }
 
-function declarationId({
-  kind,
-  name,
-}: {
-  kind: DeclarationKind;
-  name: string;
-}): string {
+function entryId({kind, name}: {kind: DeclarationKind; name: string}): string {
   return `${kind}/${name}`;
 }
 
@@ -57,7 +51,7 @@
     declaration: Declaration,
     digest: string,
   ): DeclareOutcome | undefined {
-    const entry = this.entries.get(declarationId(declaration));
+    const entry = this.entries.get(entryId(declaration));
     if (entry === undefined) {
       return undefined;
     }
@@ -81,7 +75,7 @@
     index: number,
     sequence: number,
   ): void {
-    this.entries.set(declarationId(declaration), {
+    this.entries.set(entryId(declaration), {
       declaration,
       digest,
       index,
@@ -119,7 +113,7 @@
   ): void {
     this.entries.clear();
     for (const entry of entries) {
-      this.entries.set(declarationId(entry.declaration), entry);
+      this.entries.set(entryId(entry.declaration), entry);
     }
     this.lastIndex = index;
     this.lastSequence = sequence;
