--- a/packages/puffinturn-log/src/Disk.ts
+++ b/packages/puffinturn-log/src/Disk.ts
@@ -5,10 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * The disk of one box: files in one flat folder that last only once synced.
- * MemoryDisk loses what was not synced, as a crash does.
- */
+/** Durable storage of a box: a flat set of files. */
 import type {FileHandle} from 'node:fs/promises';
 import {mkdir, open, readdir, readFile, rename, rm} from 'node:fs/promises';
 import {join} from 'node:path';
@@ -17,24 +14,24 @@
 import type {Failure} from 'shared';
 import {describeError} from 'shared';
 
-/** A read, write or sync that the operating system refused. */
+/** A read, write or sync failed. */
 export type DiskFailure = Failure<'disk'>;
 
-/** Files of one box. Names are plain, without folders. */
+/** The files of one box. A file name contains no path. */
 export abstract class Disk implements AsyncDisposable {
-  /** The names of all files. */
+  /** Lists the names of all files. */
   abstract list(): ResultAsync<string[], DiskFailure>;
 
-  /** The content of a file; empty when there is none. */
+  /** Reads a file; a missing file reads as empty. */
   abstract read(name: string): ResultAsync<Buffer, DiskFailure>;
 
-  /** Adds bytes at the end and syncs them before it answers. */
+  /** Appends bytes to a file. Resolves once they are synced. */
   abstract append(name: string, bytes: Buffer): ResultAsync<void, DiskFailure>;
 
-  /** Replaces a whole file: after a crash either the old or the new is there. */
+  /** Replaces a file atomically: a crash leaves the old or the new content. */
   abstract replace(name: string, bytes: Buffer): ResultAsync<void, DiskFailure>;
 
-  /** Removes a file; one that is absent is no failure. */
+  /** Removes a file. A missing file is not an error. */
   abstract remove(name: string): ResultAsync<void, DiskFailure>;
 
   abstract [Symbol.asyncDispose](): Promise<void>;
@@ -51,21 +48,21 @@
 
 interface OpenFile {
   readonly handle: FileHandle;
-  /** Bytes up to the end of the last write that was synced. */
+  /** Length in bytes, up to the last synced write. */
   length: number;
-  /** False from the start of a write until it is synced. */
-  clean: boolean;
+  /** Whether the last write was synced completely. */
+  isClean: boolean;
 }
 
-/** A folder of the operating system. */
+/** Stores files in a folder of the file system. */
 export class FolderDisk extends Disk {
-  private readonly files = new Map<string, OpenFile>();
+  private readonly openFiles = new Map<string, OpenFile>();
 
   private constructor(private readonly folder: string) {
     super();
   }
 
-  /** Opens the folder, making it when absent. */
+  /** Opens the folder and creates it if it does not exist. */
   static open(folder: string): ResultAsync<FolderDisk, DiskFailure> {
     return ResultAsync.fromPromise(
       mkdir(folder, {mode: 0o700, recursive: true}).then(
@@ -120,75 +117,82 @@
   }
 
   override async [Symbol.asyncDispose](): Promise<void> {
-    for (const name of [...this.files.keys()]) {
+    for (const name of [...this.openFiles.keys()]) {
       await this.close(name);
     }
   }
 
   private async write(name: string, bytes: Buffer): Promise<void> {
     const file = await this.openFile(name);
-    if (!file.clean) {
-      // Half of a failed write must not stand before the next one.
+    if (!file.isClean) {
+      // Removes the partial data of a failed write.
       await file.handle.truncate(file.length);
-      file.clean = true;
+      file.isClean = true;
     }
-    file.clean = false;
+    file.isClean = false;
     await file.handle.appendFile(bytes);
     await file.handle.datasync();
     file.length += bytes.length;
-    file.clean = true;
+    file.isClean = true;
   }
 
   private async openFile(name: string): Promise<OpenFile> {
-    const known = this.files.get(name);
-    if (known !== undefined) {
-      return known;
+    const alreadyOpen = this.openFiles.get(name);
+    if (alreadyOpen !== undefined) {
+      return alreadyOpen;
     }
     const handle = await open(join(this.folder, name), 'a', 0o600);
     const {size: length} = await handle.stat();
-    const file = {clean: true, handle, length};
-    this.files.set(name, file);
+    const file = {handle, isClean: true, length};
+    this.openFiles.set(name, file);
     await syncFolder(this.folder);
     return file;
   }
 
   private async close(name: string): Promise<void> {
-    const file = this.files.get(name);
-    this.files.delete(name);
+    const file = this.openFiles.get(name);
+    this.openFiles.delete(name);
     await file?.handle.close();
   }
 }
 
-/** How a MemoryDisk treats the next append. */
+/** Faults that a MemoryDisk injects into writes. */
 export interface DiskFault {
-  /** Answer before the bytes are safe, as a broken sync does. */
+  /** Report success without syncing. */
   skipSync: boolean;
-  /** Refuse every write. */
+  /** Fail every write. */
   refuse: boolean;
 }
 
-/** Files in memory for tests; `crash` forgets what was not synced. */
+/** Keeps files in memory for tests and can simulate a crash. */
 export class MemoryDisk extends Disk {
-  /** Faults that tests switch on. */
+  /** Faults to inject; tests change them at any time. */
   readonly fault: DiskFault = {refuse: false, skipSync: false};
-  private files = new Map<string, Buffer>();
-  private unsynced = new Map<string, Buffer>();
+  private syncedFiles = new Map<string, Buffer>();
+  private unsyncedFiles = new Map<string, Buffer>();
 
   override list(): ResultAsync<string[], DiskFailure> {
-    const names = new Set([...this.files.keys(), ...this.unsynced.keys()]);
+    const names = new Set([
+      ...this.syncedFiles.keys(),
+      ...this.unsyncedFiles.keys(),
+    ]);
     return okAsync([...names]);
   }
 
   override read(name: string): ResultAsync<Buffer, DiskFailure> {
     return okAsync(
-      this.unsynced.get(name) ?? this.files.get(name) ?? Buffer.alloc(0),
+      this.unsyncedFiles.get(name) ??
+        this.syncedFiles.get(name) ??
+        Buffer.alloc(0),
     );
   }
 
   override append(name: string, bytes: Buffer): ResultAsync<void, DiskFailure> {
-    const former =
-      this.unsynced.get(name) ?? this.files.get(name) ?? Buffer.alloc(0);
-    return this.store(name, Buffer.concat([former, bytes]));
+    const previous =
+      this.unsyncedFiles.get(name) ??
+      this.syncedFiles.get(name) ??
+      Buffer.alloc(0);
+    return this.store(name, Buffer.concat([previous, bytes]));
   }
 
   override replace(
@@ -199,37 +203,43 @@
   }
 
   override remove(name: string): ResultAsync<void, DiskFailure> {
-    this.files.delete(name);
-    this.unsynced.delete(name);
+    this.syncedFiles.delete(name);
+    this.unsyncedFiles.delete(name);
     return okAsync(undefined);
   }
 
-  /** Forgets unsynced bytes, but for the first `kept` of each file's tail. */
-  crash(kept = 0): void {
-    for (const [name, bytes] of this.unsynced) {
-      const synced = this.files.get(name)?.length ?? 0;
-      this.files.set(name, bytes.subarray(0, synced + kept));
+  /** Drops unsynced bytes, except the first `keptBytes` of each file. */
+  crash(keptBytes = 0): void {
+    for (const [name, bytes] of this.unsyncedFiles) {
+      const synced = this.syncedFiles.get(name)?.length ?? 0;
+      this.syncedFiles.set(name, bytes.subarray(0, synced + keptBytes));
     }
-    this.unsynced.clear();
+    this.unsyncedFiles.clear();
   }
 
-  /** Cuts the last `count` bytes off a file, as a torn write does. */
-  tear(name: string, count: number): void {
-    const bytes = this.files.get(name) ?? Buffer.alloc(0);
-    this.files.set(name, bytes.subarray(0, Math.max(0, bytes.length - count)));
+  /** Removes the last `count` bytes of a file, as after a torn write. */
+  truncateTail(name: string, count: number): void {
+    const bytes = this.syncedFiles.get(name) ?? Buffer.alloc(0);
+    this.syncedFiles.set(
+      name,
+      bytes.subarray(0, Math.max(0, bytes.length - count)),
+    );
   }
 
   override async [Symbol.asyncDispose](): Promise<void> {}
 
   private store(name: string, bytes: Buffer): ResultAsync<void, DiskFailure> {
     if (this.fault.refuse) {
-      return errAsync({kind: 'disk', message: 'write refused'});
+      return errAsync({
+        kind: 'disk',
+        message: 'write failed by an injected fault',
+      });
     }
     if (this.fault.skipSync) {
-      this.unsynced.set(name, bytes);
+      this.unsyncedFiles.set(name, bytes);
     } else {
-      this.unsynced.delete(name);
-      this.files.set(name, bytes);
+      this.unsyncedFiles.delete(name);
+      this.syncedFiles.set(name, bytes);
     }
     return okAsync(undefined);
   }
--- a/packages/puffinturn-log/src/LogConstants.ts
+++ b/packages/puffinturn-log/src/LogConstants.ts
@@ -5,55 +5,64 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Timing and sizes of the replicated log. */
+/** Constants of the replicated log. */
 
-/** Tunable timing of a replica; all in milliseconds of its own clock. */
+/** Timeouts and intervals of a replica, in milliseconds. */
 export interface ReplicaTiming {
-  /** A leader sends at least this often to every peer. */
+  /** Longest time between two messages from the leader to each peer. */
   readonly heartbeatMs: number;
-  /** A follower that heard nothing for this long may stand; randomised ×2. */
+  /**
+   * A follower starts an election after this long without contact from a
+   * leader. Randomised between one and two times this value.
+   */
   readonly electionMs: number;
-  /** Limit for one message between replicas. */
+  /** Timeout for one request to another replica. */
   readonly callMs: number;
 }
 
-/** For halls up to a few milliseconds apart. */
+/** Default timing, for halls with a round trip of a few milliseconds. */
 export const DEFAULT_TIMING: ReplicaTiming = {
   callMs: 400,
   electionMs: 500,
   heartbeatMs: 100,
 };
 
-/** Entries sent to a peer in one message at most. */
+/** Maximum number of entries in one append request. */
 export const MAX_APPEND_ENTRIES = 2_000;
 
 /**
- * Bytes of entries sent to a peer in one message; a larger one would not arrive
- * within a call's time. One entry alone may be larger.
+ * Maximum size of the entries in one append request, so that it arrives within
+ * the call timeout. A single entry may be larger.
  */
 export const MAX_APPEND_BYTES = 256 * 1024;
 
-/** Applied entries after which a snapshot is taken. */
-export const SNAPSHOT_EVERY_ENTRIES = 50_000;
+/** Number of applied entries between two snapshots. */
+export const SNAPSHOT_INTERVAL_ENTRIES = 50_000;
 
-/** Entries kept behind a snapshot for followers that are a little behind. */
+/**
+ * Entries kept from before a snapshot, so that a follower that lags slightly
+ * does not need the whole snapshot.
+ */
 export const TRAILING_ENTRIES = 5_000;
 
-/** Bytes in one part of a snapshot. */
-export const SNAPSHOT_PART_BYTES = 256 * 1024;
+/** Size of one chunk of a snapshot transfer. */
+export const SNAPSHOT_CHUNK_BYTES = 256 * 1024;
 
-/** A learner this close to the leader's log may become a voter. */
-export const CAUGHT_UP_ENTRIES = 100;
+/** Maximum lag at which a learner may be promoted to a voter. */
+export const MAX_LEARNER_LAG_ENTRIES = 100;
 
 /**
- * A voter silent for this many election times gives its place to a learner
- * that is up to date. Short, since a machine that replaces a lost one must
- * carry its share of the group's tolerance within seconds.
+ * A voter that has not answered for this many election timeouts is replaced by
+ * a learner that has caught up. Kept short so that the group regains its fault
+ * tolerance within seconds.
  */
-export const REPLACE_ELECTIONS = 3;
+export const REPLACE_AFTER_ELECTION_TIMEOUTS = 3;
 
-/** A replica that heard no leader for this many election times asks to join. */
-export const REJOIN_ELECTIONS = 4;
+/**
+ * A replica without contact from a leader for this many election timeouts asks
+ * to join the group again.
+ */
+export const REJOIN_AFTER_ELECTION_TIMEOUTS = 4;
 
-/** Election time-outs without a word after which a leader counts as lost. */
-export const LOST_AFTER_ELECTIONS = 2;
+/** A leader counts as lost after this many election timeouts without contact. */
+export const LEADER_LOST_AFTER_ELECTION_TIMEOUTS = 2;
--- a/packages/puffinturn-log/src/LogLink.ts
+++ b/packages/puffinturn-log/src/LogLink.ts
@@ -5,17 +5,18 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** How a replica reaches the others. */
+/** Interfaces between a replica and its transport and state machine. */
 import type {ResultAsync} from 'neverthrow';
 import type {Failure} from 'shared';
 
 import type {LogRequest, ReplicaId} from './LogMessages';
 
-/** The message may or may not have arrived. */
+/** No reply was received. The request may or may not have been processed. */
 export type LogLinkFailure = Failure<'unreachable'>;
 
-/** Sends one message to the box of a replica and waits for its answer. */
+/** Sends requests to other replicas. */
 export abstract class LogLink {
+  /** Sends a request to the box of a replica and waits for the reply. */
   abstract call(
     to: ReplicaId,
     request: LogRequest,
@@ -23,14 +24,17 @@
   ): ResultAsync<unknown, LogLinkFailure>;
 }
 
-/** The state that the log keeps equal on all replicas. */
+/** The state machine that applies committed records on every replica. */
 export abstract class Machine {
-  /** Applies a record. Must depend on nothing but state, record and index. */
+  /**
+   * Applies a committed record and returns its result. Must be deterministic:
+   * the result depends only on the state, the record and its index.
+   */
   abstract apply(record: unknown, index: number): unknown;
 
-  /** The whole state as bytes. */
+  /** Serialises the whole state. */
   abstract snapshot(): Uint8Array;
 
-  /** Replaces the whole state. */
+  /** Replaces the whole state by a serialised one. */
   abstract restore(bytes: Uint8Array): void;
 }
--- a/packages/puffinturn-log/src/LogMessages.ts
+++ b/packages/puffinturn-log/src/LogMessages.ts
@@ -5,35 +5,39 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Entries of the replicated log and the messages between replicas. */
+/** Log entries and the messages between replicas. */
 import type {Failure} from 'shared';
 
 /**
- * One replica: a box together with the life of its disk. A box that lost its
- * disk comes back under another replica id and never answers to the old one.
+ * Identifies a replica by its box and the incarnation of its disk. A box that
+ * lost its disk gets a new replica id and ignores messages to the former one,
+ * because it no longer knows its former votes and acknowledgements.
  */
 export type ReplicaId = string;
 
-/** Who takes part in the log. Learners receive entries and do not vote. */
+/** Members of the group. Learners receive entries but do not vote. */
 export interface Members {
   readonly voters: readonly ReplicaId[];
   readonly learners: readonly ReplicaId[];
 }
 
-/** What an entry carries: a record of the application, or new members. */
+/** Content of an entry: an application record, a member list or nothing. */
 export type EntryBody =
   | {readonly kind: 'members'; readonly members: Members}
   | {readonly kind: 'noop'}
   | {readonly kind: 'record'; readonly record: unknown};
 
-/** One position of the log. */
+/** One entry of the log. */
 export interface Entry {
   readonly index: number;
   readonly term: number;
   readonly body: EntryBody;
 }
 
-/** Asks for a vote, or (with `preVote`) whether a vote would be given. */
+/**
+ * Requests a vote. With `preVote`, asks whether a vote would be granted, without
+ * changing the term or the vote of the receiver.
+ */
 export interface VoteRequest {
   readonly kind: 'vote';
   readonly to: ReplicaId;
@@ -44,13 +48,13 @@
   readonly preVote: boolean;
 }
 
-/** Answer to a VoteRequest. */
+/** Reply to a VoteRequest. */
 export interface VoteReply {
   readonly term: number;
   readonly granted: boolean;
 }
 
-/** Entries for a follower; without entries it is a heartbeat. */
+/** Sends entries to a follower. Without entries it is a heartbeat. */
 export interface AppendRequest {
   readonly kind: 'append';
   readonly to: ReplicaId;
@@ -62,15 +66,18 @@
   readonly commitIndex: number;
 }
 
-/** Answer to an AppendRequest: up to where the follower's log is synced. */
+/** Reply to an AppendRequest. */
 export interface AppendReply {
   readonly term: number;
   readonly success: boolean;
-  /** On success the last synced index that matches; else where to go on. */
+  /**
+   * On success, the last synced index that matches the leader's log. Otherwise,
+   * the index after which the leader should continue.
+   */
   readonly matchIndex: number;
 }
 
-/** One part of a snapshot; parts go one at a time, in order. */
+/** One chunk of a snapshot. Chunks are sent one at a time, in order. */
 export interface SnapshotRequest {
   readonly kind: 'snapshot';
   readonly to: ReplicaId;
@@ -84,61 +91,61 @@
   readonly done: boolean;
 }
 
-/** Answer to a SnapshotRequest: the offset that is wanted next. */
+/** Reply to a SnapshotRequest, with the offset of the next chunk to send. */
 export interface SnapshotReply {
   readonly term: number;
   readonly nextOffset: number;
 }
 
-/** Asks a box for its replica id and whether it belongs to a group. */
+/** Asks a box for its replica id and whether it has joined a group. */
 export interface IdentityRequest {
   readonly kind: 'identity';
 }
 
-/** Answer to an IdentityRequest. */
+/** Reply to an IdentityRequest. */
 export interface IdentityReply {
   readonly replica: ReplicaId;
   readonly founded: boolean;
-  /** The voters it knows of; one of them may lead. */
+  /** Voters known to the replica; one of them may be the leader. */
   readonly voters: readonly ReplicaId[];
 }
 
-/** Makes a blank replica a founding member. */
-export interface FoundRequest {
+/** Initialises an empty replica with the first member list of a group. */
+export interface BootstrapRequest {
   readonly kind: 'found';
   readonly to: ReplicaId;
   readonly members: Members;
 }
 
-/** Tells the leader of a replica that wants to take part. */
+/** Asks the leader to add the sending replica to the group. */
 export interface JoinRequest {
   readonly kind: 'join';
   readonly from: ReplicaId;
 }
 
-/** Every message between replicas. */
+/** Any request between replicas. */
 export type LogRequest =
   | AppendRequest
-  | FoundRequest
+  | BootstrapRequest
   | IdentityRequest
   | JoinRequest
   | SnapshotRequest
   | VoteRequest;
 
-/** The box of a replica id. */
+/** Returns the box of a replica id. */
 export function boxOf(replica: ReplicaId): string {
   return replica.slice(0, replica.lastIndexOf('~'));
 }
 
-/** The replica id for one life of a box's disk. */
-export function replicaIdOf(box: string, incarnation: string): ReplicaId {
-  return `${box}~${incarnation}`;
+/** Returns the replica id for one incarnation of a box's disk. */
+export function replicaIdOf(box: string, incarnationId: string): ReplicaId {
+  return `${box}~${incarnationId}`;
 }
 
-/** Why a proposal has no outcome. */
+/** Why a proposal has no known result. */
 export type ProposalFailure =
-  /** Nothing was proposed; ask `leader`, if known. */
+  /** Nothing was appended; retry at the box `leader`, if known. */
   | (Failure<'not-leader'> & {readonly leader: string | undefined})
-  /** Proposed, but whether it was committed is not known. */
+  /** Appended, but possibly not committed. */
   | Failure<'leadership-lost'>
   | Failure<'stopped'>;
--- a/packages/puffinturn-log/src/LogStorage.ts
+++ b/packages/puffinturn-log/src/LogStorage.ts
@@ -6,11 +6,12 @@
  */
 
 /**
- * The log of one replica on its disk: a small state file (term, vote,
- * incarnation), one snapshot and segments of entry batches. Each batch is one
- * frame (length, CRC-32, CBOR), written and synced in one step, so that a torn
- * write can only be the last frame. A bad frame with a good one after it means
- * that synced data is damaged; the replica then must not go on.
+ * Stores the log of a replica on disk: a state file (replica id, term and vote),
+ * a snapshot and a segment with batches of entries. Each batch is one frame:
+ * body length (uint32 LE), CRC-32 of the body (uint32 LE) and the CBOR body.
+ * Each frame is written and synced in one step, so a torn write affects the last
+ * frame only. An invalid frame before a valid one means that synced data is
+ * corrupt, and loading fails.
  */
 import {crc32} from 'node:zlib';
 
@@ -30,20 +31,23 @@
 const encoder = new Encoder({useRecords: false});
 const decoder = new Decoder({useRecords: false});
 
-/** Damage to data that had been synced. */
+/** Synced data is corrupt. */
 export type CorruptionFailure = Failure<'corrupt'>;
 
-/** What the disk can answer with instead of data. */
+/** Why reading the stored log failed. */
 export type StorageFailure = CorruptionFailure | DiskFailure;
 
-/** Term and vote; must be synced before a vote or a term is answered. */
+/**
+ * Hard state of a replica. Must be synced before a reply that depends on the term
+ * or the vote is sent.
+ */
 export interface StoredState {
   readonly replica: ReplicaId;
   readonly term: number;
   readonly votedFor: ReplicaId | null;
 }
 
-/** A whole state of the application at one index. */
+/** State of the state machine after applying the entry at `lastIndex`. */
 export interface Snapshot {
   readonly lastIndex: number;
   readonly lastTerm: number;
@@ -51,14 +55,15 @@
   readonly bytes: Uint8Array;
 }
 
-/** Everything that a replica reads at start. */
+/** Everything that a replica reads when it starts. */
 export interface StoredLog {
   readonly state: StoredState | undefined;
   readonly snapshot: Snapshot | undefined;
   readonly entries: Entry[];
 }
 
-function frameOf(value: unknown): Buffer {
+/** Encodes a value as a frame. */
+function encodeFrame(value: unknown): Buffer {
   const body = encoder.encode(value);
   const frame = Buffer.allocUnsafe(FRAME_HEADER_BYTES + body.length);
   frame.writeUInt32LE(body.length, 0);
@@ -67,7 +72,8 @@
   return frame;
 }
 
-function frameAt(bytes: Buffer, offset: number): Buffer | undefined {
+/** Returns the body of the frame at an offset, or undefined if it is invalid. */
+function decodeFrame(bytes: Buffer, offset: number): Buffer | undefined {
   if (offset + FRAME_HEADER_BYTES > bytes.length) {
     return undefined;
   }
@@ -80,19 +86,25 @@
   return crc32(body) === bytes.readUInt32LE(offset + 4) ? body : undefined;
 }
 
-function holdsFrameAfter(bytes: Buffer, offset: number): boolean {
-  for (let at = offset + 1; at + FRAME_HEADER_BYTES < bytes.length; at += 1) {
-    if (frameAt(bytes, at) !== undefined) {
+/** Whether a valid frame starts anywhere after an offset. */
+function hasFrameAfter(bytes: Buffer, offset: number): boolean {
+  for (
+    let start = offset + 1;
+    start + FRAME_HEADER_BYTES < bytes.length;
+    start += 1
+  ) {
+    if (decodeFrame(bytes, start) !== undefined) {
       return true;
     }
   }
   return false;
 }
 
+/** The valid frames of a segment. */
 interface Frames {
   readonly bodies: Buffer[];
-  /** Bytes up to the end of the last good frame. */
-  readonly goodBytes: number;
+  /** Length in bytes up to the end of the last valid frame. */
+  readonly validBytes: number;
 }
 
 function readFrames(
@@ -102,10 +114,10 @@
   const bodies: Buffer[] = [];
   let offset = 0;
   while (offset < bytes.length) {
-    const body = frameAt(bytes, offset);
+    const body = decodeFrame(bytes, offset);
     if (body === undefined) {
-      if (holdsFrameAfter(bytes, offset)) {
-        const message = `${name}: damaged frame at byte ${offset}`;
+      if (hasFrameAfter(bytes, offset)) {
+        const message = `${name}: invalid frame at byte ${offset}`;
         return err({kind: 'corrupt', message});
       }
       break;
@@ -113,7 +125,7 @@
     bodies.push(body);
     offset += FRAME_HEADER_BYTES + body.length;
   }
-  return ok({bodies, goodBytes: offset});
+  return ok({bodies, validBytes: offset});
 }
 
 /** Reads and writes the files of one replica. Calls must not overlap. */
@@ -122,35 +134,41 @@
 
   constructor(private readonly disk: Disk) {}
 
-  /** Reads everything, cutting a torn last frame off the last segment. */
+  /** Reads all files and removes a torn frame at the end of a segment. */
   load(): ResultAsync<StoredLog, StorageFailure> {
     return safeTry(this.loadSteps.bind(this));
   }
 
-  /** Syncs term and vote. */
+  /** Writes and syncs the hard state. */
   writeState(state: StoredState): ResultAsync<void, DiskFailure> {
-    return this.disk.replace(STATE_FILE, frameOf(state));
+    return this.disk.replace(STATE_FILE, encodeFrame(state));
   }
 
-  /** Syncs entries; an index that is there already cuts off all from it on. */
+  /**
+   * Appends and syncs entries. An entry replaces the stored entry with the same
+   * index and all that follow it.
+   */
   append(entries: readonly Entry[]): ResultAsync<void, DiskFailure> {
-    return this.disk.append(this.segment, frameOf(entries));
+    return this.disk.append(this.segment, encodeFrame(entries));
   }
 
-  /** Syncs a snapshot, then keeps just `entries` as the log behind it. */
+  /**
+   * Writes a snapshot, then replaces the log by `entries`. The snapshot is synced
+   * first, so that a crash between the two steps loses no entry.
+   */
   compact(
     snapshot: Snapshot,
     entries: readonly Entry[],
   ): ResultAsync<void, DiskFailure> {
-    const former = this.segment;
-    const number = Number(former.slice(SEGMENT_PREFIX.length)) + 1;
-    const next = `${SEGMENT_PREFIX}${String(number).padStart(16, '0')}`;
+    const previousSegment = this.segment;
+    const nextNumber = Number(previousSegment.slice(SEGMENT_PREFIX.length)) + 1;
+    const nextSegment = `${SEGMENT_PREFIX}${String(nextNumber).padStart(16, '0')}`;
     return this.disk
-      .replace(SNAPSHOT_FILE, frameOf(snapshot))
-      .andThen(() => this.disk.replace(next, frameOf(entries)))
+      .replace(SNAPSHOT_FILE, encodeFrame(snapshot))
+      .andThen(() => this.disk.replace(nextSegment, encodeFrame(entries)))
       .andThen(() => {
-        this.segment = next;
-        return this.disk.remove(former);
+        this.segment = nextSegment;
+        return this.disk.remove(previousSegment);
       });
   }
 
@@ -165,17 +183,17 @@
     for (const name of segments) {
       const bytes = yield* this.disk.read(name);
       const frames = yield* readFrames(name, bytes);
-      if (frames.goodBytes < bytes.length) {
-        const good = bytes.subarray(0, frames.goodBytes);
-        yield* this.disk.replace(name, Buffer.from(good));
+      if (frames.validBytes < bytes.length) {
+        const validPart = bytes.subarray(0, frames.validBytes);
+        yield* this.disk.replace(name, Buffer.from(validPart));
       }
       for (const body of frames.bodies) {
-        overlay(entries, decoder.decode(body) as Entry[]);
+        mergeBatch(entries, decoder.decode(body) as Entry[]);
       }
       this.segment = name;
     }
     return ok<StoredLog, StorageFailure>({
-      entries: contiguousAfter(entries, snapshot),
+      entries: entriesAfterSnapshot(entries, snapshot),
       snapshot,
       state,
     });
@@ -188,18 +206,19 @@
       if (bytes.length === 0) {
         return ok(undefined);
       }
-      const body = frameAt(bytes, 0);
+      const body = decodeFrame(bytes, 0);
       return body === undefined
         ? err<undefined, StorageFailure>({
             kind: 'corrupt',
-            message: `${name}: damaged`,
+            message: `${name}: invalid frame`,
           })
         : ok(decoder.decode(body) as Value);
     });
   }
 }
 
-function overlay(entries: Entry[], batch: readonly Entry[]): void {
+/** Appends a batch; its entries replace those with the same or a higher index. */
+function mergeBatch(entries: Entry[], batch: readonly Entry[]): void {
   for (const entry of batch) {
     const first = entries[0]?.index ?? entry.index;
     if (entry.index < first) {
@@ -212,10 +231,10 @@
 }
 
 /**
- * Drops entries that do not continue the snapshot, as after a crash between
- * the two steps of `compact`.
+ * Returns the entries if they are consistent with the snapshot, otherwise none.
+ * They may be inconsistent after a crash between the steps of `compact`.
  */
-function contiguousAfter(
+function entriesAfterSnapshot(
   entries: Entry[],
   snapshot: Snapshot | undefined,
 ): Entry[] {
@@ -223,7 +242,9 @@
   if (snapshot === undefined || first === undefined) {
     return first === 1 ? entries : [];
   }
-  const joint = entries[snapshot.lastIndex - first];
-  const follows = first === snapshot.lastIndex + 1;
-  return follows || joint?.term === snapshot.lastTerm ? entries : [];
+  const entryAtSnapshot = entries[snapshot.lastIndex - first];
+  const startsAfterSnapshot = first === snapshot.lastIndex + 1;
+  return startsAfterSnapshot || entryAtSnapshot?.term === snapshot.lastTerm
+    ? entries
+    : [];
 }
--- a/packages/puffinturn-log/src/MemberChanges.ts
+++ b/packages/puffinturn-log/src/MemberChanges.ts
@@ -5,19 +5,19 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Member lists: quorums, and changes of one replica at a time. */
+/** Quorum size and membership changes of one replica at a time. */
 import type {Members, ReplicaId} from './LogMessages';
 import {boxOf} from './LogMessages';
 
-/** The number of voters that make a quorum. */
+/** Returns the number of voters that form a majority. */
 export function quorumOf(voters: readonly ReplicaId[]): number {
   return Math.floor(voters.length / 2) + 1;
 }
 
-/** One step of taking a replica in; undefined when nothing is to change. */
+/** Returns the changed member list, or undefined if nothing has to change. */
 export type MemberChange = (members: Members) => Members | undefined;
 
-/** Adds a replica that receives entries and does not vote. */
+/** Adds a replica as a learner. */
 export function withLearner(
   members: Members,
   id: ReplicaId,
@@ -27,22 +27,22 @@
     : {...members, learners: [...members.learners, id]};
 }
 
-/** Drops earlier lives of the same box: their disk is gone for good. */
-export function withoutFormerLives(
+/** Removes former incarnations of the same box, whose disk is lost. */
+export function withoutFormerIncarnations(
   members: Members,
   id: ReplicaId,
 ): Members | undefined {
-  const stays = (other: ReplicaId): boolean =>
+  const isKept = (other: ReplicaId): boolean =>
     other === id || boxOf(other) !== boxOf(id);
-  const voters = members.voters.filter(stays);
-  const learners = members.learners.filter(stays);
-  const same =
+  const voters = members.voters.filter(isKept);
+  const learners = members.learners.filter(isKept);
+  const isUnchanged =
     voters.length === members.voters.length &&
     learners.length === members.learners.length;
-  return same || voters.length === 0 ? undefined : {learners, voters};
+  return isUnchanged || voters.length === 0 ? undefined : {learners, voters};
 }
 
-/** Lets a learner vote. */
+/** Promotes a learner to a voter. */
 export function withVoter(
   members: Members,
   id: ReplicaId,
@@ -55,13 +55,13 @@
       };
 }
 
-/** Drops one replica. */
-export function withoutReplica(
+/** Removes a voter. */
+export function withoutVoter(
   members: Members,
   id: ReplicaId,
 ): Members | undefined {
-  const stays = (other: ReplicaId): boolean => other !== id;
-  const voters = members.voters.filter(stays);
+  const isKept = (other: ReplicaId): boolean => other !== id;
+  const voters = members.voters.filter(isKept);
   return voters.length === members.voters.length || voters.length === 0
     ? undefined
     : {...members, voters};
--- a/packages/puffinturn-log/src/Replica.ts
+++ b/packages/puffinturn-log/src/Replica.ts
@@ -6,11 +6,11 @@
  */
 
 /**
- * One replica of the log: elections with pre-vote, replication with group
- * commit, snapshots, and membership changes of one replica at a time. One task
- * runs elections, one flushes to disk, one applies, and a leader has one task
- * for each peer. Everything that must not overlap with a disk write runs under
- * one mutex.
+ * A Raft replica: elections with pre-vote, log replication with group commit,
+ * snapshots, and membership changes of one replica at a time. Separate tasks run
+ * elections, flush entries to disk and apply committed entries; a leader also
+ * runs one task for each peer. Operations that must not overlap with a disk write
+ * hold a mutex.
  */
 import type {Result} from 'neverthrow';
 import {err, ok, okAsync, ResultAsync} from 'neverthrow';
@@ -23,29 +23,29 @@
   TaskGroup,
 } from 'shared';
 
-import {collectVotes} from './Ballot';
+import type {BootstrapParts} from './Bootstrap';
+import {tryBootstrapOrJoin} from './Bootstrap';
 import type {Disk} from './Disk';
+import {collectVotes} from './Election';
 import {EntryList} from './EntryList';
-import type {FoundingParts} from './Founding';
-import {tryToTakePart} from './Founding';
 import type {ReplicaTiming} from './LogConstants';
 import {
-  CAUGHT_UP_ENTRIES,
-  LOST_AFTER_ELECTIONS,
+  LEADER_LOST_AFTER_ELECTION_TIMEOUTS,
   MAX_APPEND_BYTES,
   MAX_APPEND_ENTRIES,
-  REJOIN_ELECTIONS,
-  REPLACE_ELECTIONS,
-  SNAPSHOT_EVERY_ENTRIES,
+  MAX_LEARNER_LAG_ENTRIES,
+  REJOIN_AFTER_ELECTION_TIMEOUTS,
+  REPLACE_AFTER_ELECTION_TIMEOUTS,
+  SNAPSHOT_INTERVAL_ENTRIES,
   TRAILING_ENTRIES,
 } from './LogConstants';
 import type {LogLink, Machine} from './LogLink';
 import type {
   AppendReply,
   AppendRequest,
+  BootstrapRequest,
   Entry,
   EntryBody,
-  FoundRequest,
   IdentityReply,
   LogRequest,
   Members,
@@ -63,14 +63,14 @@
 import {
   quorumOf,
   withLearner,
-  withoutFormerLives,
-  withoutReplica,
+  withoutFormerIncarnations,
+  withoutVoter,
   withVoter,
 } from './MemberChanges';
-import {SnapshotAssembly} from './SnapshotAssembly';
+import {SnapshotAssembler} from './SnapshotAssembler';
 import {sendSnapshot} from './SnapshotTransfer';
 
-/** What a replica is at the moment. */
+/** Roles of a replica. */
 export const ROLE = {
   candidate: 'candidate',
   follower: 'follower',
@@ -80,10 +80,10 @@
 /** One of ROLE. */
 export type Role = (typeof ROLE)[keyof typeof ROLE];
 
-/** What a replica is made of. */
+/** Dependencies and options of a replica. */
 export interface ReplicaParts {
   readonly box: string;
-  /** A fresh name for this life of the disk, used when the disk is empty. */
+  /** A new unique identifier, used in the replica id if the disk is empty. */
   readonly incarnation: string;
   readonly clock: Clock;
   readonly disk: Disk;
@@ -91,45 +91,47 @@
   readonly machine: Machine;
   readonly random: Random;
   readonly timing: ReplicaTiming;
-  /** Applied entries between snapshots. */
+  /** Number of applied entries between two snapshots. */
   readonly snapshotEvery?: number;
-  /** Most voters; further replicas stay learners until one is replaced. */
+  /** Maximum number of voters. Further replicas remain learners. */
   readonly maxVoters?: number | undefined;
-  /** Told of every change of role or leader. */
+  /** Called after a change of role or leader. */
   readonly onRole?: (role: Role, term: number, leader?: string) => void;
-  /** Deliberate breakages; the fuzzer checks that each one is found. */
+  /** Bugs to inject, so that the fuzzer can check that it detects them. */
   readonly breakage?: ReplicaBreakage;
 }
 
-/** Faults in the algorithm itself, for showing that the tests can fail. */
+/** Bugs in the consensus algorithm that can be injected for testing. */
 export interface ReplicaBreakage {
-  /** Votes without comparing logs. */
+  /** Grants votes without comparing logs. */
   readonly voteWithoutLogCheck?: boolean;
-  /** Commits as soon as the leader alone has the entry. */
+  /** Commits an entry as soon as the leader alone has synced it. */
   readonly commitWithoutQuorum?: boolean;
 }
 
+/** Replication progress of another replica, kept by the leader. */
 interface Peer {
   readonly id: ReplicaId;
   nextIndex: number;
   matchIndex: number;
-  /** When the newest message that it answered was sent. */
+  /** When the latest request that the peer answered was sent. */
   ackedAt: number;
   readonly addedAt: number;
 }
 
-interface Waiter {
+/** A proposal whose entry has not been applied yet. */
+interface PendingProposal {
   readonly term: number;
-  readonly settle: (outcome: Outcome) => void;
+  readonly settle: (outcome: ProposalOutcome) => void;
 }
 
-type Outcome =
+type ProposalOutcome =
   | {readonly kind: 'applied'; readonly value: unknown}
   | {readonly kind: 'failed'; readonly failure: ProposalFailure};
 
 const NO_MEMBERS: Members = {learners: [], voters: []};
 
-/** A member of a replicated log. Dispose it to stop its tasks. */
+/** A replica of the log. Dispose it to stop its tasks. */
 export class Replica implements AsyncDisposable {
   /** The id of this replica. */
   readonly id: ReplicaId;
@@ -144,16 +146,20 @@
   private commitIndex: number;
   private appliedIndex: number;
   private leader: ReplicaId | undefined;
-  private heardAt: number;
+  /** Last contact from a leader or granted vote; restarts the election timeout. */
+  private lastContactAt: number;
   private readonly peers = new Map<ReplicaId, Peer>();
-  private readonly waiters = new Map<number, Waiter>();
+  private readonly pendingProposals = new Map<number, PendingProposal>();
   private readonly mutex = new Mutex();
-  /** One member change at a time, each committed before the next. */
+  /** Serialises membership changes; each is committed before the next. */
   private readonly membersMutex = new Mutex();
-  private readonly grown = new Condition();
-  private readonly committed = new Condition();
-  private readonly acknowledged = new Condition();
-  private readonly assembly = new SnapshotAssembly();
+  /** Wakes the flush task and the replication tasks. */
+  private readonly logAppended = new Condition();
+  /** Wakes the apply task. */
+  private readonly commitAdvanced = new Condition();
+  /** Notified when a peer acknowledges or the commit or applied index advances. */
+  private readonly progressMade = new Condition();
+  private readonly snapshotAssembler = new SnapshotAssembler();
   private readonly tasks = new TaskGroup();
 
   private constructor(
@@ -168,24 +174,24 @@
     this.votedFor = stored.state?.votedFor ?? null;
     this.snapshot = snapshot;
     const first = entries[0];
-    const beforeEntries =
+    const startsAfterSnapshot =
       first === undefined || first.index === (snapshot?.lastIndex ?? 0) + 1;
     this.log = new EntryList(
-      beforeEntries ? (snapshot?.lastIndex ?? 0) : first.index - 1,
-      beforeEntries ? (snapshot?.lastTerm ?? 0) : first.term,
+      startsAfterSnapshot ? (snapshot?.lastIndex ?? 0) : first.index - 1,
+      startsAfterSnapshot ? (snapshot?.lastTerm ?? 0) : first.term,
       entries,
     );
     this.syncedIndex = this.log.lastIndex;
     this.commitIndex = snapshot?.lastIndex ?? 0;
     this.appliedIndex = this.commitIndex;
-    this.heardAt = parts.clock.now();
+    this.lastContactAt = parts.clock.now();
     if (snapshot !== undefined) {
       parts.machine.restore(snapshot.bytes);
     }
     this.refreshMembers();
   }
 
-  /** Reads the disk and starts the tasks. */
+  /** Loads the stored log and starts the tasks. */
   static open(parts: ReplicaParts): ResultAsync<Replica, StorageFailure> {
     const storage = new LogStorage(parts.disk);
     return storage
@@ -193,24 +199,24 @@
       .andThen((stored) => {
         const replica = new Replica(parts, storage, stored);
         return stored.state === undefined
-          ? storage.writeState(replica.stateToStore()).map(() => replica)
+          ? storage.writeState(replica.storedState()).map(() => replica)
           : okAsync<Replica, StorageFailure>(replica);
       })
       .map((replica) => {
         replica.tasks.start((signal) => replica.runElections(signal));
         replica.tasks.start((signal) => replica.runFlush(signal));
         replica.tasks.start((signal) => replica.runApply(signal));
-        replica.tasks.start((signal) => replica.runMembers(signal));
+        replica.tasks.start((signal) => replica.runVoterReplacement(signal));
         return replica;
       });
   }
 
-  /** True once this replica knows a member list. */
-  get founded(): boolean {
+  /** Whether this replica knows the members of its group. */
+  get isBootstrapped(): boolean {
     return this.members.voters.length > 0;
   }
 
-  /** True while this replica believes itself the leader. */
+  /** Whether this replica considers itself the leader. */
   get isLeader(): boolean {
     return this.role === ROLE.leader;
   }
@@ -221,29 +227,31 @@
   }
 
   /**
-   * The box of the leader while it is heard from; undefined where this replica
-   * may be cut off, and what it has applied may be old.
+   * The box of the leader if it was in contact recently. Undefined if this
+   * replica may be partitioned from the leader and its state may be stale.
    */
   get heardLeaderBox(): string | undefined {
     return this.leaderHeardForMs > 0 ? this.leaderBox : undefined;
   }
 
   /**
-   * Time until the leader counts as not heard, without a further word from it, ms;
-   * Infinity while this replica leads.
+   * Milliseconds until the leader counts as lost if there is no further contact;
+   * Infinity if this replica is the leader.
    */
   get leaderHeardForMs(): number {
     const {clock, timing} = this.parts;
-    const lostAt = this.heardAt + LOST_AFTER_ELECTIONS * timing.electionMs;
+    const lostAt =
+      this.lastContactAt +
+      LEADER_LOST_AFTER_ELECTION_TIMEOUTS * timing.electionMs;
     return this.isLeader ? Infinity : Math.max(0, lostAt - clock.now());
   }
 
-  /** Figures for status pages and metrics. */
+  /** Returns the current state, for status pages and metrics. */
   status() {
     return {
       appliedIndex: this.appliedIndex,
       commitIndex: this.commitIndex,
-      founded: this.founded,
+      isBootstrapped: this.isBootstrapped,
       lastIndex: this.log.lastIndex,
       leader: this.leader,
       members: this.members,
@@ -253,41 +261,45 @@
     };
   }
 
-  /** Proposes a record; resolves with what `Machine.apply` returned for it. */
+  /** Proposes a record. Resolves to the result of applying it. */
   propose(record: unknown): ResultAsync<unknown, ProposalFailure> {
     return this.append({kind: 'record', record});
   }
 
   /**
-   * Waits until this replica has shown, by a round of answers from a quorum
-   * sent after the call, that it still leads, and has applied all that was
-   * committed before. After it the machine may be read.
+   * Waits until a quorum has confirmed, by answering requests sent after the
+   * call, that this replica is still the leader, and until all entries committed
+   * before the call are applied. Reads after it are linearizable.
    */
   barrier(): ResultAsync<void, ProposalFailure> {
-    return new ResultAsync(this.waitBarrier());
+    return new ResultAsync(this.runBarrier());
   }
 
-  /** Proposes another member list; one replica may differ from the last. */
-  changeMembers(members: Members): ResultAsync<unknown, ProposalFailure> {
+  /**
+   * Proposes a new member list. It may differ from the current one by one
+   * replica only, so that the quorums of both lists overlap.
+   */
+  proposeMembers(members: Members): ResultAsync<unknown, ProposalFailure> {
     return this.append({kind: 'members', members});
   }
 
-  /** Replaces the earlier life of a box, or adds it, as its disk was lost. */
-  join(newcomer: ReplicaId): ResultAsync<void, ProposalFailure> {
+  /** Adds a replica and removes former incarnations of its box. */
+  join(joiningId: ReplicaId): ResultAsync<void, ProposalFailure> {
     return new ResultAsync(
-      this.membersMutex.run(() => this.admitReplica(newcomer)),
+      this.membersMutex.run(() => this.addReplica(joiningId)),
     );
   }
 
-  /** Hands leadership on by ceasing to lead; the others elect at once. */
+  /** Gives up leadership and delays its own next election. */
   stepDown(): void {
     if (this.role === ROLE.leader) {
       this.becomeFollower(this.term, undefined);
-      this.heardAt = this.parts.clock.now() + this.parts.timing.electionMs;
+      this.lastContactAt =
+        this.parts.clock.now() + this.parts.timing.electionMs;
     }
   }
 
-  /** Answers a message from another replica. */
+  /** Handles a request from another replica and returns the reply. */
   async handle(request: LogRequest): Promise<unknown> {
     switch (request.kind) {
       case 'vote':
@@ -297,9 +309,9 @@
       case 'snapshot':
         return this.mutex.run(() => this.handleSnapshot(request));
       case 'identity':
-        return this.identity();
+        return this.identityReply();
       case 'found':
-        return this.mutex.run(() => this.handleFound(request));
+        return this.mutex.run(() => this.handleBootstrap(request));
       case 'join':
         return this.join(request.from).match(
           () => ({joined: true}),
@@ -309,64 +321,71 @@
   }
 
   /**
-   * Founds a new group when `mayFound` holds and every given box is blank, or
-   * asks the leader of an existing one to take this replica in. Goes on for
-   * the replica's life, since the group may drop a replica that was away; the
-   * first call to end is the one that finds this replica a member.
+   * Bootstraps a new group if `mayBootstrap` is set and no given box belongs to
+   * one, otherwise asks to join the existing group. Resolves once this replica is
+   * a member. A background task then asks to join again after a long loss of
+   * contact, because the group may have removed this replica.
    */
   async takePart(
     boxes: () => readonly string[],
-    mayFound = true,
+    mayBootstrap = true,
   ): Promise<void> {
     while (!this.tasks.ended && !this.isMember()) {
-      await tryToTakePart(this.foundingParts(), boxes(), mayFound);
+      await tryBootstrapOrJoin(this.bootstrapParts(), boxes(), mayBootstrap);
       await this.parts.clock.sleep(
         this.parts.timing.electionMs,
         this.tasks.signal,
       );
     }
-    this.tasks.start((signal) => this.rejoin(boxes, signal));
+    this.tasks.start((signal) => this.runRejoin(boxes, signal));
   }
 
-  /** Stops all tasks; proposals still waiting fail as `stopped`. */
+  /** Stops all tasks. Pending proposals fail with `stopped`. */
   async [Symbol.asyncDispose](): Promise<void> {
     this.tasks.abort();
-    this.grown.notify();
-    this.committed.notify();
-    this.acknowledged.notify();
-    this.failWaiters({kind: 'stopped', message: 'the replica is stopping'});
+    this.logAppended.notify();
+    this.commitAdvanced.notify();
+    this.progressMade.notify();
+    this.failPendingProposals({
+      kind: 'stopped',
+      message: 'the replica is stopping',
+    });
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  /** Asks to be taken in again whenever no leader has been heard for long. */
-  private async rejoin(
+  /** Asks to join again whenever there was no contact from a leader for long. */
+  private async runRejoin(
     boxes: () => readonly string[],
     signal: AbortSignal,
   ): Promise<void> {
     const {clock, timing} = this.parts;
     while (!signal.aborted) {
       await clock.sleep(2 * timing.electionMs, signal);
-      const silence = clock.now() - this.heardAt;
-      if (!this.isLeader && silence > REJOIN_ELECTIONS * timing.electionMs) {
-        await tryToTakePart(this.foundingParts(), boxes(), false);
+      const msSinceContact = clock.now() - this.lastContactAt;
+      if (
+        !this.isLeader &&
+        msSinceContact > REJOIN_AFTER_ELECTION_TIMEOUTS * timing.electionMs
+      ) {
+        await tryBootstrapOrJoin(this.bootstrapParts(), boxes(), false);
       }
     }
   }
 
-  private identity(): IdentityReply {
+  private identityReply(): IdentityReply {
     return {
-      founded: this.founded,
+      founded: this.isBootstrapped,
       replica: this.id,
       voters: this.members.voters,
     };
   }
 
-  private foundingParts(): FoundingParts {
+  private bootstrapParts(): BootstrapParts {
     const {box, link, timing} = this.parts;
     return {
       box,
-      found: (request) => this.mutex.run(() => this.handleFound(request)),
-      identity: () => this.identity(),
+      bootstrap: (request) =>
+        this.mutex.run(() => this.handleBootstrap(request)),
+      identity: () => this.identityReply(),
       link,
       timing,
     };
@@ -377,18 +396,20 @@
   private append(body: EntryBody): ResultAsync<unknown, ProposalFailure> {
     if (this.tasks.ended) {
       return new ResultAsync(
-        Promise.resolve(err({kind: 'stopped', message: 'stopped'})),
+        Promise.resolve(
+          err({kind: 'stopped', message: 'the replica is stopped'}),
+        ),
       );
     }
     if (this.role !== ROLE.leader) {
-      return new ResultAsync(Promise.resolve(err(this.notLeader())));
+      return new ResultAsync(Promise.resolve(err(this.notLeaderFailure())));
     }
     const {index} = this.push(body);
-    const settled = new Promise<Outcome>((settle) =>
-      this.waiters.set(index, {settle, term: this.term}),
+    const outcomePromise = new Promise<ProposalOutcome>((settle) =>
+      this.pendingProposals.set(index, {settle, term: this.term}),
     );
     return new ResultAsync(
-      settled.then((outcome) =>
+      outcomePromise.then((outcome) =>
         outcome.kind === 'applied' ? ok(outcome.value) : err(outcome.failure),
       ),
     );
@@ -400,54 +421,58 @@
     if (body.kind === 'members') {
       this.refreshMembers();
     }
-    this.grown.notify();
+    this.logAppended.notify();
     return entry;
   }
 
-  private notLeader(): ProposalFailure {
+  private notLeaderFailure(): ProposalFailure {
     return {
       kind: 'not-leader',
       leader: this.leaderBox,
-      message: `${this.parts.box} does not lead`,
+      message: `${this.parts.box} is not the leader`,
     };
   }
 
-  private async waitBarrier() {
-    const asked = this.parts.clock.now();
+  private async runBarrier() {
+    const startedAt = this.parts.clock.now();
     const {term} = this;
     while (this.isLeader && this.term === term && !this.tasks.ended) {
-      const ownTerm = this.log.termAt(this.commitIndex) === term;
-      const current = this.appliedIndex === this.commitIndex;
-      if (ownTerm && current && this.quorumAckedAt() >= asked) {
+      const hasCommittedInTerm = this.log.termAt(this.commitIndex) === term;
+      const isApplied = this.appliedIndex === this.commitIndex;
+      if (
+        hasCommittedInTerm &&
+        isApplied &&
+        this.lastQuorumContactAt() >= startedAt
+      ) {
         return ok<void, ProposalFailure>(undefined);
       }
-      this.grown.notify();
-      await this.acknowledged.wait();
+      this.logAppended.notify();
+      await this.progressMade.wait();
     }
-    return err<void, ProposalFailure>(this.notLeader());
+    return err<void, ProposalFailure>(this.notLeaderFailure());
   }
 
-  private failWaiters(failure: ProposalFailure): void {
-    for (const waiter of this.waiters.values()) {
-      waiter.settle({failure, kind: 'failed'});
+  private failPendingProposals(failure: ProposalFailure): void {
+    for (const proposal of this.pendingProposals.values()) {
+      proposal.settle({failure, kind: 'failed'});
     }
-    this.waiters.clear();
+    this.pendingProposals.clear();
   }
 
-  // Disk
+  // Persistence
 
-  private stateToStore() {
+  private storedState() {
     return {replica: this.id, term: this.term, votedFor: this.votedFor};
   }
 
   private async saveState(): Promise<boolean> {
-    const written = await this.storage.writeState(this.stateToStore());
+    const written = await this.storage.writeState(this.storedState());
     return written.isOk();
   }
 
-  /** Syncs all entries not yet synced. Runs under the mutex. */
+  /** Syncs all unsynced entries. The caller holds the mutex. */
   private async flush(): Promise<boolean> {
-    const pending = this.log.from(this.syncedIndex + 1);
+    const pending = this.log.entriesFrom(this.syncedIndex + 1);
     if (pending.length === 0) {
       return true;
     }
@@ -462,12 +487,12 @@
   private async runFlush(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (this.syncedIndex >= this.log.lastIndex) {
-        await this.grown.wait();
+        await this.logAppended.wait();
         continue;
       }
-      const flushed = await this.mutex.run(() => this.flush());
-      if (!flushed) {
-        // A leader that cannot write must not hold the group up.
+      const isFlushed = await this.mutex.run(() => this.flush());
+      if (!isFlushed) {
+        // A leader that cannot write must not block the group.
         this.stepDown();
         await this.parts.clock.sleep(this.parts.timing.heartbeatMs, signal);
       }
@@ -475,21 +500,24 @@
     }
   }
 
-  // Applying
+  // State machine
 
   private async runApply(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (this.appliedIndex >= this.commitIndex) {
-        await this.committed.wait();
+        await this.commitAdvanced.wait();
         continue;
       }
-      const entry = this.log.at(this.appliedIndex + 1);
-      invariant(entry !== undefined, 'a committed entry is missing');
+      const entry = this.log.entryAt(this.appliedIndex + 1);
+      invariant(
+        entry !== undefined,
+        'the next committed entry is missing from the log',
+      );
       this.applyEntry(entry);
       if (this.appliedIndex === this.commitIndex) {
-        this.acknowledged.notify();
+        this.progressMade.notify();
       }
-      if (this.snapshotDue()) {
+      if (this.isSnapshotDue()) {
         await this.mutex.run(() => this.takeSnapshot());
       }
     }
@@ -501,21 +529,21 @@
         ? this.parts.machine.apply(entry.body.record, entry.index)
         : undefined;
     this.appliedIndex = entry.index;
-    const waiter = this.waiters.get(entry.index);
-    if (waiter === undefined) {
+    const proposal = this.pendingProposals.get(entry.index);
+    if (proposal === undefined) {
       return;
     }
-    this.waiters.delete(entry.index);
-    waiter.settle(
-      waiter.term === entry.term
+    this.pendingProposals.delete(entry.index);
+    proposal.settle(
+      proposal.term === entry.term
         ? {kind: 'applied', value}
-        : {failure: leadershipLost(), kind: 'failed'},
+        : {failure: leadershipLostFailure(), kind: 'failed'},
     );
   }
 
-  private snapshotDue(): boolean {
-    const every = this.parts.snapshotEvery ?? SNAPSHOT_EVERY_ENTRIES;
-    return this.appliedIndex - (this.snapshot?.lastIndex ?? 0) >= every;
+  private isSnapshotDue(): boolean {
+    const interval = this.parts.snapshotEvery ?? SNAPSHOT_INTERVAL_ENTRIES;
+    return this.appliedIndex - (this.snapshot?.lastIndex ?? 0) >= interval;
   }
 
   private async takeSnapshot(): Promise<void> {
@@ -528,35 +556,42 @@
     const members = this.membersAt(lastIndex);
     await this.flush();
     const snapshot = {bytes, lastIndex, lastTerm, members};
-    const trailing = Math.min(
+    const trailingEntries = Math.min(
       TRAILING_ENTRIES,
       this.parts.snapshotEvery ?? TRAILING_ENTRIES,
     );
-    const keepAfter = Math.max(this.log.firstBase, lastIndex - trailing);
+    const compactThrough = Math.max(
+      this.log.compactedIndex,
+      lastIndex - trailingEntries,
+    );
     const written = await this.storage.compact(
       snapshot,
-      this.log.from(keepAfter + 1),
+      this.log.entriesFrom(compactThrough + 1),
     );
     if (written.isOk()) {
       this.snapshot = snapshot;
-      this.log.dropThrough(keepAfter);
+      this.log.compactThrough(compactThrough);
     }
   }
 
-  // Members
+  // Membership
 
   private refreshMembers(): void {
-    const newest = this.log.newestMembers();
-    this.members = newest?.members ?? this.snapshot?.members ?? NO_MEMBERS;
-    this.membersIndex = newest?.index ?? this.snapshot?.lastIndex ?? 0;
+    const latest = this.log.latestMembers();
+    this.members = latest?.members ?? this.snapshot?.members ?? NO_MEMBERS;
+    this.membersIndex = latest?.index ?? this.snapshot?.lastIndex ?? 0;
     if (this.isLeader) {
       this.refreshPeers();
     }
   }
 
   private membersAt(index: number): Members {
-    for (let at = index; at > this.log.firstBase; at -= 1) {
-      const body = this.log.at(at)?.body;
+    for (
+      let position = index;
+      position > this.log.compactedIndex;
+      position -= 1
+    ) {
+      const body = this.log.entryAt(position)?.body;
       if (body?.kind === 'members') {
         return body.members;
       }
@@ -573,13 +608,13 @@
   }
 
   private refreshPeers(): void {
-    const wanted = [...this.members.voters, ...this.members.learners];
+    const memberIds = [...this.members.voters, ...this.members.learners];
     for (const id of this.peers.keys()) {
-      if (!wanted.includes(id)) {
+      if (!memberIds.includes(id)) {
         this.peers.delete(id);
       }
     }
-    for (const id of wanted) {
+    for (const id of memberIds) {
       if (id !== this.id && !this.peers.has(id)) {
         const peer = {
           ackedAt: -Infinity,
@@ -590,109 +625,120 @@
         };
         this.peers.set(id, peer);
         const {term} = this;
-        this.tasks.start((signal) => this.runPeer(peer, term, signal));
+        this.tasks.start((signal) => this.runReplication(peer, term, signal));
       }
     }
   }
 
-  private async admitReplica(
-    newcomer: ReplicaId,
+  private async addReplica(
+    joiningId: ReplicaId,
   ): Promise<Result<void, ProposalFailure>> {
-    const asLearner = await this.stepMembers((members) =>
-      withLearner(members, newcomer),
+    const learnerAdded = await this.applyMemberChange((members) =>
+      withLearner(members, joiningId),
     );
-    if (asLearner.isErr()) {
-      return asLearner;
+    if (learnerAdded.isErr()) {
+      return learnerAdded;
     }
-    const alone = await this.stepMembers((members) =>
-      withoutFormerLives(members, newcomer),
+    const formerRemoved = await this.applyMemberChange((members) =>
+      withoutFormerIncarnations(members, joiningId),
     );
-    if (alone.isErr() || this.votersFull()) {
-      return alone;
+    if (formerRemoved.isErr() || this.hasMaxVoters()) {
+      return formerRemoved;
     }
-    await this.waitCaughtUp(newcomer);
-    return this.stepMembers((members) => withVoter(members, newcomer));
+    await this.waitUntilCaughtUp(joiningId);
+    return this.applyMemberChange((members) => withVoter(members, joiningId));
   }
 
-  /** One change of members, committed; runs under the members' mutex. */
-  private async stepMembers(
-    step: MemberChange,
+  /** Commits one membership change. The caller holds the membership mutex. */
+  private async applyMemberChange(
+    change: MemberChange,
   ): Promise<Result<void, ProposalFailure>> {
     const barrier = await this.barrier();
     if (barrier.isErr()) {
       return err(barrier.error);
     }
-    const next = step(this.members);
+    const next = change(this.members);
     if (next === undefined) {
       return ok(undefined);
     }
-    const changed = await this.changeMembers(next);
+    const changed = await this.proposeMembers(next);
     return changed.map(() => undefined);
   }
 
-  private votersFull(): boolean {
+  private hasMaxVoters(): boolean {
     const {maxVoters} = this.parts;
     return maxVoters !== undefined && this.members.voters.length >= maxVoters;
   }
 
-  private silentFor(id: ReplicaId): number {
+  /** Milliseconds since the last answered request was sent or the peer added. */
+  private msSinceContactWith(id: ReplicaId): number {
     const peer = this.peers.get(id);
     return peer === undefined
       ? 0
       : this.parts.clock.now() - Math.max(peer.ackedAt, peer.addedAt);
   }
 
-  /** While leading, replaces a voter that fell silent by a learner. */
-  private async runMembers(signal: AbortSignal): Promise<void> {
+  /** As leader, replaces voters that no longer answer by learners. */
+  private async runVoterReplacement(signal: AbortSignal): Promise<void> {
     const {clock, timing} = this.parts;
     while (!signal.aborted) {
       await clock.sleep(timing.electionMs, signal);
       if (this.isLeader && !signal.aborted) {
-        await this.membersMutex.run(() => this.replaceSilentVoter());
+        await this.membersMutex.run(() => this.replaceUnresponsiveVoter());
       }
     }
   }
 
-  private async replaceSilentVoter(): Promise<void> {
-    const limit = REPLACE_ELECTIONS * this.parts.timing.electionMs;
+  private async replaceUnresponsiveVoter(): Promise<void> {
+    const contactTimeoutMs =
+      REPLACE_AFTER_ELECTION_TIMEOUTS * this.parts.timing.electionMs;
     const {learners, voters} = this.members;
-    const ready = learners.find(
+    const caughtUpLearner = learners.find(
       (id) =>
-        this.silentFor(id) < this.parts.timing.electionMs &&
+        this.msSinceContactWith(id) < this.parts.timing.electionMs &&
         this.commitIndex - (this.peers.get(id)?.matchIndex ?? 0) <=
-          CAUGHT_UP_ENTRIES,
+          MAX_LEARNER_LAG_ENTRIES,
     );
-    const silent = voters.find(
-      (id) => id !== this.id && this.silentFor(id) > limit,
+    const unresponsiveVoter = voters.find(
+      (id) => id !== this.id && this.msSinceContactWith(id) > contactTimeoutMs,
     );
-    if (ready === undefined || (silent === undefined && this.votersFull())) {
+    if (
+      caughtUpLearner === undefined ||
+      (unresponsiveVoter === undefined && this.hasMaxVoters())
+    ) {
       return;
     }
-    const added = await this.stepMembers((members) =>
-      withVoter(members, ready),
+    const added = await this.applyMemberChange((members) =>
+      withVoter(members, caughtUpLearner),
     );
-    if (added.isOk() && silent !== undefined && this.votersFull()) {
-      await this.stepMembers((members) => withoutReplica(members, silent));
+    if (
+      added.isOk() &&
+      unresponsiveVoter !== undefined &&
+      this.hasMaxVoters()
+    ) {
+      await this.applyMemberChange((members) =>
+        withoutVoter(members, unresponsiveVoter),
+      );
     }
   }
 
-  private async waitCaughtUp(id: ReplicaId): Promise<void> {
-    const behind = (): number =>
+  private async waitUntilCaughtUp(id: ReplicaId): Promise<void> {
+    const lagEntries = (): number =>
       this.commitIndex - (this.peers.get(id)?.matchIndex ?? 0);
-    const reachable = (): boolean =>
-      this.silentFor(id) < 2 * this.parts.timing.electionMs;
+    const isReachable = (): boolean =>
+      this.msSinceContactWith(id) < 2 * this.parts.timing.electionMs;
     while (
       this.isLeader &&
       !this.tasks.ended &&
-      reachable() &&
-      behind() > CAUGHT_UP_ENTRIES
+      isReachable() &&
+      lagEntries() > MAX_LEARNER_LAG_ENTRIES
     ) {
-      await this.acknowledged.wait();
+      await this.progressMade.wait();
     }
   }
 
-  private async handleFound(request: FoundRequest) {
-    if (this.founded || request.to !== this.id) {
+  private async handleBootstrap(request: BootstrapRequest) {
+    if (this.isBootstrapped || request.to !== this.id) {
       return {founded: false};
     }
     const body = {kind: 'members', members: request.members} as const;
@@ -711,29 +757,36 @@
         this.checkQuorum();
         continue;
       }
-      const patience = random.integer(timing.electionMs, 2 * timing.electionMs);
-      await clock.sleep(patience, signal);
-      const silent = clock.now() - this.heardAt >= timing.electionMs;
-      if (!signal.aborted && !this.isLeader && silent && this.isVoter()) {
-        await this.stand();
+      const timeoutMs = random.integer(
+        timing.electionMs,
+        2 * timing.electionMs,
+      );
+      await clock.sleep(timeoutMs, signal);
+      const hasTimedOut = clock.now() - this.lastContactAt >= timing.electionMs;
+      if (!signal.aborted && !this.isLeader && hasTimedOut && this.isVoter()) {
+        await this.startElection();
       }
     }
   }
 
-  /** A leader that a quorum has not answered for a while stops by itself. */
+  /** Steps down if a quorum has not answered for two election timeouts. */
   private checkQuorum(): void {
-    const silence = this.parts.clock.now() - this.quorumAckedAt();
-    if (this.isLeader && silence > 2 * this.parts.timing.electionMs) {
+    const msSinceQuorumContact =
+      this.parts.clock.now() - this.lastQuorumContactAt();
+    if (
+      this.isLeader &&
+      msSinceQuorumContact > 2 * this.parts.timing.electionMs
+    ) {
       this.becomeFollower(this.term, undefined);
     }
   }
 
-  private async stand(): Promise<void> {
+  private async startElection(): Promise<void> {
     const {term} = this;
-    if (!(await this.askForVotes(term + 1, true)) || this.term !== term) {
+    if (!(await this.requestVotes(term + 1, true)) || this.term !== term) {
       return;
     }
-    const standing = await this.mutex.run(async () => {
+    const isCandidate = await this.mutex.run(async () => {
       if (this.term !== term) {
         return false;
       }
@@ -743,18 +796,18 @@
       this.leader = undefined;
       return this.saveState();
     });
-    if (standing && (await this.askForVotes(term + 1, false))) {
+    if (isCandidate && (await this.requestVotes(term + 1, false))) {
       this.becomeLeader(term + 1);
     }
   }
 
-  private askForVotes(term: number, preVote: boolean): Promise<boolean> {
+  private requestVotes(term: number, preVote: boolean): Promise<boolean> {
     return collectVotes({
-      callMs: this.parts.timing.callMs,
+      callTimeoutMs: this.parts.timing.callMs,
       link: this.parts.link,
-      onTerm: (answered) => {
-        if (answered > this.term && !preVote) {
-          void this.mutex.run(() => this.adoptTerm(answered));
+      onReplyTerm: (replyTerm) => {
+        if (replyTerm > this.term && !preVote) {
+          void this.mutex.run(() => this.adoptTerm(replyTerm));
         }
       },
       request: {
@@ -770,37 +823,39 @@
   }
 
   private async handleVote(request: VoteRequest): Promise<VoteReply> {
-    const refuse = {granted: false, term: this.term};
+    const rejection = {granted: false, term: this.term};
     if (request.to !== this.id) {
-      return refuse;
+      return rejection;
     }
     const {clock, timing} = this.parts;
-    const heard = clock.now() - this.heardAt < timing.electionMs;
-    const served = this.isLeader || (this.leader !== undefined && heard);
-    if (request.term < this.term || served) {
-      return refuse;
+    const hasRecentContact =
+      clock.now() - this.lastContactAt < timing.electionMs;
+    const hasLeader =
+      this.isLeader || (this.leader !== undefined && hasRecentContact);
+    if (request.term < this.term || hasLeader) {
+      return rejection;
     }
-    const upToDate =
+    const isLogUpToDate =
       this.parts.breakage?.voteWithoutLogCheck === true ||
       request.lastTerm > this.log.lastTerm ||
       (request.lastTerm === this.log.lastTerm &&
         request.lastIndex >= this.log.lastIndex);
     if (request.preVote) {
-      return {granted: upToDate, term: this.term};
+      return {granted: isLogUpToDate, term: this.term};
     }
     if (request.term > this.term) {
       await this.adoptTerm(request.term);
     }
-    const free = this.votedFor === null || this.votedFor === request.from;
-    if (!upToDate || !free) {
+    const canVote = this.votedFor === null || this.votedFor === request.from;
+    if (!isLogUpToDate || !canVote) {
       return {granted: false, term: this.term};
     }
     this.votedFor = request.from;
-    this.heardAt = clock.now();
+    this.lastContactAt = clock.now();
     return {granted: await this.saveState(), term: this.term};
   }
 
-  /** Takes over a higher term and syncs it. Runs under the mutex. */
+  /** Adopts and syncs a higher term. The caller holds the mutex. */
   private async adoptTerm(term: number): Promise<void> {
     if (term > this.term) {
       this.votedFor = null;
@@ -825,52 +880,53 @@
   }
 
   private becomeFollower(term: number, leader: ReplicaId | undefined): void {
-    const changed = this.isLeader || this.leader !== leader;
+    const hasChanged = this.isLeader || this.leader !== leader;
     this.term = term;
     this.role = ROLE.follower;
     this.leader = leader;
     this.peers.clear();
-    this.failWaiters(leadershipLost());
-    this.grown.notify();
-    this.acknowledged.notify();
-    if (changed) {
+    this.failPendingProposals(leadershipLostFailure());
+    this.logAppended.notify();
+    this.progressMade.notify();
+    if (hasChanged) {
       this.parts.onRole?.(ROLE.follower, term, this.leaderBox);
     }
   }
 
-  // Leading
+  // Replication by the leader
 
-  private leads(peer: Peer, term: number): boolean {
+  /** Whether this replica still replicates to the peer as leader of the term. */
+  private isReplicatingTo(peer: Peer, term: number): boolean {
     return (
       this.isLeader && this.term === term && this.peers.get(peer.id) === peer
     );
   }
 
-  private async runPeer(
+  private async runReplication(
     peer: Peer,
     term: number,
     signal: AbortSignal,
   ): Promise<void> {
     const {clock, timing} = this.parts;
-    while (!signal.aborted && this.leads(peer, term)) {
+    while (!signal.aborted && this.isReplicatingTo(peer, term)) {
       const sentAt = clock.now();
-      const progressed =
-        peer.nextIndex <= this.log.firstBase
+      const isAcknowledged =
+        peer.nextIndex <= this.log.compactedIndex
           ? await this.sendSnapshot(peer, term)
           : await this.sendEntries(peer, term);
-      if (!this.leads(peer, term)) {
+      if (!this.isReplicatingTo(peer, term)) {
         return;
       }
-      if (progressed) {
+      if (isAcknowledged) {
         peer.ackedAt = sentAt;
-        this.acknowledged.notify();
+        this.progressMade.notify();
       } else {
         await clock.sleep(timing.heartbeatMs / 2, signal);
       }
-      if (progressed && peer.nextIndex > this.log.lastIndex) {
+      if (isAcknowledged && peer.nextIndex > this.log.lastIndex) {
         await sleepUnlessNotified(
           clock,
-          this.grown,
+          this.logAppended,
           timing.heartbeatMs,
           signal,
         );
@@ -881,7 +937,10 @@
   private async sendEntries(peer: Peer, term: number): Promise<boolean> {
     const previousIndex = peer.nextIndex - 1;
     const previousTerm = this.log.termAt(previousIndex);
-    invariant(previousTerm !== undefined, 'entries to send are not held');
+    invariant(
+      previousTerm !== undefined,
+      'the entry before the next one to send is not in the log',
+    );
     const entries = this.log.batchFrom(
       peer.nextIndex,
       MAX_APPEND_ENTRIES,
@@ -897,16 +956,19 @@
       term,
       to: peer.id,
     };
-    const answer = await this.parts.link.call(
+    const result = await this.parts.link.call(
       peer.id,
       request,
       this.parts.timing.callMs,
     );
-    if (answer.isErr()) {
+    if (result.isErr()) {
       return false;
     }
-    const reply = answer.value as AppendReply;
-    if (!(await this.acceptsReply(reply.term)) || !this.leads(peer, term)) {
+    const reply = result.value as AppendReply;
+    if (
+      !(await this.checkReplyTerm(reply.term)) ||
+      !this.isReplicatingTo(peer, term)
+    ) {
       return false;
     }
     if (!reply.success) {
@@ -924,25 +986,29 @@
 
   private async sendSnapshot(peer: Peer, term: number): Promise<boolean> {
     const {snapshot} = this;
-    invariant(snapshot !== undefined, 'entries are gone without a snapshot');
-    const installed = await sendSnapshot({
-      acceptsTerm: (answered) => this.acceptsReply(answered),
-      callMs: this.parts.timing.callMs,
+    invariant(
+      snapshot !== undefined,
+      'the log was compacted without a snapshot',
+    );
+    const isInstalled = await sendSnapshot({
+      callTimeoutMs: this.parts.timing.callMs,
+      checkReplyTerm: (replyTerm) => this.checkReplyTerm(replyTerm),
       from: this.id,
-      goesOn: () => this.leads(peer, term),
+      isStillLeader: () => this.isReplicatingTo(peer, term),
       link: this.parts.link,
       snapshot,
       term,
       to: peer.id,
     });
-    if (installed) {
+    if (isInstalled) {
       peer.matchIndex = Math.max(peer.matchIndex, snapshot.lastIndex);
       peer.nextIndex = peer.matchIndex + 1;
     }
-    return installed;
+    return isInstalled;
   }
 
-  private async acceptsReply(term: number): Promise<boolean> {
+  /** Adopts a higher term from a reply. Resolves to false if terms differ. */
+  private async checkReplyTerm(term: number): Promise<boolean> {
     if (term > this.term) {
       await this.mutex.run(() => this.adoptTerm(term));
       return false;
@@ -950,14 +1016,14 @@
     return term === this.term;
   }
 
-  /** The newest time at which a quorum had been reached. */
-  private quorumAckedAt(): number {
+  /** The latest time such that a quorum has answered requests sent since. */
+  private lastQuorumContactAt(): number {
     const now = this.parts.clock.now();
-    const times = this.members.voters.map((voter) =>
+    const ackTimes = this.members.voters.map((voter) =>
       voter === this.id ? now : (this.peers.get(voter)?.ackedAt ?? -Infinity),
     );
-    times.sort((a, b) => b - a);
-    return times[quorumOf(this.members.voters) - 1] ?? -Infinity;
+    ackTimes.sort((a, b) => b - a);
+    return ackTimes[quorumOf(this.members.voters) - 1] ?? -Infinity;
   }
 
   private advanceCommit(): void {
@@ -965,35 +1031,35 @@
       return;
     }
     const {voters} = this.members;
-    const matches = voters.map((voter) =>
+    const matchIndexes = voters.map((voter) =>
       voter === this.id
         ? this.syncedIndex
         : (this.peers.get(voter)?.matchIndex ?? 0),
     );
-    matches.sort((a, b) => b - a);
+    matchIndexes.sort((a, b) => b - a);
     const index =
       this.parts.breakage?.commitWithoutQuorum === true
         ? this.syncedIndex
-        : (matches[quorumOf(voters) - 1] ?? 0);
-    // Entries of former terms count only once one of this term does.
+        : (matchIndexes[quorumOf(voters) - 1] ?? 0);
+    // Entries of former terms are committed only together with one of this term.
     if (index > this.commitIndex && this.log.termAt(index) === this.term) {
       this.commitIndex = index;
-      this.committed.notify();
-      this.acknowledged.notify();
-      this.leaveIfRemoved();
+      this.commitAdvanced.notify();
+      this.progressMade.notify();
+      this.stepDownIfRemoved();
     }
   }
 
-  private leaveIfRemoved(): void {
+  private stepDownIfRemoved(): void {
     if (!this.isVoter() && this.commitIndex >= this.membersIndex) {
       this.becomeFollower(this.term, undefined);
     }
   }
 
-  // Following
+  // Replication to a follower
 
   private async handleAppend(request: AppendRequest): Promise<AppendReply> {
-    const refuse = (): AppendReply => ({
+    const reject = (): AppendReply => ({
       matchIndex: Math.min(
         this.syncedIndex,
         Math.max(
@@ -1005,41 +1071,51 @@
       term: this.term,
     });
     if (request.to !== this.id || request.term < this.term) {
-      return refuse();
+      return reject();
     }
-    await this.follow(request.term, request.from);
+    await this.followLeader(request.term, request.from);
     const {previousIndex} = request;
     const term = this.log.termAt(previousIndex);
-    if (previousIndex > this.log.firstBase && term !== request.previousTerm) {
-      return refuse();
+    if (
+      previousIndex > this.log.compactedIndex &&
+      term !== request.previousTerm
+    ) {
+      return reject();
     }
-    if (previousIndex <= this.log.firstBase && term === undefined) {
-      return this.matched(request, this.log.firstBase);
+    if (previousIndex <= this.log.compactedIndex && term === undefined) {
+      return this.acceptAppend(request, this.log.compactedIndex);
     }
     this.mergeEntries(request.entries);
     if (!(await this.flush())) {
-      return refuse();
+      return reject();
     }
-    return this.matched(request, previousIndex + request.entries.length);
+    return this.acceptAppend(request, previousIndex + request.entries.length);
   }
 
-  private matched(request: AppendRequest, matchIndex: number): AppendReply {
+  /** Advances the commit index and confirms entries up to `matchIndex`. */
+  private acceptAppend(
+    request: AppendRequest,
+    matchIndex: number,
+  ): AppendReply {
     const commitIndex = Math.min(request.commitIndex, matchIndex);
     if (commitIndex > this.commitIndex) {
       this.commitIndex = commitIndex;
-      this.committed.notify();
+      this.commitAdvanced.notify();
     }
     return {matchIndex, success: true, term: this.term};
   }
 
   private mergeEntries(entries: readonly Entry[]): void {
     for (const entry of entries) {
-      const held = this.log.termAt(entry.index);
-      if (entry.index <= this.log.firstBase || held === entry.term) {
+      const heldTerm = this.log.termAt(entry.index);
+      if (entry.index <= this.log.compactedIndex || heldTerm === entry.term) {
         continue;
       }
-      if (held !== undefined) {
-        invariant(entry.index > this.commitIndex, 'a committed entry changed');
+      if (heldTerm !== undefined) {
+        invariant(
+          entry.index > this.commitIndex,
+          'a committed entry must not be overwritten',
+        );
         this.log.truncateFrom(entry.index);
         this.syncedIndex = Math.min(this.syncedIndex, entry.index - 1);
       }
@@ -1048,9 +1124,9 @@
     this.refreshMembers();
   }
 
-  private async follow(term: number, leader: ReplicaId): Promise<void> {
+  private async followLeader(term: number, leader: ReplicaId): Promise<void> {
     await this.adoptTerm(term);
-    this.heardAt = this.parts.clock.now();
+    this.lastContactAt = this.parts.clock.now();
     if (this.leader !== leader || this.role !== ROLE.follower) {
       this.becomeFollower(term, leader);
     }
@@ -1062,16 +1138,19 @@
     if (request.to !== this.id || request.term < this.term) {
       return {nextOffset: 0, term: this.term};
     }
-    await this.follow(request.term, request.from);
-    const nextOffset = this.assembly.add(request);
+    await this.followLeader(request.term, request.from);
+    const nextOffset = this.snapshotAssembler.addChunk(request);
     if (request.done && nextOffset === request.offset + request.bytes.length) {
-      const installed = await this.install(request, this.assembly.take());
-      return {nextOffset: installed ? nextOffset : 0, term: this.term};
+      const isInstalled = await this.installSnapshot(
+        request,
+        this.snapshotAssembler.finish(),
+      );
+      return {nextOffset: isInstalled ? nextOffset : 0, term: this.term};
     }
     return {nextOffset, term: this.term};
   }
 
-  private async install(
+  private async installSnapshot(
     request: SnapshotRequest,
     bytes: Uint8Array,
   ): Promise<boolean> {
@@ -1095,6 +1174,9 @@
   }
 }
 
-function leadershipLost(): Failure<'leadership-lost'> {
-  return {kind: 'leadership-lost', message: 'another replica may lead now'};
+function leadershipLostFailure(): Failure<'leadership-lost'> {
+  return {
+    kind: 'leadership-lost',
+    message: 'leadership was lost before the entry was applied',
+  };
 }
--- a/packages/puffinturn-log/src/SnapshotTransfer.ts
+++ b/packages/puffinturn-log/src/SnapshotTransfer.ts
@@ -5,40 +5,40 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Sends a snapshot to a replica in parts, one at a time. */
-import {SNAPSHOT_PART_BYTES} from './LogConstants';
+/** Sends a snapshot to a replica in chunks, one at a time. */
+import {SNAPSHOT_CHUNK_BYTES} from './LogConstants';
 import type {LogLink} from './LogLink';
 import type {ReplicaId, SnapshotReply, SnapshotRequest} from './LogMessages';
 import type {Snapshot} from './LogStorage';
 
-/** One transfer. */
+/** One transfer of a snapshot to a replica. */
 export interface SnapshotTransfer {
   readonly link: LogLink;
   readonly snapshot: Snapshot;
   readonly from: ReplicaId;
   readonly to: ReplicaId;
   readonly term: number;
-  readonly callMs: number;
-  /** Whether the sender still leads. */
-  readonly goesOn: () => boolean;
-  /** Whether an answer of this term is from the same term as the transfer. */
-  readonly acceptsTerm: (term: number) => Promise<boolean>;
+  readonly callTimeoutMs: number;
+  /** Whether the sender is still the leader; the transfer stops otherwise. */
+  readonly isStillLeader: () => boolean;
+  /** Adopts a higher term from a reply. Resolves to false if terms differ. */
+  readonly checkReplyTerm: (term: number) => Promise<boolean>;
 }
 
-/** True once the receiver has installed the whole snapshot. */
+/** Resolves to true once the receiver has installed the whole snapshot. */
 export async function sendSnapshot(
   transfer: SnapshotTransfer,
 ): Promise<boolean> {
-  const {acceptsTerm, callMs, goesOn, link, to} = transfer;
+  const {callTimeoutMs, checkReplyTerm, isStillLeader, link, to} = transfer;
   let offset = 0;
-  while (goesOn()) {
-    const request = partAt(transfer, offset);
-    const answer = await link.call(to, request, callMs);
-    if (answer.isErr()) {
+  while (isStillLeader()) {
+    const request = chunkAt(transfer, offset);
+    const result = await link.call(to, request, callTimeoutMs);
+    if (result.isErr()) {
       return false;
     }
-    const reply = answer.value as SnapshotReply;
-    if (!(await acceptsTerm(reply.term))) {
+    const reply = result.value as SnapshotReply;
+    if (!(await checkReplyTerm(reply.term))) {
       return false;
     }
     const end = offset + request.bytes.length;
@@ -50,12 +50,12 @@
   return false;
 }
 
-function partAt(
+function chunkAt(
   {from, snapshot, term, to}: SnapshotTransfer,
   offset: number,
 ): SnapshotRequest {
   const {bytes, lastIndex, lastTerm, members} = snapshot;
-  const end = Math.min(bytes.length, offset + SNAPSHOT_PART_BYTES);
+  const end = Math.min(bytes.length, offset + SNAPSHOT_CHUNK_BYTES);
   return {
     bytes: bytes.subarray(offset, end),
     done: end === bytes.length,
--- a/packages/puffinturn-log/src/__tests__/unit/Seeds.test.ts
+++ b/packages/puffinturn-log/src/__tests__/unit/Bootstrap.test.ts
@@ -5,6 +5,10 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against a group that cannot form from its seed boxes, cannot replace lost
+ * voters or loses records when disks are lost.
+ */
 import {ReplicaGroup} from '../utils/ReplicaFixture';
 
 const BOXES = ['a', 'b', 'c', 'd', 'e'];
@@ -15,43 +19,43 @@
   return members.voters.map((id) => id.slice(0, id.lastIndexOf('~'))).sort();
 }
 
-describe('A group that knows seeds only', () => {
-  test('is founded by the seeds and takes the others in as voters', async () => {
+describe('a group whose boxes know only the seed boxes', () => {
+  test('is bootstrapped by the seeds and adds the other boxes as voters', async () => {
     const group = new ReplicaGroup(BOXES, 1_000, undefined, SEEDS, 5);
     await group.startAll();
     expect(voterBoxes(group)).toEqual(BOXES);
     await group.stopAll();
   });
 
-  test('is not founded without the first start', async () => {
+  test('is not bootstrapped unless allowed', async () => {
     const group = new ReplicaGroup(SEEDS, 1_000, undefined, SEEDS, 5);
     for (const box of SEEDS) {
       await group.start(box, false);
     }
     await group.clock.advance(10_000);
     for (const box of SEEDS) {
-      expect(group.member(box).replica.founded).toBe(false);
+      expect(group.member(box).replica.isBootstrapped).toBe(false);
     }
     await group.stopAll();
   });
 
-  test("gives a silent voter's place to a learner", async () => {
+  test('replaces an unresponsive voter by a learner', async () => {
     const boxes = [...BOXES, 'f'];
     const group = new ReplicaGroup(boxes, 1_000, undefined, SEEDS, 5);
     await group.startAll();
     const before = voterBoxes(group);
     expect(before).toHaveLength(5);
-    const lost = before.find((box) => box !== group.leader()) ?? '';
-    group.kill(lost);
+    const lostBox = before.find((box) => box !== group.leader()) ?? '';
+    group.kill(lostBox);
     await group.clock.advance(6_000);
     const after = voterBoxes(group);
     expect(after).toHaveLength(5);
-    expect(after).not.toContain(lost);
+    expect(after).not.toContain(lostBox);
     expect(await group.propose('x')).toBe(true);
     await group.stopAll();
   });
 
-  test('keeps everything when two disks are lost at once', async () => {
+  test('keeps all records when two disks are lost at once', async () => {
     const group = new ReplicaGroup(BOXES, 1_000, undefined, SEEDS, 5);
     await group.startAll();
     expect(await group.propose('x')).toBe(true);
@@ -70,7 +74,7 @@
     await group.stopAll();
   });
 
-  test('takes in two boxes that join at the same moment', async () => {
+  test('adds two boxes that join at the same time', async () => {
     const group = new ReplicaGroup(BOXES, 1_000, undefined, SEEDS, 5);
     for (const box of SEEDS) {
       await group.start(box);
@@ -83,7 +87,7 @@
     await group.stopAll();
   });
 
-  test('catches up after all crashed with more than one message of entries', async () => {
+  test('commits after all boxes crash with more entries than fit in one append request', async () => {
     const group = new ReplicaGroup(SEEDS, 1_000, undefined, SEEDS, 5);
     await group.startAll();
     const large = 'x'.repeat(100_000);
--- a/packages/puffinturn-log/src/__tests__/unit/FolderDisk.test.ts
+++ b/packages/puffinturn-log/src/__tests__/unit/FolderDisk.test.ts
@@ -5,6 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/** Guards against loss of acknowledged records and undetected corruption on disk. */
 import {appendFile, mkdtemp, readdir, rm} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
@@ -14,13 +15,13 @@
 import {DEFAULT_TIMING, FolderDisk, LogLink, Replica} from '../../index';
 import {ListMachine} from '../utils/ReplicaFixture';
 
-class NoLink extends LogLink {
+class NoPeersLink extends LogLink {
   override call(): never {
-    throw new Error('a group of one calls nobody');
+    throw new Error('a group with one replica must not send messages');
   }
 }
 
-async function open(folder: string, snapshotEvery = 1_000) {
+async function openReplica(folder: string, snapshotEvery = 1_000) {
   const clock = new ManualClock();
   const machine = new ListMachine();
   const disk = (await FolderDisk.open(folder))._unsafeUnwrap();
@@ -30,7 +31,7 @@
     clock,
     disk,
     incarnation: '1',
-    link: new NoLink(),
+    link: new NoPeersLink(),
     machine,
     random: new Random(1),
     snapshotEvery,
@@ -39,8 +40,8 @@
   return {clock, machine, opened};
 }
 
-async function lead(folder: string, snapshotEvery?: number) {
-  const {clock, machine, opened} = await open(folder, snapshotEvery);
+async function startLeader(folder: string, snapshotEvery?: number) {
+  const {clock, machine, opened} = await openReplica(folder, snapshotEvery);
   const replica = opened._unsafeUnwrap();
   void replica.takePart(() => ['a']);
   while (!replica.isLeader) {
@@ -61,25 +62,25 @@
   await rm(folder, {force: true, recursive: true});
 });
 
-describe('a replica on a folder', () => {
-  test('has every acknowledged record after its process just ends', async () => {
-    const first = await lead(folder);
+describe('a replica that stores its log in a folder', () => {
+  test('keeps every acknowledged record after its process is killed', async () => {
+    const first = await startLeader(folder);
     for (let record = 0; record < 20; record += 1) {
       expect((await first.replica.propose(record)).isOk()).toBe(true);
     }
-    // The first one is left as it is, as kill -9 would.
-    const second = await lead(folder);
+    // The first replica is not disposed, as after kill -9.
+    const second = await startLeader(folder);
     expect((await second.replica.barrier()).isOk()).toBe(true);
     expect(second.machine.records).toHaveLength(20);
     expect(second.replica.id).toBe(first.replica.id);
   });
 
-  test('starts from its snapshot and the segment behind it', async () => {
-    const first = await lead(folder, 10);
+  test('restores its snapshot and the entries that follow it', async () => {
+    const first = await startLeader(folder, 10);
     for (let record = 0; record < 35; record += 1) {
       await first.replica.propose(record);
     }
-    const second = await lead(folder, 10);
+    const second = await startLeader(folder, 10);
     await second.replica.barrier();
     expect(second.machine.records).toEqual(
       Array.from({length: 35}, (_, record) => record),
@@ -88,20 +89,20 @@
     expect(names.filter((name) => name.startsWith('segment'))).toHaveLength(1);
   });
 
-  test('cuts off a torn tail, but refuses damage before good frames', async () => {
-    const first = await lead(folder);
+  test('removes a torn frame at the end but rejects an invalid frame before a valid one', async () => {
+    const first = await startLeader(folder);
     await first.replica.propose('kept');
     const names = await readdir(folder);
     const segment = names.find((name) => name.startsWith('segment')) ?? '';
     const path = join(folder, segment);
     await appendFile(path, Buffer.from([9, 0, 0, 0, 1, 2]));
-    const second = await lead(folder);
+    const second = await startLeader(folder);
     await second.replica.barrier();
     expect(second.machine.records).toEqual(['kept']);
-    // A frame of garbage with a good frame after it cannot be a torn write.
+    // An invalid frame before a valid one cannot result from a torn write.
     await appendFile(path, Buffer.from([2, 0, 0, 0, 0, 0, 0, 0, 7, 7]));
     await second.replica.propose('after');
-    const {opened} = await open(folder);
+    const {opened} = await openReplica(folder);
     expect(opened._unsafeUnwrapErr().kind).toBe('corrupt');
   });
 });
--- a/packages/puffinturn-log/src/__tests__/unit/Replica.test.ts
+++ b/packages/puffinturn-log/src/__tests__/unit/Replica.test.ts
@@ -5,12 +5,16 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against loss of acknowledged records, stale reads, and groups that cannot
+ * elect a leader after crashes, partitions and disk loss.
+ */
 import {ReplicaGroup} from '../utils/ReplicaFixture';
 
 const BOXES = ['a', 'b', 'c'];
 
 describe('Replica', () => {
-  test('elects one leader and applies records everywhere', async () => {
+  test('elects a leader and applies records on every replica', async () => {
     const group = new ReplicaGroup(BOXES);
     await group.startAll();
     expect(await group.propose('x')).toBe(true);
@@ -21,7 +25,7 @@
     await group.stopAll();
   });
 
-  test('keeps what was acknowledged when all boxes crash', async () => {
+  test('keeps acknowledged records when all boxes crash', async () => {
     const group = new ReplicaGroup(BOXES);
     await group.startAll();
     expect(await group.propose('x')).toBe(true);
@@ -32,15 +36,15 @@
     await group.stopAll();
   });
 
-  test('a leader that is cut off steps down and acknowledges nothing', async () => {
+  test('a partitioned leader steps down and acknowledges no record', async () => {
     const group = new ReplicaGroup(BOXES);
     await group.startAll();
-    const former = group.leader();
-    const others = BOXES.filter((box) => box !== former);
-    group.network.partition([former], others);
-    expect(await group.propose('lost', former)).toBe(false);
+    const formerLeader = group.leader();
+    const others = BOXES.filter((box) => box !== formerLeader);
+    group.network.partition([formerLeader], others);
+    expect(await group.propose('lost', formerLeader)).toBe(false);
     await group.clock.advance(3_000);
-    expect(group.member(former).replica.isLeader).toBe(false);
+    expect(group.member(formerLeader).replica.isLeader).toBe(false);
     expect(await group.propose('kept')).toBe(true);
     group.network.heal();
     await group.clock.advance(3_000);
@@ -50,79 +54,81 @@
     await group.stopAll();
   });
 
-  test('a one-way cut does not keep the group without a leader', async () => {
+  test('elects another leader if the leader can send but not receive', async () => {
     const group = new ReplicaGroup(BOXES);
     await group.startAll();
-    const former = group.leader();
+    const formerLeader = group.leader();
     for (const box of BOXES) {
-      group.network.cut(box, former);
+      group.network.cut(box, formerLeader);
     }
     await group.clock.advance(4_000);
-    expect(group.leader()).not.toBe(former);
+    expect(group.leader()).not.toBe(formerLeader);
     expect(await group.propose('x')).toBe(true);
     await group.stopAll();
   });
 
-  test('a barrier on a leader that was replaced fails', async () => {
+  test('a barrier fails on a leader that was replaced', async () => {
     const group = new ReplicaGroup(BOXES);
     await group.startAll();
-    const former = group.leader();
+    const formerLeader = group.leader();
     group.network.partition(
-      [former],
-      BOXES.filter((box) => box !== former),
+      [formerLeader],
+      BOXES.filter((box) => box !== formerLeader),
     );
-    let answer = '';
+    let result = '';
     void group
-      .member(former)
+      .member(formerLeader)
       .replica.barrier()
       .match(
-        () => (answer = 'read'),
-        (failure) => (answer = failure.kind),
+        () => (result = 'read'),
+        (failure) => (result = failure.kind),
       );
     await group.clock.advance(4_000);
-    expect(answer).toBe('not-leader');
+    expect(result).toBe('not-leader');
     await group.stopAll();
   });
 
-  test('brings a replica up that is behind the snapshot', async () => {
+  test('sends a snapshot to a replica whose next entry was compacted', async () => {
     const group = new ReplicaGroup(BOXES, 20);
     await group.startAll();
-    const behind = BOXES.find((box) => box !== group.leader()) ?? '';
-    group.kill(behind);
+    const laggingBox = BOXES.find((box) => box !== group.leader()) ?? '';
+    group.kill(laggingBox);
     for (let count = 0; count < 90; count += 1) {
       expect(await group.propose(count)).toBe(true);
     }
-    await group.start(behind);
+    await group.start(laggingBox);
     await group.clock.advance(3_000);
-    expect(group.member(behind).machine.records).toHaveLength(90);
+    expect(group.member(laggingBox).machine.records).toHaveLength(90);
     await group.stopAll();
   });
 
-  test('a box that lost its disk comes back under another id, and a second loss after the repair loses nothing', async () => {
+  test('a box that lost its disk rejoins under another id, and a second failure then loses no record', async () => {
     const group = new ReplicaGroup(BOXES, 20);
     await group.startAll();
     for (let count = 0; count < 30; count += 1) {
       await group.propose(count);
     }
-    const [first, second] = BOXES.filter((box) => box !== group.leader());
-    const formerId = group.member(first ?? '').replica.id;
-    group.kill(first ?? '');
-    group.disks.delete(first ?? '');
-    await group.start(first ?? '');
+    const [lostBox, secondLostBox] = BOXES.filter(
+      (box) => box !== group.leader(),
+    );
+    const formerId = group.member(lostBox ?? '').replica.id;
+    group.kill(lostBox ?? '');
+    group.disks.delete(lostBox ?? '');
+    await group.start(lostBox ?? '');
     await group.clock.advance(6_000);
-    const repaired = group.member(first ?? '').replica;
+    const repaired = group.member(lostBox ?? '').replica;
     expect(repaired.id).not.toBe(formerId);
     expect(repaired.status().members.voters).toContain(repaired.id);
     expect(repaired.status().members.voters).not.toContain(formerId);
-    group.kill(second ?? '');
+    group.kill(secondLostBox ?? '');
     expect(await group.propose('after')).toBe(true);
     await group.clock.advance(500);
-    expect(group.member(first ?? '').machine.records).toHaveLength(31);
+    expect(group.member(lostBox ?? '').machine.records).toHaveLength(31);
     await group.stopAll();
   });
 
   test.each([1, 3, 7, 20])(
-    'cuts off a last write torn by %i bytes',
+    'recovers when the last write lacks %i bytes',
     async (count) => {
       const group = new ReplicaGroup(BOXES);
       await group.startAll();
@@ -132,7 +138,7 @@
       const disk = group.disks.get('a');
       const names = (await disk?.list())?.unwrapOr([]) ?? [];
       const segment = names.find((name) => name.startsWith('segment')) ?? '';
-      disk?.tear(segment, count);
+      disk?.truncateTail(segment, count);
       await group.startAll();
       await group.clock.advance(2_000);
       expect(group.member('a').machine.records).toEqual(['x', 'y']);
--- a/packages/puffinturn-log/src/__tests__/utils/ReplicaFixture.ts
+++ b/packages/puffinturn-log/src/__tests__/utils/ReplicaFixture.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** A group of replicas in one process, on a manual clock. */
+/** Runs a group of replicas in one process on a manual clock. */
 import type {Link} from 'puffinturn-wire';
 import {MemoryNetwork} from 'puffinturn-wire';
 import {invariant, ManualClock, Random, TaskGroup} from 'shared';
@@ -20,7 +20,7 @@
   Replica,
 } from '../../index';
 
-/** Keeps the records that were applied. */
+/** A state machine that lists the applied records. */
 export class ListMachine extends Machine {
   records: unknown[] = [];
 
@@ -38,7 +38,8 @@
   }
 }
 
-class FixtureLink extends LogLink {
+/** Connects a replica to the in-memory network. */
+class NetworkLogLink extends LogLink {
   constructor(private readonly link: Link) {
     super();
   }
@@ -50,56 +51,56 @@
   }
 }
 
-/** One running replica. */
-export interface Member {
+/** A running replica with its state machine and tasks. */
+export interface RunningReplica {
   readonly replica: Replica;
   readonly machine: ListMachine;
   readonly tasks: TaskGroup;
 }
 
-/** Boxes a, b, c, ... with one replica each. */
+/** A group of boxes with one replica each. */
 export class ReplicaGroup {
   readonly clock = new ManualClock();
   readonly network: MemoryNetwork;
   readonly disks = new Map<string, MemoryDisk>();
-  readonly members = new Map<string, Member>();
-  private lives = 0;
+  readonly members = new Map<string, RunningReplica>();
+  private incarnations = 0;
 
   constructor(
     readonly boxes: readonly string[],
     private readonly snapshotEvery = 1_000,
     private readonly breakage?: ReplicaBreakage,
-    /** The boxes that every box is told of; all of them by default. */
+    /** Boxes that every box knows when it starts; all boxes by default. */
     private readonly seeds: readonly string[] = boxes,
     private readonly maxVoters?: number,
   ) {
     this.network = new MemoryNetwork(this.clock, new Random(7));
   }
 
-  async start(box: string, mayFound = true): Promise<void> {
+  async start(box: string, mayBootstrap = true): Promise<void> {
     const disk = this.disks.get(box) ?? new MemoryDisk();
     this.disks.set(box, disk);
     const link = this.network.connect(box);
     const machine = new ListMachine();
-    this.lives += 1;
+    this.incarnations += 1;
     const opened = await Replica.open({
       box,
       breakage: this.breakage,
       clock: this.clock,
       disk,
-      incarnation: String(this.lives),
-      link: new FixtureLink(link),
+      incarnation: String(this.incarnations),
+      link: new NetworkLogLink(link),
       machine,
       maxVoters: this.maxVoters,
-      random: new Random(100 + this.lives),
+      random: new Random(100 + this.incarnations),
       snapshotEvery: this.snapshotEvery,
       timing: DEFAULT_TIMING,
     });
-    invariant(opened.isOk(), 'the replica must open');
+    invariant(opened.isOk(), 'the replica failed to open');
     const replica = opened.value;
     link.register('log', (body) => replica.handle(body as LogRequest));
     const tasks = new TaskGroup();
-    tasks.start(() => replica.takePart(() => this.seeds, mayFound));
+    tasks.start(() => replica.takePart(() => this.seeds, mayBootstrap));
     this.members.set(box, {machine, replica, tasks});
   }
 
@@ -110,7 +111,7 @@
     await this.clock.advance(5_000);
   }
 
-  /** Ends a box at once; what was not synced is lost. */
+  /** Crashes a box; unsynced data is lost. */
   kill(box: string): void {
     this.network.disconnect(box);
     this.disks.get(box)?.crash();
@@ -125,35 +126,39 @@
     await this.clock.advance(5_000);
   }
 
-  member(box: string): Member {
+  member(box: string): RunningReplica {
     const member = this.members.get(box);
     invariant(member !== undefined, `${box} is not running`);
     return member;
   }
 
-  /** The box that leads with the highest term. */
+  /** Returns the box of the leader with the highest term. */
   leader(): string {
     const leaders = [...this.members.entries()]
       .filter(([, {replica}]) => replica.isLeader)
       .sort(
         ([, a], [, b]) => b.replica.status().term - a.replica.status().term,
       );
-    invariant(leaders[0] !== undefined, 'no box leads');
+    invariant(leaders[0] !== undefined, 'no replica is the leader');
     return leaders[0][0];
   }
 
-  /** Proposes at the leader and drives time until there is an outcome. */
+  /** Proposes a record and advances the clock until it succeeds or fails. */
   async propose(record: unknown, box = this.leader()): Promise<boolean> {
-    let done: boolean | undefined;
+    let isCommitted: boolean | undefined;
     void this.member(box)
       .replica.propose(record)
       .match(
-        () => (done = true),
-        () => (done = false),
+        () => (isCommitted = true),
+        () => (isCommitted = false),
       );
-    for (let turn = 0; turn < 100 && done === undefined; turn += 1) {
+    for (
+      let attempt = 0;
+      attempt < 100 && isCommitted === undefined;
+      attempt += 1
+    ) {
       await this.clock.advance(50);
     }
-    return done ?? false;
+    return isCommitted ?? false;
   }
 }
--- a/packages/puffinturn-log/src/index.ts
+++ b/packages/puffinturn-log/src/index.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The replicated log of a region's control boxes. */
+/** The Raft log that the control boxes of a region replicate. */
 export type {DiskFailure, DiskFault} from './Disk';
 export {Disk, FolderDisk, MemoryDisk} from './Disk';
 export type {ReplicaTiming} from './LogConstants';
