--- a/packages/puffinturn-orders/src/EngineClient.ts
+++ b/packages/puffinturn-orders/src/EngineClient.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** How orders reach engines. */
+/** Client for the model API of inference engines. */
 import type {ResultAsync} from 'neverthrow';
 import {errAsync, ResultAsync as Async} from 'neverthrow';
 import type {Failure} from 'shared';
@@ -13,48 +13,49 @@
 import {request} from 'undici';
 import {z} from 'zod';
 
-const TIMEOUT_MS = 10_000;
+const REQUEST_TIMEOUT_MS = 10_000;
 const HTTP_OK = 200;
 const HTTP_CONFLICT = 409;
 
-/** Why an order has no effect that is known. */
+/** Why a request to an engine failed. */
 export type EngineFailure =
+  /** The engine has already accepted a higher fencing token. */
   | Failure<'old-fence'>
-  /** It may or may not have been carried out. */
+  /** No valid reply; the order may or may not have been executed. */
   | Failure<'unreachable'>;
 
-/** An order as an engine gets it. */
+/** An order as sent to an engine. `fence` is its fencing token. */
 export interface FencedOrder {
   readonly fence: number;
   readonly kind: 'load' | 'unload';
   readonly model: string;
 }
 
-/** Talks to engines about what they hold. */
+/** Reads and changes the models that are loaded on an engine. */
 export abstract class EngineClient {
-  /** Models that an engine holds. */
-  abstract models(url: string): ResultAsync<string[], EngineFailure>;
+  /** Returns the models loaded on an engine. */
+  abstract listModels(url: string): ResultAsync<string[], EngineFailure>;
 
-  /** Sends one order; resolves with the models held after it. */
-  abstract order(
+  /** Sends an order. Resolves to the models loaded after it. */
+  abstract sendOrder(
     url: string,
     order: FencedOrder,
   ): ResultAsync<string[], EngineFailure>;
 }
 
-const ModelsSchema = z.object({models: z.array(z.string()).max(10_000)});
+const ModelsReplySchema = z.object({models: z.array(z.string()).max(10_000)});
 
 function unreachable(message: string): EngineFailure {
   return {kind: 'unreachable', message};
 }
 
-/** Engines over HTTP. */
+/** Calls engines over HTTP. */
 export class HttpEngineClient extends EngineClient {
-  override models(url: string): ResultAsync<string[], EngineFailure> {
+  override listModels(url: string): ResultAsync<string[], EngineFailure> {
     return this.send(`${url}/stats`, undefined);
   }
 
-  override order(
+  override sendOrder(
     url: string,
     order: FencedOrder,
   ): ResultAsync<string[], EngineFailure> {
@@ -65,26 +66,27 @@
     url: string,
     order: FencedOrder | undefined,
   ): ResultAsync<string[], EngineFailure> {
-    const sent = request(url, {
+    const responsePromise = request(url, {
       body: order === undefined ? null : JSON.stringify(order),
-      bodyTimeout: TIMEOUT_MS,
-      headersTimeout: TIMEOUT_MS,
+      bodyTimeout: REQUEST_TIMEOUT_MS,
+      headersTimeout: REQUEST_TIMEOUT_MS,
       method: order === undefined ? 'GET' : 'POST',
-    }).then(async (answer) => ({
-      body: (await answer.body.json()) as unknown,
-      status: answer.statusCode,
+    }).then(async (response) => ({
+      body: (await response.body.json()) as unknown,
+      status: response.statusCode,
     }));
-    return Async.fromPromise(sent, (error) =>
+    return Async.fromPromise(responsePromise, (error) =>
       unreachable(describeError(error)),
     ).andThen(({body, status}) => {
       if (status === HTTP_CONFLICT) {
-        const message = 'the engine has seen a newer order';
+        const message =
+          'the engine has already accepted a higher fencing token';
         return errAsync<string[], EngineFailure>({kind: 'old-fence', message});
       }
-      const parsed = ModelsSchema.safeParse(body);
+      const parsed = ModelsReplySchema.safeParse(body);
       return status === HTTP_OK && parsed.success
         ? Async.fromSafePromise(Promise.resolve(parsed.data.models))
-        : errAsync(unreachable(`status ${status}`));
+        : errAsync(unreachable(`invalid response with HTTP status ${status}`));
     });
   }
 }
--- a/packages/puffinturn-orders/src/OrderController.ts
+++ b/packages/puffinturn-orders/src/OrderController.ts
@@ -6,10 +6,11 @@
  */
 
 /**
- * Keeps models on the engines that shall hold them. Runs on the leader alone:
- * each order is logged first, and its log index is the fence that the engine
- * compares. Where engines do not compare, a new leader waits until the former
- * one has certainly stepped down before it sends anything.
+ * Loads and unloads models on the engines of a pool as declared. Only the leader
+ * sends orders. Each order is committed to the replicated log first, and its log
+ * index is the fencing token that the engine checks. If the engines of a pool do
+ * not check fencing tokens, a new leader waits until the former one must have
+ * stepped down.
  */
 import type {Ledger, LedgerRecord, OrderOutcome} from 'puffinturn-ledger';
 import type {Replica} from 'puffinturn-log';
@@ -23,28 +24,28 @@
 import type {EngineState, PlannedOrder} from './OrderPlan';
 import {planOrders} from './OrderPlan';
 
-/** How often engines are looked at, ms. */
-const ROUND_MS = 2_000;
+/** Interval between two rounds, in ms. */
+const ROUND_INTERVAL_MS = 2_000;
 
-/** An order without an answer is given up after this, ms. */
-const ORDER_LIMIT_MS = 60_000;
+/** Time after which an order without a known result is abandoned, in ms. */
+const ORDER_TIMEOUT_MS = 60_000;
 
-/** What the controller needs. */
+/** Dependencies of an OrderController. */
 export interface OrderControllerParts {
   readonly clock: Clock;
   readonly ledger: Ledger;
   readonly replica: Replica;
   readonly client: EngineClient;
   readonly timeline: Timeline;
-  /** Time after which a former leader has stepped down, ms. */
+  /** Time after which a former leader must have stepped down, in ms. */
   readonly handoverMs: number;
 }
 
-/** See the module comment. */
+/** Loads and unloads models on engines while this replica is the leader. */
 export class OrderController implements AsyncDisposable {
   private readonly tasks = new TaskGroup();
-  private ledTerm = -1;
-  private ledSince = 0;
+  private leaderTerm = -1;
+  private leaderSince = 0;
 
   constructor(private readonly parts: OrderControllerParts) {
     this.tasks.start((signal) => this.run(signal));
@@ -57,56 +58,66 @@
   private async run(signal: AbortSignal): Promise<void> {
     const {clock, replica} = this.parts;
     while (!signal.aborted) {
-      await clock.sleep(ROUND_MS, signal);
+      await clock.sleep(ROUND_INTERVAL_MS, signal);
       const {term} = replica.status();
       if (!replica.isLeader || signal.aborted) {
         continue;
       }
-      if (term !== this.ledTerm) {
-        this.ledTerm = term;
-        this.ledSince = clock.now();
+      if (term !== this.leaderTerm) {
+        this.leaderTerm = term;
+        this.leaderSince = clock.now();
       }
-      await this.round();
+      await this.runRound();
     }
   }
 
-  private async round(): Promise<void> {
+  private async runRound(): Promise<void> {
     const {ledger} = this.parts;
-    await this.giveUpOldOrders();
+    await this.expireOrders();
     for (const {declaration} of ledger.declarations.all()) {
       if (declaration.kind === 'pool' && declaration.spec?.orders) {
-        await this.keepPool(declaration.name, declaration.spec);
+        await this.reconcilePool(declaration.name, declaration.spec);
       }
     }
   }
 
-  private async keepPool(pool: string, spec: PoolSpec): Promise<void> {
+  private async reconcilePool(pool: string, spec: PoolSpec): Promise<void> {
     const {clock, ledger} = this.parts;
     const {orders} = spec;
-    const waited = clock.now() - this.ledSince;
+    const leaderForMs = clock.now() - this.leaderSince;
     if (
       orders === undefined ||
-      (!orders.checksFences && waited < this.parts.handoverMs)
+      (!orders.checksFences && leaderForMs < this.parts.handoverMs)
     ) {
       return;
     }
-    const open = [...ledger.orders.values()].filter(({upstream}) =>
+    const pendingOrders = [...ledger.orders.values()].filter(({upstream}) =>
       upstream.startsWith(`${pool}/`),
     );
-    const planned = planOrders(await this.look(pool, spec), orders.placements, {
-      busy: new Set(open.map(({upstream}) => upstream.slice(pool.length + 1))),
-      loading: open.filter(({action}) => action === 'load').length,
-      loadsAtOnce: orders.loadsAtOnce,
-    });
+    const planned = planOrders(
+      await this.readEngineStates(pool, spec),
+      orders.placements,
+      {
+        activeLoads: pendingOrders.filter(({action}) => action === 'load')
+          .length,
+        busyEngines: new Set(
+          pendingOrders.map(({upstream}) => upstream.slice(pool.length + 1)),
+        ),
+        maxConcurrentLoads: orders.loadsAtOnce,
+      },
+    );
     for (const order of planned) {
-      // Loads take long; the rounds go on meanwhile.
-      this.tasks.start(() => this.send(pool, spec, order));
+      // Not awaited because a load can take much longer than a round.
+      this.tasks.start(() => this.executeOrder(pool, spec, order));
     }
   }
 
-  private async look(pool: string, spec: PoolSpec): Promise<EngineState[]> {
+  private async readEngineStates(
+    pool: string,
+    spec: PoolSpec,
+  ): Promise<EngineState[]> {
     const {client, ledger} = this.parts;
-    const drained = new Set(
+    const drainedUpstreams = new Set(
       ledger.declarations.all().flatMap(({declaration}) => {
         const target =
           declaration.kind === 'drain' && declaration.spec?.on === true
@@ -120,14 +131,14 @@
     return Promise.all(
       spec.upstreams.map(async ({hall, name, url}) => ({
         hall,
-        leaving: drained.has(name),
-        models: await client.models(url).unwrapOr(undefined as never),
+        isDraining: drainedUpstreams.has(name),
+        models: await client.listModels(url).unwrapOr(undefined as never),
         name,
       })),
     );
   }
 
-  private async send(
+  private async executeOrder(
     pool: string,
     spec: PoolSpec,
     order: PlannedOrder,
@@ -137,7 +148,7 @@
     const upstream = `${pool}/${order.upstream}`;
     const {action, model} = order;
     const at = clock.wallTime();
-    const outcome = (await this.commit({
+    const outcome = (await this.propose({
       action,
       at,
       kind: 'order',
@@ -150,26 +161,27 @@
     const {fence} = outcome;
     const detail = `${action} ${model}, fence ${fence}`;
     timeline.note(EVENT_KIND.orderSent, {detail, upstream});
-    const answer = await client.order(url, {fence, kind: action, model});
-    const unknown = answer.isErr() && answer.error.kind === 'unreachable';
-    if (unknown) {
-      // It may still be carried out: the engine stays busy until the limit.
+    const result = await client.sendOrder(url, {fence, kind: action, model});
+    const isOutcomeUnknown =
+      result.isErr() && result.error.kind === 'unreachable';
+    if (isOutcomeUnknown) {
+      // The engine may still execute it, so it stays busy until the timeout.
       return;
     }
-    await this.commit({fence, kind: 'order-done', upstream});
+    await this.propose({fence, kind: 'order-done', upstream});
     timeline.note(EVENT_KIND.orderDone, {detail, upstream});
   }
 
-  private async giveUpOldOrders(): Promise<void> {
+  private async expireOrders(): Promise<void> {
     const now = this.parts.clock.wallTime();
     for (const {at, fence, upstream} of this.parts.ledger.orders.values()) {
-      if (now - at > ORDER_LIMIT_MS) {
-        await this.commit({fence, kind: 'order-done', upstream});
+      if (now - at > ORDER_TIMEOUT_MS) {
+        await this.propose({fence, kind: 'order-done', upstream});
       }
     }
   }
 
-  private async commit(record: LedgerRecord): Promise<unknown> {
+  private async propose(record: LedgerRecord): Promise<unknown> {
     return this.parts.replica.propose(record).unwrapOr(undefined);
   }
 }
--- a/packages/puffinturn-orders/src/OrderPlan.ts
+++ b/packages/puffinturn-orders/src/OrderPlan.ts
@@ -5,101 +5,114 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Which orders an engine pool needs, from what its engines hold. */
+/** Plans which models to load and unload on the engines of a pool. */
 
-/** One engine as the planner sees it. */
+/** Current state of an engine. */
 export interface EngineState {
   readonly name: string;
   readonly hall: string;
-  /** Takes no new work. */
-  readonly leaving: boolean;
-  /** Models that it holds; undefined when it does not answer. */
+  /** A draining engine gets no orders and its models do not count as copies. */
+  readonly isDraining: boolean;
+  /** Loaded models; undefined if the engine does not answer. */
   readonly models: readonly string[] | undefined;
 }
 
-/** How many engines shall hold a model. */
+/** Number of engines that should have a model loaded. */
 export interface Placement {
   readonly model: string;
   readonly copies: number;
 }
 
-/** One order that should be sent. */
+/** An order to send to an engine. */
 export interface PlannedOrder {
   readonly upstream: string;
   readonly action: 'load' | 'unload';
   readonly model: string;
 }
 
-/** What bounds a plan. */
+/** Limits on the orders of a plan. */
 export interface PlanLimits {
-  /** Loads that may run at once, those that run already included. */
-  readonly loadsAtOnce: number;
-  /** Engines with an order that is not answered. */
-  readonly busy: ReadonlySet<string>;
-  /** Loads that run already. */
-  readonly loading: number;
+  /** Maximum number of concurrent loads, including active ones. */
+  readonly maxConcurrentLoads: number;
+  /** Names of engines with a pending order. They get no further order. */
+  readonly busyEngines: ReadonlySet<string>;
+  /** Number of loads in progress. */
+  readonly activeLoads: number;
 }
 
-function holders(
+/** Returns the engines that have a model loaded and are not draining. */
+function enginesHolding(
   engines: readonly EngineState[],
   model: string,
 ): EngineState[] {
   return engines.filter(
-    ({leaving, models}) => !leaving && models?.includes(model) === true,
+    ({isDraining, models}) => !isDraining && models?.includes(model) === true,
   );
 }
 
 /**
- * Loads for models with too few copies, spread over halls, scarcest model
- * first; then unloads of copies beyond what is wanted. The last holder of a
- * model is never told to unload it.
+ * Plans loads for models with too few copies, the model with the fewest copies
+ * first and spread over halls, then unloads of surplus copies. Never unloads the
+ * last copy of a model, and gives each engine at most one order.
  */
 export function planOrders(
   engines: readonly EngineState[],
   placements: readonly Placement[],
-  {busy, loading, loadsAtOnce}: PlanLimits,
+  {activeLoads, busyEngines, maxConcurrentLoads}: PlanLimits,
 ): PlannedOrder[] {
-  const used = new Set(busy);
+  const busyOrPlanned = new Set(busyEngines);
   const loads: PlannedOrder[] = [];
-  const shortage = ({copies, model}: Placement): number =>
-    copies - holders(engines, model).length;
-  const scarce = placements
-    .filter((placement) => shortage(placement) > 0)
+  const missingCopies = ({copies, model}: Placement): number =>
+    copies - enginesHolding(engines, model).length;
+  const underReplicated = placements
+    .filter((placement) => missingCopies(placement) > 0)
     .sort(
       (a, b) =>
-        holders(engines, a.model).length - holders(engines, b.model).length,
+        enginesHolding(engines, a.model).length -
+        enginesHolding(engines, b.model).length,
     );
-  for (const {copies, model} of scarce) {
-    let held = holders(engines, model);
-    while (held.length < copies && loading + loads.length < loadsAtOnce) {
-      const target = bestTarget(engines, held, model, used);
+  for (const {copies, model} of underReplicated) {
+    let assignedEngines = enginesHolding(engines, model);
+    while (
+      assignedEngines.length < copies &&
+      activeLoads + loads.length < maxConcurrentLoads
+    ) {
+      const target = selectLoadTarget(
+        engines,
+        assignedEngines,
+        model,
+        busyOrPlanned,
+      );
       if (target === undefined) {
         break;
       }
-      used.add(target.name);
+      busyOrPlanned.add(target.name);
       loads.push({action: 'load', model, upstream: target.name});
-      held = [...held, target];
+      assignedEngines = [...assignedEngines, target];
     }
   }
-  return [...loads, ...planUnloads(engines, placements, used)];
+  return [...loads, ...planUnloads(engines, placements, busyOrPlanned)];
 }
 
-/** The free engine in the hall with the fewest copies, least loaded first. */
-function bestTarget(
+/**
+ * Selects an idle engine in the hall with the fewest copies; among these, the one
+ * with the fewest loaded models.
+ */
+function selectLoadTarget(
   engines: readonly EngineState[],
-  held: readonly EngineState[],
+  assignedEngines: readonly EngineState[],
   model: string,
-  used: ReadonlySet<string>,
+  busyOrPlanned: ReadonlySet<string>,
 ): EngineState | undefined {
-  const inHall = (hall: string): number =>
-    held.filter((engine) => engine.hall === hall).length;
+  const copiesInHall = (hall: string): number =>
+    assignedEngines.filter((engine) => engine.hall === hall).length;
   return engines
-    .filter(({leaving, models}) => !leaving && models !== undefined)
+    .filter(({isDraining, models}) => !isDraining && models !== undefined)
     .filter(({models}) => models?.includes(model) !== true)
-    .filter(({name}) => !used.has(name))
+    .filter(({name}) => !busyOrPlanned.has(name))
     .sort(
       (a, b) =>
-        inHall(a.hall) - inHall(b.hall) ||
+        copiesInHall(a.hall) - copiesInHall(b.hall) ||
         (a.models?.length ?? 0) - (b.models?.length ?? 0),
     )[0];
 }
@@ -107,15 +120,17 @@
 function planUnloads(
   engines: readonly EngineState[],
   placements: readonly Placement[],
-  used: Set<string>,
+  busyOrPlanned: Set<string>,
 ): PlannedOrder[] {
   const unloads: PlannedOrder[] = [];
   for (const {copies, model} of placements) {
-    const held = holders(engines, model);
-    const surplus = held.length - Math.max(1, copies);
-    const free = held.filter(({name}) => !used.has(name));
-    for (const {name} of free.slice(0, Math.max(0, surplus))) {
-      used.add(name);
+    const modelHolders = enginesHolding(engines, model);
+    const surplus = modelHolders.length - Math.max(1, copies);
+    const idleHolders = modelHolders.filter(
+      ({name}) => !busyOrPlanned.has(name),
+    );
+    for (const {name} of idleHolders.slice(0, Math.max(0, surplus))) {
+      busyOrPlanned.add(name);
       unloads.push({action: 'unload', model, upstream: name});
     }
   }
--- a/packages/puffinturn-orders/src/__tests__/unit/Orders.test.ts
+++ b/packages/puffinturn-orders/src/__tests__/unit/Orders.test.ts
@@ -5,6 +5,10 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against unloading the last copy of a model, overloading engines with
+ * concurrent loads, and orders of a former leader that take effect late.
+ */
 import fc from 'fast-check';
 import {okAsync} from 'neverthrow';
 import {Ledger} from 'puffinturn-ledger';
@@ -22,7 +26,7 @@
 describe('planOrders', () => {
   const engine: fc.Arbitrary<EngineState> = fc.record({
     hall: fc.constantFrom('h1', 'h2', 'h3'),
-    leaving: fc.boolean(),
+    isDraining: fc.boolean(),
     models: fc.option(fc.subarray(MODELS), {nil: undefined}),
     name: fc.uuid(),
   });
@@ -37,34 +41,34 @@
     ),
   );
 
-  test('never drops a last holder, one order an engine, loads within the rate', () => {
+  test('keeps the last copy of a model, sends at most one order per engine and respects the load limit', () => {
     fc.assert(
       fc.property(
         fc.array(engine, {maxLength: 8}),
         placements,
         fc.nat(3),
         fc.integer({max: 4, min: 1}),
-        (engines, wanted, loading, loadsAtOnce) => {
-          const orders = planOrders(engines, wanted, {
-            busy: new Set(),
-            loading,
-            loadsAtOnce,
+        (engines, placementList, activeLoads, maxConcurrentLoads) => {
+          const orders = planOrders(engines, placementList, {
+            activeLoads,
+            busyEngines: new Set(),
+            maxConcurrentLoads,
           });
           const names = orders.map(({upstream}) => upstream);
           expect(new Set(names).size).toBe(names.length);
           const loads = orders.filter(({action}) => action === 'load');
           expect(loads.length).toBeLessThanOrEqual(
-            Math.max(0, loadsAtOnce - loading),
+            Math.max(0, maxConcurrentLoads - activeLoads),
           );
           for (const model of MODELS) {
-            const holds = engines.filter(
-              (one) => !one.leaving && one.models?.includes(model),
+            const holders = engines.filter(
+              (item) => !item.isDraining && item.models?.includes(model),
             );
-            const dropped = orders.filter(
-              (one) => one.action === 'unload' && one.model === model,
+            const unloads = orders.filter(
+              (order) => order.action === 'unload' && order.model === model,
             );
-            const left = holds.length - dropped.length;
-            expect(holds.length === 0 || left >= 1).toBe(true);
+            const remainingCopies = holders.length - unloads.length;
+            expect(holders.length === 0 || remainingCopies >= 1).toBe(true);
           }
         },
       ),
@@ -72,17 +76,17 @@
     );
   });
 
-  test('copies are spread over halls', () => {
-    const engines = ['h1', 'h1', 'h2', 'h3'].map((hall, at) => ({
+  test('spreads copies over halls', () => {
+    const engines = ['h1', 'h1', 'h2', 'h3'].map((hall, index) => ({
       hall,
-      leaving: false,
+      isDraining: false,
       models: [],
-      name: `e${at}`,
+      name: `e${index}`,
     }));
     const orders = planOrders(engines, [{copies: 3, model: 'a'}], {
-      busy: new Set(),
-      loading: 0,
-      loadsAtOnce: 9,
+      activeLoads: 0,
+      busyEngines: new Set(),
+      maxConcurrentLoads: 9,
     });
     const halls = orders.map(
       ({upstream}) => engines.find(({name}) => name === upstream)?.hall,
@@ -93,27 +97,27 @@
 
 class FakeEngines extends EngineClient {
   readonly orders: (FencedOrder & {url: string; at: number})[] = [];
-  readonly held = new Map<string, Set<string>>();
+  readonly modelsByUrl = new Map<string, Set<string>>();
 
   constructor(private readonly clock: ManualClock) {
     super();
   }
 
-  override models(url: string) {
-    return okAsync([...(this.held.get(url) ?? [])]);
+  override listModels(url: string) {
+    return okAsync([...(this.modelsByUrl.get(url) ?? [])]);
   }
 
-  override order(url: string, order: FencedOrder) {
+  override sendOrder(url: string, order: FencedOrder) {
     this.orders.push({...order, at: this.clock.now(), url});
-    const held = this.held.get(url) ?? new Set();
-    this.held.set(url, held.add(order.model));
-    return okAsync([...held]);
+    const models = this.modelsByUrl.get(url) ?? new Set();
+    this.modelsByUrl.set(url, models.add(order.model));
+    return okAsync([...models]);
   }
 }
 
-class NoLink extends LogLink {
+class NoPeersLink extends LogLink {
   override call(): never {
-    throw new Error('a group of one calls nobody');
+    throw new Error('a group with one replica must not send messages');
   }
 }
 
@@ -147,7 +151,7 @@
       clock,
       disk: new MemoryDisk(),
       incarnation: '1',
-      link: new NoLink(),
+      link: new NoPeersLink(),
       machine: ledger,
       random: new Random(1),
       timing: DEFAULT_TIMING,
@@ -180,7 +184,7 @@
 }
 
 describe('OrderController', () => {
-  test('loads what is missing, one at a time, with growing fences', async () => {
+  test('loads missing copies one at a time with increasing fencing tokens', async () => {
     const {client} = await runController(true);
     expect(client.orders).toHaveLength(2);
     const [first, second] = client.orders;
@@ -188,7 +192,7 @@
     expect(second?.url).not.toBe(first?.url);
   });
 
-  test('waits out a former leader where engines check no fence', async () => {
+  test('waits for the former leader to step down if engines do not check fencing tokens', async () => {
     const {client, startedAt} = await runController(false);
     expect(client.orders).toHaveLength(2);
     expect((client.orders[0]?.at ?? 0) - startedAt).toBeGreaterThanOrEqual(
--- a/packages/puffinturn-orders/src/index.ts
+++ b/packages/puffinturn-orders/src/index.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Orders to engines: which models they hold. */
+/** Sends orders to inference engines to load or unload models. */
 export type {EngineFailure, FencedOrder} from './EngineClient';
 export {EngineClient, HttpEngineClient} from './EngineClient';
 export type {OrderControllerParts} from './OrderController';
