--- a/packages/puffinturn-membership/src/BoxMember.ts
+++ b/packages/puffinturn-membership/src/BoxMember.ts
@@ -6,8 +6,8 @@
  */
 
 /**
- * A box's own side of membership: registers its process, tells the leader of
- * itself, and takes over the configuration that comes back.
+ * Membership client of one box: registers its incarnation, sends heartbeats to
+ * the leader and applies the configuration changes in the replies.
  */
 import type {ControlClient} from 'puffinturn-ledger';
 import type {Timeline} from 'puffinturn-timeline';
@@ -18,8 +18,8 @@
 
 import {FleetConfig} from './FleetConfig';
 import type {
-  BoxNews,
-  CrashNews,
+  BoxStatus,
+  CrashUpdate,
   Heartbeat,
   HeartbeatReply,
   MemberReply,
@@ -28,29 +28,29 @@
 import {MEMBER_SERVICE} from './MemberMessages';
 import {
   CONFIG_LEASE_MS,
-  HEARTBEAT_CALL_MS,
-  HEARTBEAT_MS,
+  HEARTBEAT_INTERVAL_MS,
+  HEARTBEAT_TIMEOUT_MS,
 } from './MembershipConstants';
 import {OpenAdmissions} from './OpenAdmissions';
 
 const REGISTER_TIMEOUT_MS = 5_000;
 
-/** Fenced incarnations whose admissions are still reported. */
-const MAX_FORMER = 5;
+/** Fenced incarnations whose open admissions are still reported. */
+const MAX_FENCED_INCARNATIONS = 5;
 
-interface Former {
+interface FencedIncarnation {
   readonly incarnation: string;
   readonly admissions: OpenAdmissions;
 }
 
-/** What a heartbeat tells of crashes. */
+/** A crash update for one heartbeat, with its acknowledgement callback. */
 export interface CrashTelling {
-  readonly news: CrashNews;
-  /** Called once the leader has it. */
+  readonly news: CrashUpdate;
+  /** Called after the leader has acknowledged the update. */
   readonly taken: () => void;
 }
 
-/** What a member needs. */
+/** Dependencies of a BoxMember. */
 export interface BoxMemberParts {
   readonly box: string;
   readonly hall: string;
@@ -59,98 +59,95 @@
   readonly control: ControlClient;
   readonly controlBoxes: readonly string[];
   readonly timeline: Timeline;
-  /** A name that no process of this box has had. */
+  /** Returns an incarnation identifier that this box has never used. */
   readonly newIncarnation: () => string;
-  /** What this box has in flight to upstreams. */
+  /** Requests in flight from this box, per upstream. */
   readonly inFlight: () => readonly UpstreamCount[];
-  /** Upstreams that told this box that they are leaving. */
+  /** Upstreams that have announced to this box that they are shutting down. */
   readonly leaving: () => readonly string[];
-  /** What this box knows of requests that crash upstreams. */
+  /** Returns the crash update for the next heartbeat. */
   readonly crashes: () => CrashTelling;
-  /** Takes over what all other boxes report. */
+  /** Called with each heartbeat reply, after the configuration is updated. */
   readonly onNews: (news: HeartbeatReply) => void;
 }
 
-/** See the module comment. */
+/** Registers a box, sends its heartbeats and holds its configuration. */
 export class BoxMember implements AsyncDisposable {
-  /** The process's name in the ledger; changes when it was fenced. */
+  /** Identifies this run of the process; replaced after it is fenced. */
   incarnation: string;
-  /** Admissions of this incarnation that are open. */
+  /** Open admissions of the current incarnation. */
   admissions = new OpenAdmissions();
-  /** The configuration in force as far as this box knows. */
+  /** The newest configuration that this box has received. */
   config = FleetConfig.empty;
-  /** Other boxes of the region. */
-  boxes: readonly BoxNews[] = [];
-  private former: readonly Former[] = [];
-  private refreshing: Promise<void> | undefined;
-  private stopping = false;
-  private registered = false;
-  private currentUntil = -Infinity;
+  /** Registered boxes of the region, from the last heartbeat reply. */
+  boxes: readonly BoxStatus[] = [];
+  private fencedIncarnations: readonly FencedIncarnation[] = [];
+  private pendingRefresh: Promise<void> | undefined;
+  private isStopping = false;
+  private isRegistered = false;
+  private configLeaseEndsAt = -Infinity;
   private leader: string | undefined;
-  private turn = 0;
+  private controlBoxIndex = 0;
   private readonly tasks = new TaskGroup();
 
   constructor(private readonly parts: BoxMemberParts) {
     this.incarnation = parts.newIncarnation();
-    this.tasks.start((signal) => this.run(signal));
+    this.tasks.start((signal) => this.sendHeartbeats(signal));
   }
 
-  /**
-   * Whether this box may start new work: registered, and its configuration
-   * was proved current a short while ago.
-   */
+  /** Whether this box is registered and holds a valid configuration lease. */
   get isReady(): boolean {
-    const current = this.parts.clock.now() < this.currentUntil;
-    return this.registered && current && this.config.index > 0;
+    const hasConfigLease = this.parts.clock.now() < this.configLeaseEndsAt;
+    return this.isRegistered && hasConfigLease && this.config.index > 0;
   }
 
   /**
-   * Asks the leader for the configuration now; true when it has changed.
-   * Callers at the same time share one question.
+   * Sends a heartbeat now and returns whether the configuration has changed.
+   * Concurrent callers share one heartbeat.
    */
   async refresh(): Promise<boolean> {
     const {index} = this.config;
-    this.refreshing ??= this.beat().finally(() => {
-      this.refreshing = undefined;
+    this.pendingRefresh ??= this.sendHeartbeat().finally(() => {
+      this.pendingRefresh = undefined;
     });
-    await this.refreshing;
+    await this.pendingRefresh;
     return this.config.index > index;
   }
 
-  /** Waits until the configuration is at least at `index`. */
+  /** Waits for configuration `index` or newer; returns false on timeout. */
   async waitForConfig(index: number, timeoutMs: number): Promise<boolean> {
     const {clock} = this.parts;
-    const end = clock.now() + timeoutMs;
-    while (this.config.index < index && clock.now() < end) {
+    const deadline = clock.now() + timeoutMs;
+    while (this.config.index < index && clock.now() < deadline) {
       await this.refresh();
       if (this.config.index < index) {
-        await clock.sleep(HEARTBEAT_MS / 10);
+        await clock.sleep(HEARTBEAT_INTERVAL_MS / 10);
       }
     }
     return this.config.index >= index;
   }
 
-  /** Tells the others at once that this box takes no new work. */
+  /** Announces immediately that this box accepts no new work. */
   async announceStop(): Promise<void> {
-    this.stopping = true;
-    await this.beat();
+    this.isStopping = true;
+    await this.sendHeartbeat();
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  private async run(signal: AbortSignal): Promise<void> {
+  private async sendHeartbeats(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      if (!this.registered) {
-        await this.register();
+      if (!this.isRegistered) {
+        await this.registerIncarnation();
       }
-      await this.beat();
-      await this.parts.clock.sleep(HEARTBEAT_MS, signal);
+      await this.sendHeartbeat();
+      await this.parts.clock.sleep(HEARTBEAT_INTERVAL_MS, signal);
     }
   }
 
-  private async register(): Promise<void> {
+  private async registerIncarnation(): Promise<void> {
     const {box, clock, control, hall, timeline} = this.parts;
     const {incarnation} = this;
     const outcome = await control.submit(
@@ -161,58 +158,62 @@
       return;
     }
     if (outcome.value.kind === 'noted') {
-      this.registered = true;
+      this.isRegistered = true;
       timeline.note(EVENT_KIND.boxRegistered, {detail: incarnation});
     } else {
-      this.renew();
+      this.startNewIncarnation();
     }
   }
 
-  /** Goes on as a new process after this one was fenced. */
-  private renew(): void {
-    this.registered = false;
+  /** Continues under a new incarnation after this one was fenced. */
+  private startNewIncarnation(): void {
+    this.isRegistered = false;
     const {admissions, incarnation} = this;
-    this.former = [...this.former, {admissions, incarnation}].slice(
-      -MAX_FORMER,
-    );
+    this.fencedIncarnations = [
+      ...this.fencedIncarnations,
+      {admissions, incarnation},
+    ].slice(-MAX_FENCED_INCARNATIONS);
     this.incarnation = this.parts.newIncarnation();
     this.admissions = new OpenAdmissions();
   }
 
-  private async beat(): Promise<void> {
+  private async sendHeartbeat(): Promise<void> {
     const {clock, link, timeline} = this.parts;
     const sentAt = clock.now();
     const {incarnation} = this;
     const crashes = this.parts.crashes();
-    const answer = await link.call(
-      this.target(),
+    const result = await link.call(
+      this.heartbeatTarget(),
       MEMBER_SERVICE,
-      this.heartbeat(crashes.news),
-      HEARTBEAT_CALL_MS,
+      this.createHeartbeat(crashes.news),
+      HEARTBEAT_TIMEOUT_MS,
     );
-    const reply = answer.isOk() ? (answer.value as MemberReply) : undefined;
+    const reply = result.isOk() ? (result.value as MemberReply) : undefined;
     if (reply?.kind !== 'heartbeat') {
-      this.turn += 1;
+      this.controlBoxIndex += 1;
       this.leader = reply?.leader;
       return;
     }
     timeline.clock.observe(reply.stamp);
     crashes.taken();
-    this.currentUntil = Math.max(this.currentUntil, sentAt + CONFIG_LEASE_MS);
-    this.adopt(reply);
-    if (reply.fenced && this.registered && this.incarnation === incarnation) {
-      this.renew();
+    this.configLeaseEndsAt = Math.max(
+      this.configLeaseEndsAt,
+      sentAt + CONFIG_LEASE_MS,
+    );
+    this.applyReply(reply);
+    if (reply.fenced && this.isRegistered && this.incarnation === incarnation) {
+      this.startNewIncarnation();
     }
   }
 
-  private heartbeat(crashNews: CrashNews): Heartbeat {
+  private createHeartbeat(crashNews: CrashUpdate): Heartbeat {
     const {box, inFlight, leaving, timeline} = this.parts;
     return {
       box,
       configIndex: this.config.index,
       crashNews,
       floor: this.admissions.floor,
-      former: this.former.map(({admissions, incarnation}) => ({
+      former: this.fencedIncarnations.map(({admissions, incarnation}) => ({
         floor: admissions.floor,
         incarnation,
       })),
@@ -221,21 +222,25 @@
       kind: 'heartbeat',
       leaving: leaving(),
       stamp: timeline.clock.tick(),
-      stopping: this.stopping,
+      stopping: this.isStopping,
     };
   }
 
-  private target(): string {
+  private heartbeatTarget(): string {
     const {box, controlBoxes} = this.parts;
-    return this.leader ?? controlBoxes[this.turn % controlBoxes.length] ?? box;
+    return (
+      this.leader ??
+      controlBoxes[this.controlBoxIndex % controlBoxes.length] ??
+      box
+    );
   }
 
-  private adopt(reply: HeartbeatReply): void {
-    const former = this.config;
-    this.config = former.with(reply.entries, reply.configIndex);
+  private applyReply(reply: HeartbeatReply): void {
+    const previous = this.config;
+    this.config = previous.with(reply.entries, reply.configIndex);
     this.boxes = reply.boxes;
     this.parts.onNews(reply);
-    if (this.config !== former) {
+    if (this.config !== previous) {
       const detail = `index ${this.config.index}`;
       this.parts.timeline.note(EVENT_KIND.configChanged, {detail});
     }
--- a/packages/puffinturn-membership/src/FleetConfig.ts
+++ b/packages/puffinturn-membership/src/FleetConfig.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The declarations in force as one box knows them, ready for use. */
+/** An immutable snapshot of the declarations, indexed for look-up. */
 import type {DeclarationEntry} from 'puffinturn-ledger';
 import {PolicySet} from 'puffinturn-policy';
 import type {
@@ -18,7 +18,7 @@
 } from 'puffinturn-settings';
 import {digestBytes, invariant} from 'shared';
 
-/** A pool or a plain service: both send requests to upstreams. */
+/** A pool or a plain service; requests to either are sent to upstreams. */
 export type Target =
   | {readonly kind: 'pool'; readonly name: string; readonly spec: PoolSpec}
   | {
@@ -27,39 +27,39 @@
       readonly spec: ServiceSpec;
     };
 
-/** A team with its name. */
+/** The name and specification of a team. */
 export interface Team {
   readonly name: string;
   readonly spec: TeamSpec;
 }
 
-function emptyPolicies(): PolicySet {
+function createEmptyPolicySet(): PolicySet {
   const compiled = PolicySet.compile([]);
-  invariant(compiled.isOk(), 'no policies always compile');
+  invariant(compiled.isOk(), 'an empty policy set must compile');
   return compiled.value;
 }
 
-/** Replaced as a whole by every change, never edited. */
+/** An immutable configuration snapshot; each change creates a new one. */
 export class FleetConfig {
-  /** The configuration of a box that has none yet. */
-  static readonly empty = new FleetConfig(0, new Map(), emptyPolicies());
+  /** The configuration of a box that has not received any. */
+  static readonly empty = new FleetConfig(0, new Map(), createEmptyPolicySet());
 
-  private readonly teams = new Map<string, Team>();
+  private readonly teamsByKeyDigest = new Map<string, Team>();
   private readonly targets = new Map<string, Target>();
   private readonly drains: DrainSpec[] = [];
 
   private constructor(
-    /** Log index from which this configuration is in force. */
+    /** Log index of the last change in this configuration. */
     readonly index: number,
     private readonly entries: ReadonlyMap<string, DeclarationEntry>,
     readonly policies: PolicySet,
   ) {
     for (const {declaration} of entries.values()) {
-      this.adopt(declaration);
+      this.addDeclaration(declaration);
     }
   }
 
-  /** This configuration with changes; older indices change nothing. */
+  /** Returns the configuration with changes applied; ignores older indices. */
   with(entries: readonly DeclarationEntry[], index: number): FleetConfig {
     if (index <= this.index) {
       return this;
@@ -72,33 +72,33 @@
     const declarations = [...merged.values()].map(
       ({declaration}) => declaration,
     );
-    // Declarations are checked before they are accepted; one that does not
-    // compile here leaves the policies that do in force.
+    // Declarations are validated before they are accepted. If the policies still
+    // fail to compile, the previous ones stay in force.
     const policies = PolicySet.compile(declarations).unwrapOr(this.policies);
     return new FleetConfig(index, merged, policies);
   }
 
-  /** The team that a bearer key belongs to. */
+  /** Finds the team that owns a bearer key. */
   teamOf(key: string): Team | undefined {
-    return this.teams.get(digestBytes(key));
+    return this.teamsByKeyDigest.get(digestBytes(key));
   }
 
-  /** A team by name. */
+  /** Finds a team by name. */
   team(name: string): Team | undefined {
-    const declaration = this.find('team', name);
+    const declaration = this.findDeclaration('team', name);
     return declaration?.kind === 'team' && declaration.spec !== null
       ? {name, spec: declaration.spec}
       : undefined;
   }
 
-  /** The pool or service of a name. */
+  /** Finds a pool or service by name. */
   target(name: string): Target | undefined {
     return this.targets.get(name);
   }
 
-  /** The region that keeps a budget and the keys of what it pays for. */
+  /** The home region of a budget, which also stores its requests' idempotency keys. */
   budgetHome(name: string): string | undefined {
-    const declaration = this.find('budget', name);
+    const declaration = this.findDeclaration('budget', name);
     return declaration?.kind === 'budget' ? declaration.spec?.home : undefined;
   }
 
@@ -107,14 +107,14 @@
     return [...this.targets.values()];
   }
 
-  /** Whether operators drain a box. */
+  /** Whether an operator drains the box. */
   isBoxDrained(box: string): boolean {
     return this.drains.some(
       ({target}) => 'box' in target && target.box === box,
     );
   }
 
-  /** Whether operators drain an upstream, or the hall that it stands in. */
+  /** Whether an operator drains the upstream or its hall. */
   isUpstreamDrained(pool: string, upstream: string): boolean {
     const declared = this.targets
       .get(pool)
@@ -129,16 +129,19 @@
     });
   }
 
-  /** Every entry, for reports. */
-  all(): DeclarationEntry[] {
+  /** All declaration entries. */
+  allEntries(): DeclarationEntry[] {
     return [...this.entries.values()];
   }
 
-  private find(kind: DeclarationKind, name: string): Declaration | undefined {
+  private findDeclaration(
+    kind: DeclarationKind,
+    name: string,
+  ): Declaration | undefined {
     return this.entries.get(`${kind}/${name}`)?.declaration;
   }
 
-  private adopt(declaration: Declaration): void {
+  private addDeclaration(declaration: Declaration): void {
     if (declaration.spec === null) {
       return;
     }
@@ -146,7 +149,7 @@
     switch (declaration.kind) {
       case 'team':
         for (const {sha256} of declaration.spec.keys) {
-          this.teams.set(sha256, {name, spec: declaration.spec});
+          this.teamsByKeyDigest.set(sha256, {name, spec: declaration.spec});
         }
         return;
       case 'pool':
--- a/packages/puffinturn-membership/src/HeartbeatMonitor.ts
+++ b/packages/puffinturn-membership/src/HeartbeatMonitor.ts
@@ -6,8 +6,8 @@
  */
 
 /**
- * The leader's side of membership: answers heartbeats, adds up what boxes
- * report, and fences processes that have gone silent.
+ * Membership service of the leader: replies to heartbeats, aggregates the
+ * reports of all boxes and fences incarnations whose heartbeats stop.
  */
 import type {Ledger, LedgerRecord} from 'puffinturn-ledger';
 import type {Replica} from 'puffinturn-log';
@@ -18,6 +18,7 @@
 import type {Clock} from 'shared';
 import {TaskGroup} from 'shared';
 
+import {FailureDetector} from './FailureDetector';
 import type {
   Heartbeat,
   HeartbeatReply,
@@ -25,41 +26,43 @@
   UpstreamCount,
 } from './MemberMessages';
 import {MEMBER_SERVICE} from './MemberMessages';
-import {HINTED_SUSPICION_SHARE, MONITOR_EVERY_MS} from './MembershipConstants';
-import {Suspicion} from './Suspicion';
+import {
+  MONITOR_INTERVAL_MS,
+  REPORTED_GONE_TIMEOUT_FACTOR,
+} from './MembershipConstants';
 
-/** What the monitor needs. */
+/** Dependencies of a HeartbeatMonitor. */
 export interface HeartbeatMonitorParts {
   readonly clock: Clock;
   readonly ledger: Ledger;
   readonly link: Link;
   readonly replica: Replica;
   readonly timeline: Timeline;
-  /** Whether the platform's list, which lags, calls a box gone. */
+  /** Whether the platform's list of machines, which lags, reports a box as gone. */
   readonly isListedGone?: (box: string) => boolean;
 }
 
-interface Watched {
-  readonly suspicion: Suspicion;
-  newest: Heartbeat | undefined;
+interface MonitoredBox {
+  readonly failureDetector: FailureDetector;
+  lastHeartbeat: Heartbeat | undefined;
 }
 
-/** See the module comment. */
+/** Replies to heartbeats and fences boxes that stop sending them. */
 export class HeartbeatMonitor implements AsyncDisposable {
-  private readonly watched = new Map<string, Watched>();
+  private readonly monitoredBoxes = new Map<string, MonitoredBox>();
   private readonly tasks = new TaskGroup();
   private readonly registration: Disposable;
-  private ledTerm = -1;
-  /** Requests that crash upstreams, as told in this term. */
-  private crashes = new CrashRegister();
-  /** Boxes that have told which requests they refuse. */
-  private readonly toldQuarantine = new Set<string>();
+  private currentTerm = -1;
+  /** Crash reports received in the current term. */
+  private crashRegister = new CrashRegister();
+  /** Boxes whose quarantine was imported in the current term. */
+  private readonly boxesWithReportedQuarantine = new Set<string>();
 
   constructor(private readonly parts: HeartbeatMonitorParts) {
     this.registration = parts.link.register(MEMBER_SERVICE, (body) =>
-      this.answer(body as Heartbeat),
+      this.handleHeartbeat(body as Heartbeat),
     );
-    this.tasks.start((signal) => this.run(signal));
+    this.tasks.start((signal) => this.monitorBoxes(signal));
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -67,77 +70,86 @@
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  private async answer(heartbeat: Heartbeat): Promise<MemberReply> {
+  private async handleHeartbeat(heartbeat: Heartbeat): Promise<MemberReply> {
     const {ledger, replica, timeline} = this.parts;
-    const current = await replica.barrier();
-    if (current.isErr()) {
+    const barrier = await replica.barrier();
+    if (barrier.isErr()) {
       return {kind: 'not-leader', leader: replica.leaderBox};
     }
     timeline.clock.observe(heartbeat.stamp);
-    this.followTerm();
-    this.hearCrashes(heartbeat);
+    this.resetOnNewTerm();
+    this.recordCrashUpdate(heartbeat);
     const {box, incarnation} = heartbeat;
-    const known = ledger.boxes.current(box, incarnation) !== undefined;
-    if (known) {
-      this.note(heartbeat);
+    const isRegistered = ledger.boxes.current(box, incarnation) !== undefined;
+    if (isRegistered) {
+      this.recordHeartbeat(heartbeat);
     }
     for (const former of heartbeat.former) {
-      this.releaseBelow(box, former.incarnation, former.floor);
+      this.releaseAdmissionsBelow(box, former.incarnation, former.floor);
     }
-    return this.reply(heartbeat, !known);
+    return this.createReply(heartbeat, !isRegistered);
   }
 
   /**
-   * What a box refuses counts with its first word in a term only: so a new leader
-   * knows what the former one knew, and what has ended since does not come back.
+   * Records a box's crash update. Its quarantine is imported only once per term:
+   * this restores the state of the previous leader without reviving entries that
+   * expire later in the term.
    */
-  private hearCrashes({box, crashNews}: Heartbeat): void {
+  private recordCrashUpdate({box, crashNews}: Heartbeat): void {
     if (crashNews === undefined) {
       return;
     }
     const at = this.parts.clock.wallTime();
-    this.crashes.report(crashNews.report ?? NO_REPORT, at);
-    if (!this.toldQuarantine.has(box)) {
-      this.toldQuarantine.add(box);
-      this.crashes.hold(crashNews.quarantined, at);
+    this.crashRegister.report(crashNews.report ?? NO_REPORT, at);
+    if (!this.boxesWithReportedQuarantine.has(box)) {
+      this.boxesWithReportedQuarantine.add(box);
+      this.crashRegister.hold(crashNews.quarantined, at);
     }
   }
 
-  private note(heartbeat: Heartbeat): void {
+  private recordHeartbeat(heartbeat: Heartbeat): void {
     const now = this.parts.clock.now();
     const {box, floor, incarnation} = heartbeat;
-    const watched = this.watchedOf(box, now);
-    watched.suspicion.heard(now);
-    watched.newest = heartbeat;
-    this.releaseBelow(box, incarnation, floor);
+    const monitoredBox = this.getOrCreateMonitoredBox(box, now);
+    monitoredBox.failureDetector.recordHeartbeat(now);
+    monitoredBox.lastHeartbeat = heartbeat;
+    this.releaseAdmissionsBelow(box, incarnation, floor);
   }
 
-  /** Releases admissions that their own process has given up. */
-  private releaseBelow(box: string, incarnation: string, floor: number): void {
-    const [oldest] = this.parts.ledger.requests.openOf(box, incarnation);
-    if (oldest !== undefined && oldest.serial < floor) {
+  /** Releases admissions below `floor`, which their own process has closed. */
+  private releaseAdmissionsBelow(
+    box: string,
+    incarnation: string,
+    floor: number,
+  ): void {
+    const [lowestOpen] = this.parts.ledger.requests.openOf(box, incarnation);
+    if (lowestOpen !== undefined && lowestOpen.serial < floor) {
       const at = this.parts.clock.wallTime();
       this.propose({at, box, incarnation, kind: 'floor', serial: floor});
     }
   }
 
-  private watchedOf(box: string, now: number): Watched {
-    const known = this.watched.get(box);
+  private getOrCreateMonitoredBox(box: string, now: number): MonitoredBox {
+    const known = this.monitoredBoxes.get(box);
     if (known !== undefined) {
       return known;
     }
-    const watched = {newest: undefined, suspicion: new Suspicion(now)};
-    this.watched.set(box, watched);
-    return watched;
+    const created = {
+      failureDetector: new FailureDetector(now),
+      lastHeartbeat: undefined,
+    };
+    this.monitoredBoxes.set(box, created);
+    return created;
   }
 
-  private reply(heartbeat: Heartbeat, fenced: boolean): HeartbeatReply {
+  private createReply(heartbeat: Heartbeat, fenced: boolean): HeartbeatReply {
     const {ledger, timeline} = this.parts;
     return {
       boxes: ledger.boxes.all().map(({box, incarnation}) => ({
         box,
         incarnation,
-        stopping: this.watched.get(box)?.newest?.stopping ?? false,
+        stopping:
+          this.monitoredBoxes.get(box)?.lastHeartbeat?.stopping ?? false,
       })),
       configIndex: ledger.declarations.configIndex,
       entries:
@@ -145,66 +157,74 @@
           ? ledger.declarations.since(heartbeat.configIndex)
           : [],
       fenced,
-      inFlight: this.othersInFlight(heartbeat.box),
+      inFlight: this.inFlightOfOtherBoxes(heartbeat.box),
       kind: 'heartbeat',
-      leaving: this.allLeaving(),
-      quarantine: this.crashes.quarantine,
+      leaving: this.drainingUpstreams(),
+      quarantine: this.crashRegister.quarantine,
       stamp: timeline.clock.tick(),
     };
   }
 
-  private othersInFlight(box: string): UpstreamCount[] {
-    const sums = new Map<string, UpstreamCount>();
-    for (const [other, {newest}] of this.watched) {
-      for (const item of other === box ? [] : (newest?.inFlight ?? [])) {
+  private inFlightOfOtherBoxes(box: string): UpstreamCount[] {
+    const totals = new Map<string, UpstreamCount>();
+    for (const [sender, {lastHeartbeat}] of this.monitoredBoxes) {
+      for (const item of sender === box
+        ? []
+        : (lastHeartbeat?.inFlight ?? [])) {
         const id = `${item.pool}\n${item.upstream}`;
-        const count = (sums.get(id)?.count ?? 0) + item.count;
-        sums.set(id, {...item, count});
+        const count = (totals.get(id)?.count ?? 0) + item.count;
+        totals.set(id, {...item, count});
       }
     }
-    return [...sums.values()];
+    return [...totals.values()];
   }
 
-  private allLeaving(): string[] {
-    const leaving = new Set<string>();
-    for (const {newest} of this.watched.values()) {
-      newest?.leaving.forEach((upstream) => leaving.add(upstream));
+  private drainingUpstreams(): string[] {
+    const upstreams = new Set<string>();
+    for (const {lastHeartbeat} of this.monitoredBoxes.values()) {
+      lastHeartbeat?.leaving.forEach((upstream) => upstreams.add(upstream));
     }
-    return [...leaving];
+    return [...upstreams];
   }
 
-  private async run(signal: AbortSignal): Promise<void> {
+  private async monitorBoxes(signal: AbortSignal): Promise<void> {
     const {clock, replica} = this.parts;
     while (!signal.aborted) {
-      await clock.sleep(MONITOR_EVERY_MS, signal);
+      await clock.sleep(MONITOR_INTERVAL_MS, signal);
       if (replica.isLeader) {
-        this.followTerm();
-        this.fenceSilent();
+        this.resetOnNewTerm();
+        this.fenceSilentBoxes();
       }
     }
   }
 
-  /** A new leader has heard nobody yet; every box gets its time anew. */
-  private followTerm(): void {
+  /**
+   * Discards all state on a new term. A new leader has received no heartbeats
+   * yet, so the timeout of every box starts again.
+   */
+  private resetOnNewTerm(): void {
     const {term} = this.parts.replica.status();
-    if (term !== this.ledTerm) {
-      this.ledTerm = term;
-      this.watched.clear();
-      this.crashes = new CrashRegister();
-      this.toldQuarantine.clear();
+    if (term !== this.currentTerm) {
+      this.currentTerm = term;
+      this.monitoredBoxes.clear();
+      this.crashRegister = new CrashRegister();
+      this.boxesWithReportedQuarantine.clear();
     }
   }
 
-  private fenceSilent(): void {
+  private fenceSilentBoxes(): void {
     const {clock, isListedGone, ledger, timeline} = this.parts;
     const now = clock.now();
     for (const {box, incarnation} of ledger.boxes.all()) {
-      const {suspicion} = this.watchedOf(box, now);
-      const hinted = isListedGone?.(box) === true;
-      const share = hinted ? HINTED_SUSPICION_SHARE : 1;
-      if (suspicion.silenceMs(now) > suspicion.patienceMs * share) {
+      const {failureDetector} = this.getOrCreateMonitoredBox(box, now);
+      const isReportedGone = isListedGone?.(box) === true;
+      const timeoutFactor = isReportedGone ? REPORTED_GONE_TIMEOUT_FACTOR : 1;
+      if (
+        failureDetector.sinceLastHeartbeatMs(now) >
+        failureDetector.timeoutMs * timeoutFactor
+      ) {
         const at = clock.wallTime();
-        this.watched.delete(box);
+        this.monitoredBoxes.delete(box);
         timeline.note(EVENT_KIND.boxFenced, {detail: box});
         this.propose({at, box, incarnation, kind: 'fence'});
       }
@@ -212,7 +232,7 @@
   }
 
   private propose(record: LedgerRecord): void {
-    // Without an outcome the next round proposes it again.
+    // A failed proposal is retried by the next check or heartbeat.
     void this.parts.replica.propose(record).unwrapOr(undefined);
   }
 }
--- a/packages/puffinturn-membership/src/MemberMessages.ts
+++ b/packages/puffinturn-membership/src/MemberMessages.ts
@@ -5,12 +5,12 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Messages between boxes and the leader about membership. */
+/** Membership messages between boxes and the leader. */
 import type {DeclarationEntry} from 'puffinturn-ledger';
 import type {CrashReport, Quarantine} from 'puffinturn-quarantine';
 import type {Stamp} from 'puffinturn-timeline';
 
-/** The service name on the link. */
+/** Name of the membership service on the link. */
 export const MEMBER_SERVICE = 'member';
 
 /** Requests in flight to one upstream. */
@@ -20,22 +20,22 @@
   readonly count: number;
 }
 
-/** A fenced incarnation whose process goes on under another name. */
+/** A fenced incarnation whose process is still running under a newer one. */
 export interface FormerIncarnation {
   readonly incarnation: string;
   /** Lowest serial of an admission that is still open. */
   readonly floor: number;
 }
 
-/** What a box knows of requests that crash upstreams. */
-export interface CrashNews {
-  /** Fingerprints of requests that it was told to refuse. */
+/** What a box reports about requests that crash upstreams. */
+export interface CrashUpdate {
+  /** Fingerprints of the requests that the box currently rejects. */
   readonly quarantined: readonly string[];
-  /** What it has seen and not told yet. */
+  /** Observations that the leader has not acknowledged yet. */
   readonly report: CrashReport | undefined;
 }
 
-/** What a box tells of itself. */
+/** Periodic state report of a box. */
 export interface Heartbeat {
   readonly kind: 'heartbeat';
   readonly box: string;
@@ -43,43 +43,43 @@
   readonly configIndex: number;
   /** Lowest serial of an admission that is still open. */
   readonly floor: number;
-  /** Earlier incarnations of the same process, which were fenced. */
+  /** Fenced incarnations of the same process. */
   readonly former: readonly FormerIncarnation[];
   readonly stopping: boolean;
   readonly inFlight: readonly UpstreamCount[];
-  /** Upstreams that told this box that they are leaving. */
+  /** Upstreams that have announced to this box that they are shutting down. */
   readonly leaving: readonly string[];
-  /** Missing in heartbeats of a former version. */
-  readonly crashNews?: CrashNews | undefined;
+  /** Missing in heartbeats of older versions. */
+  readonly crashNews?: CrashUpdate | undefined;
   readonly stamp: Stamp;
 }
 
-/** A box as the others see it. */
-export interface BoxNews {
+/** Status of a box as sent to the other boxes. */
+export interface BoxStatus {
   readonly box: string;
   readonly incarnation: string;
   readonly stopping: boolean;
 }
 
-/** What the leader answers. */
+/** Reply of the leader to a heartbeat. */
 export interface HeartbeatReply {
   readonly kind: 'heartbeat';
-  /** True when this process is fenced and must register anew. */
+  /** True if the incarnation is not registered and must register again. */
   readonly fenced: boolean;
   readonly configIndex: number;
-  /** Changes after the index that the box has. */
+  /** Declarations changed since the index in the heartbeat. */
   readonly entries: readonly DeclarationEntry[];
-  readonly boxes: readonly BoxNews[];
-  /** In flight from all other boxes. */
+  readonly boxes: readonly BoxStatus[];
+  /** Total requests in flight from all other boxes, per upstream. */
   readonly inFlight: readonly UpstreamCount[];
-  /** Upstreams that any box knows to be leaving. */
+  /** Upstreams that any box has reported as shutting down. */
   readonly leaving: readonly string[];
-  /** Requests to refuse; missing in answers of a former version. */
+  /** Requests to reject; missing in replies of older versions. */
   readonly quarantine?: Quarantine | undefined;
   readonly stamp: Stamp;
 }
 
-/** Every answer to a heartbeat. */
+/** Reply of any control box to a heartbeat. */
 export type MemberReply =
   | HeartbeatReply
   | {readonly kind: 'not-leader'; readonly leader: string | undefined};
--- a/packages/puffinturn-membership/src/MembershipConstants.ts
+++ b/packages/puffinturn-membership/src/MembershipConstants.ts
@@ -5,28 +5,28 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Periods of heartbeats and suspicion. */
+/** Constants of heartbeats and failure detection. */
 
-/** A box tells the leader of itself this often, ms. */
-export const HEARTBEAT_MS = 300;
+/** Interval between heartbeats, ms. */
+export const HEARTBEAT_INTERVAL_MS = 300;
 
-/** Without an answer for this long a box starts no new work, ms. */
+/** Lease on starting work, from the last acknowledged heartbeat's send time, ms. */
 export const CONFIG_LEASE_MS = 3_000;
 
-/** Silence after which a box may be suspected at the earliest, ms. */
-export const MIN_SUSPICION_MS = 1_500;
+/** Lower limit of the adaptive heartbeat timeout, ms. */
+export const MIN_FENCING_TIMEOUT_MS = 1_500;
 
-/** Silence after which a box is suspected at the latest, ms. */
-export const MAX_SUSPICION_MS = 10_000;
+/** Upper limit of the adaptive heartbeat timeout, ms. */
+export const MAX_FENCING_TIMEOUT_MS = 10_000;
 
-/** Deviations from the mean interval that count as silence. */
-export const SUSPICION_DEVIATIONS = 8;
+/** Weight of the mean deviation in the adaptive heartbeat timeout. */
+export const TIMEOUT_DEVIATION_FACTOR = 8;
 
-/** Share of the suspicion time for a box that the platform calls gone. */
-export const HINTED_SUSPICION_SHARE = 0.5;
+/** Factor on the timeout of a box that the platform reports as gone. */
+export const REPORTED_GONE_TIMEOUT_FACTOR = 0.5;
 
-/** How often the leader looks for silent boxes, ms. */
-export const MONITOR_EVERY_MS = 200;
+/** Interval between the leader's checks for heartbeat timeouts, ms. */
+export const MONITOR_INTERVAL_MS = 200;
 
-/** Limit for one heartbeat, ms. */
-export const HEARTBEAT_CALL_MS = 500;
+/** Timeout of one heartbeat call, ms. */
+export const HEARTBEAT_TIMEOUT_MS = 500;
--- a/packages/puffinturn-membership/src/OpenAdmissions.ts
+++ b/packages/puffinturn-membership/src/OpenAdmissions.ts
@@ -5,33 +5,34 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Admissions of one process that are not closed yet. */
+/** Open admissions of one incarnation. */
 
-/** Serials handed out and not closed. */
+/** Allocates admission serials and tracks which ones are open. */
 export class OpenAdmissions {
-  private readonly open = new Set<number>();
-  private last = 0;
+  private readonly openSerials = new Set<number>();
+  private lastSerial = 0;
 
-  /** A new serial, open until closed. */
+  /** Allocates the next serial and marks it as open. */
   next(): number {
-    this.last += 1;
-    this.open.add(this.last);
-    return this.last;
+    this.lastSerial += 1;
+    this.openSerials.add(this.lastSerial);
+    return this.lastSerial;
   }
 
-  /** Says that an admission is closed, or was never made. */
+  /** Closes an admission that has ended or was never granted. */
   close(serial: number): void {
-    this.open.delete(serial);
+    this.openSerials.delete(serial);
   }
 
-  /** Every serial below is closed. Serials are added in rising order. */
+  /** The lowest open serial, or the next one if none is open. Never decreases. */
   get floor(): number {
-    const [first] = this.open;
-    return first ?? this.last + 1;
+    // Serials are added in ascending order, and a Set keeps insertion order.
+    const [lowestOpen] = this.openSerials;
+    return lowestOpen ?? this.lastSerial + 1;
   }
 
-  /** Admissions that are open. */
+  /** Number of open admissions. */
   get size(): number {
-    return this.open.size;
+    return this.openSerials.size;
   }
 }
--- a/packages/puffinturn-membership/src/__tests__/unit/Membership.test.ts
+++ b/packages/puffinturn-membership/src/__tests__/unit/Membership.test.ts
@@ -5,19 +5,23 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against outdated configuration, admission floors that skip open
+ * requests, and fencing of boxes that only have irregular heartbeats.
+ */
 import fc from 'fast-check';
 import type {DeclarationEntry} from 'puffinturn-ledger';
 import {checkValue, DeclarationSchema} from 'puffinturn-settings';
 import {digestBytes} from 'shared';
 
-import {FleetConfig, OpenAdmissions, Suspicion} from '../../index';
+import {FailureDetector, FleetConfig, OpenAdmissions} from '../../index';
 
-function drain(index: number, on: boolean): DeclarationEntry {
+function drainEntry(index: number, isOn: boolean): DeclarationEntry {
   const value = {
     kind: 'drain',
     name: 'd',
     number: index,
-    spec: {on, target: {pool: 'p', upstream: 'u'}},
+    spec: {on: isOn, target: {pool: 'p', upstream: 'u'}},
   };
   const checked = checkValue(DeclarationSchema, value, 'test');
   const declaration = checked._unsafeUnwrap();
@@ -25,7 +29,7 @@
 }
 
 describe('FleetConfig', () => {
-  test('never goes back, in whatever order news arrives', () => {
+  test('never returns to an older index, in any order of updates', () => {
     const indices = fc.uniqueArray(fc.integer({max: 50, min: 1}), {
       minLength: 1,
     });
@@ -34,7 +38,7 @@
         let config = FleetConfig.empty;
         let highest = 0;
         for (const index of list) {
-          config = config.with([drain(index, index % 2 === 0)], index);
+          config = config.with([drainEntry(index, index % 2 === 0)], index);
           highest = Math.max(highest, index);
           expect(config.index).toBe(highest);
           expect(config.isUpstreamDrained('p', 'u')).toBe(highest % 2 === 0);
@@ -44,7 +48,7 @@
     );
   });
 
-  test('finds a team by either key while one is being replaced', () => {
+  test('finds a team by the old and the new key during key rotation', () => {
     const keys = ['old', 'new'].map((name) => ({
       name,
       sha256: digestBytes(name),
@@ -70,7 +74,7 @@
 });
 
 describe('OpenAdmissions', () => {
-  test('the floor is never above an open serial and never falls', () => {
+  test('the floor never exceeds an open serial and never decreases', () => {
     const steps = fc.array(fc.option(fc.nat(20), {nil: undefined}));
     fc.assert(
       fc.property(steps, (list) => {
@@ -96,17 +100,17 @@
 });
 
 describe('Suspicion', () => {
-  test('is more patient with a box whose heartbeats are irregular', () => {
-    const regular = new Suspicion(0);
-    const irregular = new Suspicion(0);
+  test('uses a longer timeout for a box with irregular heartbeats', () => {
+    const regular = new FailureDetector(0);
+    const irregular = new FailureDetector(0);
     let now = 0;
     for (let beat = 1; beat <= 60; beat += 1) {
-      regular.heard(beat * 300);
+      regular.recordHeartbeat(beat * 300);
       now += beat % 2 === 0 ? 100 : 900;
-      irregular.heard(now);
+      irregular.recordHeartbeat(now);
     }
-    expect(regular.patienceMs).toBe(1_500);
-    expect(irregular.patienceMs).toBeGreaterThan(2_500);
-    expect(irregular.patienceMs).toBeLessThanOrEqual(10_000);
+    expect(regular.timeoutMs).toBe(1_500);
+    expect(irregular.timeoutMs).toBeGreaterThan(2_500);
+    expect(irregular.timeoutMs).toBeLessThanOrEqual(10_000);
   });
 });
--- a/packages/puffinturn-membership/src/index.ts
+++ b/packages/puffinturn-membership/src/index.ts
@@ -5,19 +5,19 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Which boxes take part, and the configuration that they share. */
+/** Cluster membership: heartbeats, failure detection and the shared configuration. */
 export type {BoxMemberParts, CrashTelling} from './BoxMember';
 export {BoxMember} from './BoxMember';
+export {FailureDetector} from './FailureDetector';
 export type {Target, Team} from './FleetConfig';
 export {FleetConfig} from './FleetConfig';
 export type {HeartbeatMonitorParts} from './HeartbeatMonitor';
 export {HeartbeatMonitor} from './HeartbeatMonitor';
 export type {
-  BoxNews,
-  CrashNews,
+  BoxStatus,
+  CrashUpdate,
   HeartbeatReply,
   UpstreamCount,
 } from './MemberMessages';
-export {CONFIG_LEASE_MS, HEARTBEAT_MS} from './MembershipConstants';
+export {CONFIG_LEASE_MS, HEARTBEAT_INTERVAL_MS} from './MembershipConstants';
 export {OpenAdmissions} from './OpenAdmissions';
-export {Suspicion} from './Suspicion';
