--- a/packages/puffinturn-membership/src/BoxMember.ts
+++ b/packages/puffinturn-membership/src/BoxMember.ts
@@ -87,7 +87,8 @@
   private isRegistered = false;
   private configLeaseEndsAt = -Infinity;
   private leader: string | undefined;
-  private controlBoxIndex = 0;
+  /** Number of failed heartbeats; selects the next control box to try. */
+  private tries = 0;
   private readonly tasks = new TaskGroup();
 
   constructor(private readonly parts: BoxMemberParts) {
@@ -190,7 +191,7 @@
     );
     const reply = result.isOk() ? (result.value as MemberReply) : undefined;
     if (reply?.kind !== 'heartbeat') {
-      this.controlBoxIndex += 1;
+      this.tries += 1;
       this.leader = reply?.leader;
       return;
     }
@@ -228,11 +229,7 @@
 
   private heartbeatTarget(): string {
     const {box, controlBoxes} = this.parts;
-    return (
-      this.leader ??
-      controlBoxes[this.controlBoxIndex % controlBoxes.length] ??
-      box
-    );
+    return this.leader ?? controlBoxes[this.tries % controlBoxes.length] ?? box;
   }
 
   private applyReply(reply: HeartbeatReply): void {
