--- a/packages/puffinturn-wire/src/Connection.ts
+++ b/packages/puffinturn-wire/src/Connection.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** One authenticated connection between two boxes. */
+/** A framed connection between two boxes, with mutual authentication. */
 import type {KeyObject} from 'node:crypto';
 import type {Socket} from 'node:net';
 
@@ -14,16 +14,16 @@
 
 import type {FrameFailure} from './Frame';
 import {encodeFrame, FrameReader} from './Frame';
-import {isHello, isProof, makeHello, makeProof, sameProof} from './Handshake';
+import {isHello, isProof, makeHello, makeProof, proofsEqual} from './Handshake';
 
-/** Frames of an open socket, in both directions. */
+/** Sends and receives frames over a socket. */
 export class Connection {
-  private readonly reader = new FrameReader();
-  private readonly waiting: unknown[] = [];
+  private readonly frameReader = new FrameReader();
+  private readonly receivedFrames: unknown[] = [];
   private readonly chunks: AsyncIterator<Buffer>;
-  private corked = false;
+  private isCorked = false;
 
-  /** The name that the other box proved; empty before the handshake. */
+  /** Authenticated name of the peer; empty before the handshake. */
   peer = '';
 
   constructor(readonly socket: Socket) {
@@ -31,22 +31,22 @@
     this.chunks = socket[Symbol.asyncIterator]() as AsyncIterator<Buffer>;
   }
 
-  /** Bytes that are waiting to be sent. */
+  /** Bytes in the send buffer of the socket. */
   get queuedBytes(): number {
     return this.socket.writableLength;
   }
 
-  /** Queues one frame; frames of one turn leave in one write. */
+  /** Queues one frame; frames of one event-loop iteration are sent together. */
   send(value: unknown): Result<void, FrameFailure> {
     const frame = encodeFrame(value);
     if (frame.isErr()) {
       return err(frame.error);
     }
-    if (!this.corked) {
-      this.corked = true;
+    if (!this.isCorked) {
+      this.isCorked = true;
       this.socket.cork();
       setImmediate(() => {
-        this.corked = false;
+        this.isCorked = false;
         this.socket.uncork();
       });
     }
@@ -54,47 +54,47 @@
     return ok(undefined);
   }
 
-  /** The next frame's value; undefined once the connection has ended. */
+  /** Returns the next value, or undefined once the connection is closed. */
   async receive(): Promise<unknown> {
-    while (this.waiting.length === 0) {
+    while (this.receivedFrames.length === 0) {
       const next = await this.chunks
         .next()
         .catch(() => ({done: true as const, value: undefined}));
       if (next.done === true) {
         return undefined;
       }
-      const values = this.reader.push(next.value);
+      const values = this.frameReader.push(next.value);
       if (values.isErr()) {
         this.socket.destroy();
         return undefined;
       }
-      this.waiting.push(...values.value);
+      this.receivedFrames.push(...values.value);
     }
-    return this.waiting.shift();
+    return this.receivedFrames.shift();
   }
 
-  /** Proves the key to the other side and checks its proof. */
+  /** Runs the handshake; destroys the socket and returns false if it fails. */
   async authenticate(
     box: string,
     key: KeyObject,
     role: 'caller' | 'callee',
   ): Promise<boolean> {
-    const mine = makeHello(box);
-    this.send(mine);
-    const theirs = await this.receive();
-    if (!isHello(theirs)) {
+    const ownHello = makeHello(box);
+    this.send(ownHello);
+    const peerHello = await this.receive();
+    if (!isHello(peerHello)) {
       this.socket.destroy();
       return false;
     }
-    const otherRole = role === 'caller' ? 'callee' : 'caller';
-    this.send(makeProof(key, mine, theirs, role));
-    const proof = await this.receive();
-    const expected = makeProof(key, theirs, mine, otherRole);
-    if (!isProof(proof) || !sameProof(proof, expected)) {
+    const peerRole = role === 'caller' ? 'callee' : 'caller';
+    this.send(makeProof(key, ownHello, peerHello, role));
+    const peerProof = await this.receive();
+    const expectedProof = makeProof(key, peerHello, ownHello, peerRole);
+    if (!isProof(peerProof) || !proofsEqual(peerProof, expectedProof)) {
       this.socket.destroy();
       return false;
     }
-    this.peer = theirs.box;
+    this.peer = peerHello.box;
     return true;
   }
 }
--- a/packages/puffinturn-wire/src/Frame.ts
+++ b/packages/puffinturn-wire/src/Frame.ts
@@ -13,41 +13,41 @@
 
 import {MAX_FRAME_BYTES} from './WireConstants';
 
-const LENGTH_BYTES = 4;
+const LENGTH_PREFIX_BYTES = 4;
 const encoder = new Encoder({useRecords: false});
 const decoder = new Decoder({useRecords: false});
 
-/** Bytes from a peer that are no frame. */
+/** A frame that is too large, empty or not valid CBOR. */
 export type FrameFailure = Failure<'bad-frame'>;
 
-function badFrame(message: string): FrameFailure {
+function frameFailure(message: string): FrameFailure {
   return {kind: 'bad-frame', message};
 }
 
-/** One frame holding `value`. */
+/** Encodes `value` as one frame; fails if it is too large. */
 export function encodeFrame(value: unknown): Result<Buffer, FrameFailure> {
   const body = encoder.encode(value);
   if (body.length > MAX_FRAME_BYTES) {
-    return err(badFrame(`${body.length} bytes are too many for a frame`));
+    return err(frameFailure(`${body.length} bytes are too many for a frame`));
   }
-  const frame = Buffer.allocUnsafe(LENGTH_BYTES + body.length);
+  const frame = Buffer.allocUnsafe(LENGTH_PREFIX_BYTES + body.length);
   frame.writeUInt32BE(body.length, 0);
-  body.copy(frame, LENGTH_BYTES);
+  body.copy(frame, LENGTH_PREFIX_BYTES);
   return ok(frame);
 }
 
-/** Cuts a stream of bytes into decoded frames. */
+/** Splits a byte stream into frames and decodes them. */
 export class FrameReader {
   private chunks: Buffer[] = [];
-  private length = 0;
+  private bufferedBytes = 0;
 
-  /** Adds bytes; returns the values of all frames that are now whole. */
+  /** Adds bytes and returns the values of all frames that are now complete. */
   push(chunk: Buffer): Result<unknown[], FrameFailure> {
     this.chunks.push(chunk);
-    this.length += chunk.length;
+    this.bufferedBytes += chunk.length;
     const values: unknown[] = [];
     for (;;) {
-      const body = this.takeBody();
+      const body = this.readBody();
       if (body.isErr()) {
         return err(body.error);
       }
@@ -57,38 +57,40 @@
       try {
         values.push(decoder.decode(body.value));
       } catch {
-        return err(badFrame('not CBOR'));
+        return err(frameFailure('frame body is not valid CBOR'));
       }
     }
   }
 
-  private takeBody(): Result<Buffer | undefined, FrameFailure> {
-    if (this.length < LENGTH_BYTES) {
+  private readBody(): Result<Buffer | undefined, FrameFailure> {
+    if (this.bufferedBytes < LENGTH_PREFIX_BYTES) {
       return ok(undefined);
     }
-    const head = this.joined(LENGTH_BYTES);
-    const size = head.readUInt32BE(0);
-    if (size > MAX_FRAME_BYTES || size === 0) {
-      return err(badFrame(`a frame of ${size} bytes`));
+    const prefix = this.joinChunks(LENGTH_PREFIX_BYTES);
+    const bodyBytes = prefix.readUInt32BE(0);
+    if (bodyBytes > MAX_FRAME_BYTES || bodyBytes === 0) {
+      return err(frameFailure(`frame length ${bodyBytes} is invalid`));
     }
-    if (this.length < LENGTH_BYTES + size) {
+    if (this.bufferedBytes < LENGTH_PREFIX_BYTES + bodyBytes) {
       return ok(undefined);
     }
-    const all = this.joined(LENGTH_BYTES + size);
-    const rest = all.subarray(LENGTH_BYTES + size);
+    const buffer = this.joinChunks(LENGTH_PREFIX_BYTES + bodyBytes);
+    const rest = buffer.subarray(LENGTH_PREFIX_BYTES + bodyBytes);
     this.chunks[0] = rest;
-    this.length -= LENGTH_BYTES + size;
-    return ok(all.subarray(LENGTH_BYTES, LENGTH_BYTES + size));
+    this.bufferedBytes -= LENGTH_PREFIX_BYTES + bodyBytes;
+    return ok(
+      buffer.subarray(LENGTH_PREFIX_BYTES, LENGTH_PREFIX_BYTES + bodyBytes),
+    );
   }
 
-  /** The first chunk, made at least `size` bytes long. */
-  private joined(size: number): Buffer {
-    const first = this.chunks[0];
-    if (first !== undefined && first.length >= size) {
-      return first;
+  /** Joins the chunks if the first one has fewer than `minBytes` bytes. */
+  private joinChunks(minBytes: number): Buffer {
+    const firstChunk = this.chunks[0];
+    if (firstChunk !== undefined && firstChunk.length >= minBytes) {
+      return firstChunk;
     }
-    const all = Buffer.concat(this.chunks);
-    this.chunks = [all];
-    return all;
+    const joined = Buffer.concat(this.chunks);
+    this.chunks = [joined];
+    return joined;
   }
 }
--- a/packages/puffinturn-wire/src/Handshake.ts
+++ b/packages/puffinturn-wire/src/Handshake.ts
@@ -6,8 +6,8 @@
  */
 
 /**
- * Mutual proof of the fleet's key. Each side sends a nonce and then an HMAC
- * over both nonces and both names, so that neither proof can be replayed.
+ * Mutual authentication with the shared fleet key. Each side sends a nonce and
+ * then an HMAC over both nonces and names, which prevents replay of a proof.
  */
 import type {KeyObject} from 'node:crypto';
 import {createHmac, randomBytes, timingSafeEqual} from 'node:crypto';
@@ -28,12 +28,12 @@
   readonly mac: Uint8Array;
 }
 
-/** A hello of this box. */
+/** Creates the hello of this box, with a random nonce. */
 export function makeHello(box: string): Hello {
   return {box, nonce: randomBytes(NONCE_BYTES), version: WIRE_VERSION};
 }
 
-/** The proof that `prover` owes to `verifier`. */
+/** Computes the proof that `prover` sends to `verifier`. */
 export function makeProof(
   key: KeyObject,
   prover: Hello,
@@ -49,12 +49,12 @@
   return {mac};
 }
 
-/** Compares two proofs in constant time. */
-export function sameProof(a: Proof, b: Proof): boolean {
+/** Compares two proofs in constant time to prevent timing attacks. */
+export function proofsEqual(a: Proof, b: Proof): boolean {
   return a.mac.length === b.mac.length && timingSafeEqual(a.mac, b.mac);
 }
 
-/** Checks the shape of a first message. */
+/** Whether a value is a well-formed hello of this protocol version. */
 export function isHello(value: unknown): value is Hello {
   const hello = value as Hello | null;
   return (
@@ -67,7 +67,7 @@
   );
 }
 
-/** Checks the shape of a second message. */
+/** Whether a value is a well-formed proof; does not verify the MAC. */
 export function isProof(value: unknown): value is Proof {
   const proof = value as Proof | null;
   return (
--- a/packages/puffinturn-wire/src/Link.ts
+++ b/packages/puffinturn-wire/src/Link.ts
@@ -5,27 +5,27 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Calls between boxes: one message, one answer. */
+/** Request-response calls between boxes. */
 import type {ResultAsync} from 'neverthrow';
 import type {Failure} from 'shared';
 
-/** Why a call has no answer. */
+/** Why a call failed. */
 export type LinkFailure =
-  /** Never sent: the peer has certainly not seen the message. */
+  /** Never sent; the peer has not processed the request. */
   | Failure<'not-sent'>
-  /** Sent, but no answer came; the peer may have acted on it. */
+  /** Sent, but no response arrived; the peer may have processed the request. */
   | Failure<'no-answer'>
-  /** The peer answered that its handler failed. */
+  /** The peer responded that its handler failed. */
   | Failure<'peer-failed'>;
 
-/** Answers calls for one service. */
-export type Handler = (body: unknown, from: string) => Promise<unknown>;
+/** Handles the calls of one service; `from` is the name of the calling box. */
+export type ServiceHandler = (body: unknown, from: string) => Promise<unknown>;
 
-/** The connections of one box to all others. */
+/** Sends calls to other boxes and dispatches incoming ones to handlers. */
 export abstract class Link {
-  private readonly handlers = new Map<string, Handler>();
+  private readonly handlers = new Map<string, ServiceHandler>();
 
-  /** Sends `body` to a service of another box (or of this one). */
+  /** Calls a service of another box or of this one. */
   abstract call(
     box: string,
     service: string,
@@ -33,24 +33,24 @@
     timeoutMs: number,
   ): ResultAsync<unknown, LinkFailure>;
 
-  /** Answers calls to `service` until the result is disposed. */
-  register(service: string, handler: Handler): Disposable {
+  /** Registers the handler of a service until the result is disposed. */
+  register(service: string, handler: ServiceHandler): Disposable {
     this.handlers.set(service, handler);
     return {[Symbol.dispose]: () => void this.handlers.delete(service)};
   }
 
   /**
-   * Ends the connections to all other boxes; each is made anew when it is needed.
-   * Calls that are open on them fail.
+   * Closes the connections to all other boxes and fails the calls in flight on
+   * them. The next call to a box reconnects.
    */
   redial(): void {}
 
-  /** Bytes sent to each box since the start, where the link counts them. */
+  /** Bytes sent to each box since start; empty if the link does not count them. */
   sentByPeer(): ReadonlyMap<string, number> {
     return new Map();
   }
 
-  /** Runs the handler of a service; undefined when there is none. */
+  /** Runs the handler of a service; returns undefined if there is none. */
   protected dispatch(
     service: string,
     body: unknown,
--- a/packages/puffinturn-wire/src/MemoryNetwork.ts
+++ b/packages/puffinturn-wire/src/MemoryNetwork.ts
@@ -6,8 +6,8 @@
  */
 
 /**
- * A network in memory for tests: delays, lost or late messages and one-way cuts,
- * all by a Clock that the test drives.
+ * An in-memory network for tests that simulates delays, message loss and
+ * partitions on a Clock that the test controls.
  */
 import {Decoder, Encoder} from 'cbor-x';
 import type {ResultAsync} from 'neverthrow';
@@ -21,19 +21,19 @@
 const encoder = new Encoder({useRecords: false});
 const decoder = new Decoder({useRecords: false});
 
-/** How long a message takes. */
-export interface Delay {
+/** Range of random message delays. */
+export interface DelayRange {
   readonly lowMs: number;
   readonly highMs: number;
 }
 
-/** All links of a test. */
+/** Connects the links of all boxes in a test. */
 export class MemoryNetwork {
-  /** Delay of each message, drawn anew, so that messages overtake. */
-  delay: Delay = {highMs: 2, lowMs: 1};
+  /** Each message gets a random delay in this range, so messages may be reordered. */
+  delay: DelayRange = {highMs: 2, lowMs: 1};
   private readonly links = new Map<string, MemoryLink>();
-  private readonly cuts = new Set<string>();
-  private readonly stalls = new Set<string>();
+  private readonly blockedRoutes = new Set<string>();
+  private readonly stalledRoutes = new Set<string>();
   private readonly healed = new Condition();
 
   constructor(
@@ -42,8 +42,8 @@
   ) {}
 
   /**
-   * Connects a box; a later link of the same name takes its place. Messages
-   * are held back until `whileRunning` resolves, as for a frozen process.
+   * Connects a box and replaces its previous link. Messages to the box wait
+   * until `whileRunning` resolves, which simulates a paused process.
    */
   connect(
     box: string,
@@ -54,59 +54,59 @@
     return link;
   }
 
-  /** Stops a box from receiving or sending anything. */
+  /** Disconnects a box; it no longer sends or receives messages. */
   disconnect(box: string): void {
     this.links.delete(box);
   }
 
-  /** Loses every message from one box to another until healed. */
+  /** Drops messages in one direction until `heal`. */
   cut(from: string, to: string): void {
-    this.cuts.add(`${from}>${to}`);
+    this.blockedRoutes.add(`${from}>${to}`);
   }
 
-  /** Cuts every pair between two sides, in both directions. */
+  /** Drops all messages between two groups of boxes until `heal`. */
   partition(left: readonly string[], right: readonly string[]): void {
-    for (const a of left) {
-      for (const b of right) {
-        this.cut(a, b);
-        this.cut(b, a);
+    for (const leftBox of left) {
+      for (const rightBox of right) {
+        this.cut(leftBox, rightBox);
+        this.cut(rightBox, leftBox);
       }
     }
   }
 
   /**
-   * Holds every message from one box to another back until healed, also if its
-   * sender is gone by then, as TCP does with what it has sent into a cut.
+   * Delays messages in one direction until `heal`, even if the sender has since
+   * disconnected. Simulates data in TCP send buffers during a partition.
    */
   stall(from: string, to: string): void {
-    this.stalls.add(`${from}>${to}`);
+    this.stalledRoutes.add(`${from}>${to}`);
   }
 
-  /** Ends all cuts and stalls. */
+  /** Stops dropping messages and delivers those delayed by `stall`. */
   heal(): void {
-    this.cuts.clear();
-    this.stalls.clear();
+    this.blockedRoutes.clear();
+    this.stalledRoutes.clear();
     this.healed.notify();
   }
 
-  /** Carries one call; used by MemoryLink. */
-  async carry(
+  /** Performs one call for MemoryLink. */
+  async performCall(
     link: MemoryLink,
     to: string,
     service: string,
     body: unknown,
     timeoutMs: number,
   ) {
-    const deadline = this.clock.sleep(timeoutMs).then(() => undefined);
-    const answer = await Promise.race([
+    const timeout = this.clock.sleep(timeoutMs).then(() => undefined);
+    const result = await Promise.race([
       this.roundTrip(link, to, service, encoder.encode(body)),
-      deadline,
+      timeout,
     ]);
-    if (answer === undefined) {
-      const message = `${to} did not answer`;
+    if (result === undefined) {
+      const message = `${to} did not respond`;
       return err<unknown, LinkFailure>({kind: 'no-answer', message});
     }
-    return answer;
+    return result;
   }
 
   private async roundTrip(
@@ -116,7 +116,7 @@
     bytes: Buffer,
   ) {
     const from = link.box;
-    if (this.links.get(from) !== link || !(await this.travel(from, to))) {
+    if (this.links.get(from) !== link || !(await this.deliver(from, to))) {
       return undefined;
     }
     const target = this.links.get(to);
@@ -127,8 +127,8 @@
     if (this.links.get(to) !== target) {
       return undefined;
     }
-    const running = target.receive(service, decoder.decode(bytes), from);
-    const answer = await running.then(
+    const handling = target.receive(service, decoder.decode(bytes), from);
+    const result = await handling.then(
       (value) =>
         ok<unknown, LinkFailure>(decoder.decode(encoder.encode(value))),
       (error) =>
@@ -140,27 +140,27 @@
     if (this.links.get(to) !== target) {
       return undefined;
     }
-    const arrived = await this.travel(to, from);
+    const isDelivered = await this.deliver(to, from);
     await link.whileRunning();
-    return arrived && this.links.get(from) === link ? answer : undefined;
+    return isDelivered && this.links.get(from) === link ? result : undefined;
   }
 
-  private async pass(): Promise<void> {
+  private async sleepForDelay(): Promise<void> {
     const {highMs, lowMs} = this.delay;
-    const share = this.random.fraction();
-    await this.clock.sleep(lowMs + share * (highMs - lowMs));
+    const fraction = this.random.fraction();
+    await this.clock.sleep(lowMs + fraction * (highMs - lowMs));
   }
 
-  private async travel(from: string, to: string): Promise<boolean> {
+  private async deliver(from: string, to: string): Promise<boolean> {
     if (from === to) {
       return true;
     }
-    await this.pass();
-    while (this.stalls.has(`${from}>${to}`)) {
+    await this.sleepForDelay();
+    while (this.stalledRoutes.has(`${from}>${to}`)) {
       await this.healed.wait();
-      await this.pass();
+      await this.sleepForDelay();
     }
-    return !this.cuts.has(`${from}>${to}`);
+    return !this.blockedRoutes.has(`${from}>${to}`);
   }
 }
 
@@ -180,10 +180,12 @@
     body: unknown,
     timeoutMs: number,
   ): ResultAsync<unknown, LinkFailure> {
-    return new Async(this.network.carry(this, box, service, body, timeoutMs));
+    return new Async(
+      this.network.performCall(this, box, service, body, timeoutMs),
+    );
   }
 
-  /** Runs the handler of a service for a message that has arrived. */
+  /** Dispatches an incoming message to the handler of its service. */
   receive(service: string, body: unknown, from: string): Promise<unknown> {
     return (
       this.dispatch(service, body, from) ??
--- a/packages/puffinturn-wire/src/TcpLink.ts
+++ b/packages/puffinturn-wire/src/TcpLink.ts
@@ -6,8 +6,8 @@
  */
 
 /**
- * Calls between boxes over TCP or TLS. This box dials each peer once and uses
- * that connection for its own calls; peers dial back for theirs.
+ * Calls between boxes over TCP or TLS. Each box opens one connection per peer for
+ * its own calls and accepts separate connections for the calls of its peers.
  */
 import type {KeyObject} from 'node:crypto';
 import type {Server, Socket} from 'node:net';
@@ -24,9 +24,9 @@
 import type {LinkFailure} from './Link';
 import {Link} from './Link';
 import {
-  CONNECT_MS,
-  KEEP_ALIVE_MS,
-  MAX_OPEN_CALLS,
+  CONNECT_TIMEOUT_MS,
+  KEEP_ALIVE_DELAY_MS,
+  MAX_IN_FLIGHT_CALLS,
   MAX_QUEUED_BYTES,
 } from './WireConstants';
 
@@ -39,19 +39,19 @@
 /** Keys and certificates for TLS between boxes. */
 export type LinkTls = Pick<SecureContextOptions, 'ca' | 'cert' | 'key'>;
 
-/** What a TcpLink needs. */
+/** Dependencies of a TcpLink. */
 export interface TcpLinkParts {
   readonly box: string;
   readonly listen: Address;
   readonly clock: Clock;
-  /** The key that all boxes of the fleet share. */
+  /** Authentication key shared by all boxes of the fleet. */
   readonly key: KeyObject;
-  /** The address of a box, or undefined for one that is not known. */
+  /** Returns the address of a box, or undefined if it is unknown. */
   readonly addressOf: (box: string) => Address | undefined;
   readonly tls?: LinkTls | undefined;
 }
 
-/** The listening address could not be had. */
+/** The server could not listen on its address. */
 export type ListenFailure = Failure<'listen'>;
 
 interface CallFrame {
@@ -60,34 +60,37 @@
   readonly body: unknown;
 }
 
-interface AnswerFrame {
+interface ResponseFrame {
   readonly id: number;
   readonly body?: unknown;
   readonly failure?: string;
 }
 
-type Answer = (frame: AnswerFrame | undefined) => void;
+type CompleteCall = (frame: ResponseFrame | undefined) => void;
 
-interface Outgoing {
+interface PeerConnection {
   readonly connection: Connection;
-  readonly open: Map<number, Answer>;
-  /** Frames received so far; a peer that sends none may be cut off. */
-  received: number;
+  readonly pendingCalls: Map<number, CompleteCall>;
+  /** Number of frames received; shows whether the peer still responds. */
+  framesReceived: number;
 }
 
 function notSent(message: string): LinkFailure {
   return {kind: 'not-sent', message};
 }
 
-/** See the module comment. */
+/** A Link over TCP, or over TLS if it is configured. */
 export class TcpLink extends Link implements AsyncDisposable {
-  private readonly outgoing = new Map<string, Promise<Outgoing | undefined>>();
+  private readonly peerConnections = new Map<
+    string,
+    Promise<PeerConnection | undefined>
+  >();
   private readonly sockets = new Set<Socket>();
   private readonly connections = new Set<Connection>();
-  /** Bytes sent over connections that have ended, by peer. */
-  private readonly sentBefore = new Map<string, number>();
-  private nextId = 1;
-  private ended = false;
+  /** Bytes sent over connections that are now closed, by peer. */
+  private readonly closedConnectionBytes = new Map<string, number>();
+  private lastCallId = 1;
+  private isDisposed = false;
 
   private constructor(
     private readonly parts: TcpLinkParts,
@@ -96,7 +99,7 @@
     super();
   }
 
-  /** Listens and resolves once calls can be received. */
+  /** Starts listening; resolves when calls can be received. */
   static open(parts: TcpLinkParts): ResultAsync<TcpLink, ListenFailure> {
     const server =
       parts.tls === undefined
@@ -108,7 +111,7 @@
           });
     const link = new TcpLink(parts, server);
     const event = parts.tls === undefined ? 'connection' : 'secureConnection';
-    server.on(event, (socket: Socket) => void link.serve(socket));
+    server.on(event, (socket: Socket) => void link.serveConnection(socket));
     const listening = new Promise<TcpLink>((resolve, reject) => {
       server.once('error', reject);
       server.listen(parts.listen.port, parts.listen.host, () => resolve(link));
@@ -119,7 +122,7 @@
     }));
   }
 
-  /** The port that is listened on. */
+  /** The listening port, or 0 if the server is not listening. */
   get port(): number {
     const address = this.server.address();
     return typeof address === 'object' && address !== null ? address.port : 0;
@@ -131,31 +134,34 @@
     body: unknown,
     timeoutMs: number,
   ): ResultAsync<unknown, LinkFailure> {
-    if (this.ended) {
-      return errAsync(notSent('this box is stopping'));
+    if (this.isDisposed) {
+      return errAsync(notSent('link is closed'));
     }
     if (box === this.parts.box) {
-      return this.callSelf(service, body);
+      return this.callLocal(service, body);
     }
     return new Async(this.callPeer(box, service, body, timeoutMs));
   }
 
   override sentByPeer(): ReadonlyMap<string, number> {
-    const sent = new Map(this.sentBefore);
+    const sent = new Map(this.closedConnectionBytes);
     for (const connection of this.connections) {
-      addSent(sent, connection);
+      addBytesSent(sent, connection);
     }
     return sent;
   }
 
   override redial(): void {
-    for (const [box, dialling] of this.outgoing) {
-      void dialling.then((outgoing) => outgoing && this.drop(box, outgoing));
+    for (const [box, connecting] of this.peerConnections) {
+      void connecting.then(
+        (peerConnection) =>
+          peerConnection && this.closeConnection(box, peerConnection),
+      );
     }
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    this.ended = true;
+    this.isDisposed = true;
     const closed = new Promise((resolve) => this.server.close(resolve));
     for (const socket of this.sockets) {
       socket.destroy();
@@ -163,14 +169,14 @@
     await closed;
   }
 
-  private callSelf(
+  private callLocal(
     service: string,
     body: unknown,
   ): ResultAsync<unknown, LinkFailure> {
-    const answer = this.dispatch(service, body, this.parts.box);
-    return answer === undefined
-      ? errAsync(notSent(`no service ${service}`))
-      : Async.fromPromise(answer, (error) => ({
+    const result = this.dispatch(service, body, this.parts.box);
+    return result === undefined
+      ? errAsync(notSent(`no handler is registered for service ${service}`))
+      : Async.fromPromise(result, (error) => ({
           kind: 'peer-failed',
           message: describeError(error),
         }));
@@ -182,64 +188,71 @@
     body: unknown,
     timeoutMs: number,
   ) {
-    const outgoing = await withinMs(timeoutMs, this.outgoingTo(box));
-    if (outgoing === undefined) {
-      return err<unknown, LinkFailure>(notSent(`${box} cannot be reached`));
+    const peerConnection = await withTimeout(timeoutMs, this.connectionTo(box));
+    if (peerConnection === undefined) {
+      return err<unknown, LinkFailure>(notSent(`cannot connect to ${box}`));
     }
-    const {connection, open} = outgoing;
-    const full =
-      open.size >= MAX_OPEN_CALLS || connection.queuedBytes > MAX_QUEUED_BYTES;
-    if (full) {
-      return err<unknown, LinkFailure>(notSent(`${box} is too slow`));
+    const {connection, pendingCalls} = peerConnection;
+    const isOverloaded =
+      pendingCalls.size >= MAX_IN_FLIGHT_CALLS ||
+      connection.queuedBytes > MAX_QUEUED_BYTES;
+    if (isOverloaded) {
+      return err<unknown, LinkFailure>(
+        notSent(`too many calls or bytes are queued for ${box}`),
+      );
     }
-    this.nextId += 1;
-    const id = this.nextId;
-    const answered = new Promise<AnswerFrame | undefined>((resolve) =>
-      open.set(id, resolve),
+    this.lastCallId += 1;
+    const id = this.lastCallId;
+    const response = new Promise<ResponseFrame | undefined>((resolve) =>
+      pendingCalls.set(id, resolve),
     );
     const sent = connection.send({body, id, service} satisfies CallFrame);
     if (sent.isErr()) {
-      open.delete(id);
+      pendingCalls.delete(id);
       return err<unknown, LinkFailure>(notSent(sent.error.message));
     }
-    const {received} = outgoing;
+    const {framesReceived} = peerConnection;
     const timer = setTimeout(() => {
-      if (outgoing.received === received) {
-        // Silence: a connection across a healed cut may hang for long.
-        void this.drop(box, outgoing);
+      if (peerConnection.framesReceived === framesReceived) {
+        // No frames since the call: reconnect, as TCP may take long to notice
+        // that the connection is dead.
+        void this.closeConnection(box, peerConnection);
       }
-      open.get(id)?.(undefined);
+      pendingCalls.get(id)?.(undefined);
     }, timeoutMs);
-    const frame = await answered;
+    const frame = await response;
     clearTimeout(timer);
-    open.delete(id);
-    return readAnswer(box, frame);
+    pendingCalls.delete(id);
+    return toCallResult(box, frame);
   }
 
-  /** Ends a connection; the next call dials anew. */
-  private async drop(box: string, outgoing: Outgoing): Promise<void> {
-    outgoing.connection.socket.destroy();
-    if ((await this.outgoing.get(box)) === outgoing) {
-      this.outgoing.delete(box);
+  /** Closes a connection; the next call to the box reconnects. */
+  private async closeConnection(
+    box: string,
+    peerConnection: PeerConnection,
+  ): Promise<void> {
+    peerConnection.connection.socket.destroy();
+    if ((await this.peerConnections.get(box)) === peerConnection) {
+      this.peerConnections.delete(box);
     }
   }
 
-  private outgoingTo(box: string): Promise<Outgoing | undefined> {
-    const known = this.outgoing.get(box);
-    if (known !== undefined) {
-      return known;
+  private connectionTo(box: string): Promise<PeerConnection | undefined> {
+    const existing = this.peerConnections.get(box);
+    if (existing !== undefined) {
+      return existing;
     }
-    const dialling = this.dial(box);
-    this.outgoing.set(box, dialling);
-    void dialling.then((outgoing) => {
-      if (outgoing === undefined) {
-        this.outgoing.delete(box);
+    const connecting = this.dial(box);
+    this.peerConnections.set(box, connecting);
+    void connecting.then((peerConnection) => {
+      if (peerConnection === undefined) {
+        this.peerConnections.delete(box);
       }
     });
-    return dialling;
+    return connecting;
   }
 
-  private async dial(box: string): Promise<Outgoing | undefined> {
+  private async dial(box: string): Promise<PeerConnection | undefined> {
     const address = this.parts.addressOf(box);
     if (address === undefined) {
       return undefined;
@@ -251,63 +264,66 @@
         : dialTls({
             ...tls,
             ...address,
-            // Boxes are known by IP address; the fleet key proves the name.
+            // Addresses are IP addresses; the handshake authenticates the name.
             checkServerIdentity: () => undefined,
           });
-    const connection = this.adopt(socket);
-    const authentic = await connection.authenticate(
+    const connection = this.trackConnection(socket);
+    const isAuthenticated = await connection.authenticate(
       this.parts.box,
       this.parts.key,
       'caller',
     );
     socket.setTimeout(0);
-    if (!authentic || connection.peer !== box) {
+    if (!isAuthenticated || connection.peer !== box) {
       socket.destroy();
       return undefined;
     }
-    const outgoing: Outgoing = {
+    const peerConnection: PeerConnection = {
       connection,
-      open: new Map(),
-      received: 0,
+      pendingCalls: new Map(),
+      framesReceived: 0,
     };
-    void this.readAnswers(box, outgoing);
-    return outgoing;
+    void this.readResponses(box, peerConnection);
+    return peerConnection;
   }
 
-  private adopt(socket: Socket): Connection {
+  private trackConnection(socket: Socket): Connection {
     this.sockets.add(socket);
     const connection = new Connection(socket);
     this.connections.add(connection);
     socket.on('close', () => {
       this.sockets.delete(socket);
       this.connections.delete(connection);
-      addSent(this.sentBefore, connection);
+      addBytesSent(this.closedConnectionBytes, connection);
     });
     socket.on('error', () => socket.destroy());
-    socket.setTimeout(CONNECT_MS, () => socket.destroy());
-    // The caller finds a silent connection by its calls; the other end only so.
-    socket.setKeepAlive(true, KEEP_ALIVE_MS);
+    socket.setTimeout(CONNECT_TIMEOUT_MS, () => socket.destroy());
+    // The accepting side sends no calls that would detect a dead connection.
+    socket.setKeepAlive(true, KEEP_ALIVE_DELAY_MS);
     return connection;
   }
 
-  private async readAnswers(box: string, outgoing: Outgoing): Promise<void> {
-    const {connection, open} = outgoing;
+  private async readResponses(
+    box: string,
+    peerConnection: PeerConnection,
+  ): Promise<void> {
+    const {connection, pendingCalls} = peerConnection;
     for (;;) {
-      const frame = (await connection.receive()) as AnswerFrame | undefined;
+      const frame = (await connection.receive()) as ResponseFrame | undefined;
       if (frame === undefined) {
         break;
       }
-      outgoing.received += 1;
-      open.get(frame.id)?.(frame);
+      peerConnection.framesReceived += 1;
+      pendingCalls.get(frame.id)?.(frame);
     }
-    await this.drop(box, outgoing);
-    for (const answer of [...open.values()]) {
-      answer(undefined);
+    await this.closeConnection(box, peerConnection);
+    for (const complete of [...pendingCalls.values()]) {
+      complete(undefined);
     }
   }
 
-  private async serve(socket: Socket): Promise<void> {
-    const connection = this.adopt(socket);
+  private async serveConnection(socket: Socket): Promise<void> {
+    const connection = this.trackConnection(socket);
     const {box, key} = this.parts;
     if (!(await connection.authenticate(box, key, 'callee'))) {
       return;
@@ -318,54 +334,57 @@
       if (frame === undefined) {
         break;
       }
-      void this.answer(connection, frame);
+      void this.respond(connection, frame);
     }
     socket.destroy();
   }
 
-  private async answer(
+  private async respond(
     connection: Connection,
     frame: CallFrame,
   ): Promise<void> {
     const {id, service, body} = frame;
     const running = this.dispatch(service, body, connection.peer);
-    const answer: AnswerFrame = await (
+    const response: ResponseFrame = await (
       running ?? Promise.reject(new Error(`no service ${service}`))
     ).then(
       (value) => ({body: value, id}),
       (error) => ({failure: describeError(error), id}),
     );
-    const sent = connection.send(answer);
+    const sent = connection.send(response);
     if (sent.isErr()) {
       connection.send({failure: sent.error.message, id});
     }
   }
 }
 
-/** Adds what a connection has sent; one whose peer never proved its name is left out. */
-function addSent(sent: Map<string, number>, {peer, socket}: Connection): void {
+/** Adds the bytes sent over a connection, unless its peer is unauthenticated. */
+function addBytesSent(
+  bytesByPeer: Map<string, number>,
+  {peer, socket}: Connection,
+): void {
   if (peer !== '') {
-    sent.set(peer, (sent.get(peer) ?? 0) + socket.bytesWritten);
+    bytesByPeer.set(peer, (bytesByPeer.get(peer) ?? 0) + socket.bytesWritten);
   }
 }
 
-/** The value, or undefined if it takes longer; a dark peer takes a second. */
-async function withinMs<Value>(
+/** Resolves to the value, or to undefined after `ms` milliseconds. */
+async function withTimeout<Value>(
   ms: number,
   value: Promise<Value>,
 ): Promise<Value | undefined> {
   let timer: NodeJS.Timeout | undefined;
-  const late = new Promise<undefined>((resolve) => {
+  const timeout = new Promise<undefined>((resolve) => {
     timer = setTimeout(() => resolve(undefined), ms);
   });
-  const first = await Promise.race([value, late]);
+  const result = await Promise.race([value, timeout]);
   clearTimeout(timer);
-  return first;
+  return result;
 }
 
-function readAnswer(box: string, frame: AnswerFrame | undefined) {
+function toCallResult(box: string, frame: ResponseFrame | undefined) {
   if (frame === undefined) {
-    const message = `${box} did not answer`;
+    const message = `${box} did not respond`;
     return err<unknown, LinkFailure>({kind: 'no-answer', message});
   }
   if (frame.failure !== undefined) {
--- a/packages/puffinturn-wire/src/__tests__/unit/Frame.test.ts
+++ b/packages/puffinturn-wire/src/__tests__/unit/Frame.test.ts
@@ -5,22 +5,23 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/** Guards against frames that are split wrongly and against malformed input. */
 import fc from 'fast-check';
 
 import {encodeFrame, FrameReader} from '../../index';
 
-function cut(bytes: Buffer, sizes: readonly number[]): Buffer[] {
-  const parts: Buffer[] = [];
-  let at = 0;
-  for (const size of sizes) {
-    parts.push(bytes.subarray(at, at + size));
-    at += size;
+function splitBytes(bytes: Buffer, chunkSizes: readonly number[]): Buffer[] {
+  const chunks: Buffer[] = [];
+  let offset = 0;
+  for (const size of chunkSizes) {
+    chunks.push(bytes.subarray(offset, offset + size));
+    offset += size;
   }
-  return [...parts, bytes.subarray(at)];
+  return [...chunks, bytes.subarray(offset)];
 }
 
 describe('frames', () => {
-  test('come out as they went in, however the bytes are cut', () => {
+  test('decode to the encoded values for any chunk boundaries', () => {
     fc.assert(
       fc.property(
         fc.array(fc.jsonValue(), {maxLength: 8}),
@@ -30,8 +31,8 @@
             encodeFrame(value)._unsafeUnwrap(),
           );
           const reader = new FrameReader();
-          const read = cut(Buffer.concat(frames), sizes).flatMap((part) =>
-            reader.push(part)._unsafeUnwrap(),
+          const read = splitBytes(Buffer.concat(frames), sizes).flatMap(
+            (part) => reader.push(part)._unsafeUnwrap(),
           );
           expect(JSON.stringify(read)).toBe(JSON.stringify(values));
         },
@@ -40,7 +41,7 @@
     );
   });
 
-  test('any bytes give values or a typed failure, never an exception', () => {
+  test('decode arbitrary bytes to values or a typed failure without throwing', () => {
     fc.assert(
       fc.property(fc.uint8Array({maxLength: 200}), (bytes) => {
         const result = new FrameReader().push(Buffer.from(bytes));
@@ -50,7 +51,7 @@
     );
   });
 
-  test('a frame that claims to be huge is refused at once', () => {
+  test('rejects an oversized frame when only its length was received', () => {
     const head = Buffer.from([0x7f, 0xff, 0xff, 0xff]);
     expect(new FrameReader().push(head).isErr()).toBe(true);
   });
--- a/packages/puffinturn-wire/src/__tests__/unit/TcpLink.test.ts
+++ b/packages/puffinturn-wire/src/__tests__/unit/TcpLink.test.ts
@@ -5,6 +5,10 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against calls that hang on dead connections, calls from unauthenticated
+ * boxes and failures that affect other calls.
+ */
 import {createSecretKey} from 'node:crypto';
 import {once} from 'node:events';
 import type {AddressInfo} from 'node:net';
@@ -19,7 +23,7 @@
 const KEY = createSecretKey(Buffer.alloc(32, 1));
 const WRONG_KEY = createSecretKey(Buffer.alloc(32, 2));
 
-async function open(
+async function openLink(
   box: string,
   addresses: Map<string, Address>,
   key = KEY,
@@ -36,9 +40,9 @@
   return opened.value;
 }
 
-/** Passes connections on; those that are open can be made to go silent for good. */
-class Proxy implements AsyncDisposable {
-  private readonly server = createServer((socket) => this.pass(socket));
+/** A TCP proxy that can stop forwarding on its open connections. */
+class ForwardingProxy implements AsyncDisposable {
+  private readonly server = createServer((socket) => this.forward(socket));
   private readonly sockets: Socket[] = [];
 
   constructor(private readonly target: Address) {}
@@ -50,8 +54,8 @@
     return {host: '127.0.0.1', port};
   }
 
-  /** Nothing passes on open connections any more, and nothing ends them. */
-  silence(): void {
+  /** Stops forwarding on open connections without closing them. */
+  stopForwarding(): void {
     for (const socket of this.sockets) {
       socket.removeAllListeners('data');
       socket.pause();
@@ -63,7 +67,7 @@
     this.server.close();
   }
 
-  private pass(from: Socket): void {
+  private forward(from: Socket): void {
     const to = connect(this.target.port, this.target.host);
     this.sockets.push(from, to);
     from.on('data', (bytes) => to.write(bytes));
@@ -74,11 +78,11 @@
 }
 
 describe('TcpLink', () => {
-  test('counts what it has sent to each box, calls and answers', async () => {
+  test('counts the bytes of calls and responses sent to each box', async () => {
     const addresses = new Map<string, Address>();
-    await using b = await open('b', addresses);
+    await using b = await openLink('b', addresses);
     b.register('echo', async (body) => body);
-    await using a = await open('a', addresses);
+    await using a = await openLink('a', addresses);
     const text = 'x'.repeat(10_000);
     await a.call('b', 'echo', text, 10_000);
     for (const sent of [a.sentByPeer().get('b'), b.sentByPeer().get('a')]) {
@@ -90,35 +94,35 @@
     expect(a.sentByPeer().get('b')).toBe(before);
   });
 
-  test('a connection that went silent for good costs one call its time-out', async () => {
+  test('reconnects after one call times out on a dead connection', async () => {
     const addresses = new Map<string, Address>();
-    await using b = await open('b', addresses);
+    await using b = await openLink('b', addresses);
     b.register('echo', async (body) => body);
-    await using proxy = new Proxy({host: '127.0.0.1', port: b.port});
+    await using proxy = new ForwardingProxy({host: '127.0.0.1', port: b.port});
     addresses.set('b', await proxy.listen());
-    await using a = await open('a', new Map([...addresses]));
+    await using a = await openLink('a', new Map([...addresses]));
     const first = await a.call('b', 'echo', 1, 10_000);
     expect(first._unsafeUnwrap()).toBe(1);
-    proxy.silence();
+    proxy.stopForwarding();
     const lost = await a.call('b', 'echo', 2, 100);
     expect(lost._unsafeUnwrapErr().kind).toBe('no-answer');
     const again = await a.call('b', 'echo', 3, 10_000);
     expect(again._unsafeUnwrap()).toBe(3);
   });
 
-  test('carries calls both ways and names the caller', async () => {
+  test('passes the request and the name of the caller to the handler', async () => {
     const addresses = new Map<string, Address>();
-    await using a = await open('a', addresses);
-    await using b = await open('b', addresses);
+    await using a = await openLink('a', addresses);
+    await using b = await openLink('b', addresses);
     b.register('echo', async (body, from) => ({body, from}));
     const answer = await a.call('b', 'echo', {x: 1}, 1_000);
     expect(answer._unsafeUnwrap()).toEqual({body: {x: 1}, from: 'a'});
   });
 
-  test('a box with another key is refused and its call was not sent', async () => {
+  test('rejects a box with another key and reports its call as not sent', async () => {
     const addresses = new Map<string, Address>();
-    await using b = await open('b', addresses);
-    await using stranger = await open('a', addresses, WRONG_KEY);
+    await using b = await openLink('b', addresses);
+    await using stranger = await openLink('a', addresses, WRONG_KEY);
     let calls = 0;
     b.register('echo', async () => (calls += 1));
     const answer = await stranger.call('b', 'echo', {}, 1_000);
@@ -126,29 +130,29 @@
     expect(calls).toBe(0);
   });
 
-  test('a call ends at its time-out where the connection does not come up', async () => {
+  test('ends a call at its timeout while the handshake is still pending', async () => {
     const mute = createServer();
     mute.listen(0, '127.0.0.1');
     await once(mute, 'listening');
     const {port} = mute.address() as AddressInfo;
     const addresses = new Map([['mute', {host: '127.0.0.1', port}]]);
-    await using a = await open('a', addresses);
+    await using a = await openLink('a', addresses);
     const ended: string[] = [];
     const call = async (name: string, timeoutMs: number): Promise<void> => {
       const answer = await a.call('mute', 'echo', {}, timeoutMs);
       expect(answer._unsafeUnwrapErr().kind).toBe('not-sent');
       ended.push(name);
     };
-    // Both wait for one connection, which is given up after a second.
+    // Both calls wait for the same connection, which times out after 1 s.
     await Promise.all([call('patient', 30_000), call('hasty', 50)]);
     expect(ended).toEqual(['hasty', 'patient']);
     mute.close();
   });
 
-  test('a handler that throws is a failure of that call alone', async () => {
+  test('fails only the call whose handler throws', async () => {
     const addresses = new Map<string, Address>();
-    await using a = await open('a', addresses);
-    await using b = await open('b', addresses);
+    await using a = await openLink('a', addresses);
+    await using b = await openLink('b', addresses);
     b.register('bad', () => Promise.reject(new Error('broken')));
     b.register('good', async () => 'fine');
     const bad = await a.call('b', 'bad', {}, 1_000);
@@ -157,10 +161,10 @@
     expect(good._unsafeUnwrap()).toBe('fine');
   });
 
-  test('bytes that are no frames end only their own connection', async () => {
+  test('closes only the connection that receives invalid frames', async () => {
     const addresses = new Map<string, Address>();
-    await using a = await open('a', addresses);
-    await using b = await open('b', addresses);
+    await using a = await openLink('a', addresses);
+    await using b = await openLink('b', addresses);
     b.register('echo', async (body) => body);
     const socket = connect(b.port, '127.0.0.1');
     socket.on('error', () => undefined);
--- a/packages/puffinturn-wire/src/__tests__/unit/Tls.test.ts
+++ b/packages/puffinturn-wire/src/__tests__/unit/Tls.test.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** TLS between boxes, with certificates made for the test. */
+/** Guards against connections from boxes without a trusted certificate. */
 import {createSecretKey} from 'node:crypto';
 
 import {generate} from 'selfsigned';
@@ -16,14 +16,14 @@
 
 const KEY = createSecretKey(Buffer.alloc(32, 1));
 
-async function makeTls(): Promise<LinkTls> {
+async function createTls(): Promise<LinkTls> {
   const made = await generate([{name: 'commonName', value: 'fleet'}], {
     keySize: 2048,
   });
   return {ca: made.cert, cert: made.cert, key: made.private};
 }
 
-async function open(
+async function openLink(
   box: string,
   addresses: Map<string, Address>,
   tls?: LinkTls,
@@ -41,13 +41,17 @@
   return opened.value;
 }
 
-test('boxes of one authority reach each other; all others are refused', async () => {
-  const tls = await makeTls();
+test('accepts boxes with a trusted certificate and rejects all others', async () => {
+  const tls = await createTls();
   const addresses = new Map<string, Address>();
-  await using a = await open('a', addresses, tls);
-  await using b = await open('b', addresses, tls);
-  await using plain = await open('plain', addresses);
-  await using stranger = await open('stranger', addresses, await makeTls());
+  await using a = await openLink('a', addresses, tls);
+  await using b = await openLink('b', addresses, tls);
+  await using plain = await openLink('plain', addresses);
+  await using stranger = await openLink(
+    'stranger',
+    addresses,
+    await createTls(),
+  );
   b.register('echo', async (body) => body);
   const heard = await a.call('b', 'echo', 'hello', 5_000);
   expect(heard._unsafeUnwrap()).toBe('hello');
--- a/packages/puffinturn-wire/src/index.ts
+++ b/packages/puffinturn-wire/src/index.ts
@@ -5,12 +5,12 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Calls between boxes. */
+/** Remote calls between boxes. */
 export type {FrameFailure} from './Frame';
 export {encodeFrame, FrameReader} from './Frame';
-export type {Handler, LinkFailure} from './Link';
+export type {LinkFailure, ServiceHandler} from './Link';
 export {Link} from './Link';
-export type {Delay} from './MemoryNetwork';
+export type {DelayRange} from './MemoryNetwork';
 export {MemoryLink, MemoryNetwork} from './MemoryNetwork';
 export type {Address, LinkTls, ListenFailure, TcpLinkParts} from './TcpLink';
 export {TcpLink} from './TcpLink';
