--- a/packages/shared/src/Clock.ts
+++ b/packages/shared/src/Clock.ts
@@ -6,12 +6,12 @@
  */
 
 /**
- * Time as seen by one box. All waiting in the project goes through a Clock, so
- * that tests drive time themselves.
+ * Clocks of a box. All code reads time and sleeps through a Clock, so that tests
+ * can control time.
  */
 import {Heap} from 'heap-js';
 
-/** A source of time and the only way to wait. */
+/** Provides monotonic time, wall time and sleep. */
 export abstract class Clock {
   /** Monotonic milliseconds from an arbitrary origin. */
   abstract now(): number;
@@ -19,7 +19,7 @@
   /** Milliseconds since the Unix epoch; may jump. */
   abstract wallTime(): number;
 
-  /** Waits `ms` milliseconds; returns early, without failing, on abort. */
+  /** Waits `ms` milliseconds; resolves early on abort and never rejects. */
   abstract sleep(ms: number, signal?: AbortSignal): Promise<void>;
 }
 
@@ -37,7 +37,7 @@
     if (signal?.aborted) {
       return Promise.resolve();
     }
-    // Not the sleep of node:timers, which makes an error at each abort.
+    // The timers/promises version creates an error on each abort.
     return new Promise((resolve) => {
       const wake = (): void => {
         clearTimeout(timer);
@@ -56,11 +56,11 @@
   readonly wake: () => void;
 }
 
-/** A clock that stands still until a test moves it. */
+/** A clock for tests that advances only on request. */
 export class ManualClock extends Clock {
-  private time = 0;
-  private suspended = 0;
-  private order = 0;
+  private currentMs = 0;
+  private suspendedMs = 0;
+  private lastTimerOrder = 0;
   private readonly timers = new Heap<Timer>(
     (a, b) => a.at - b.at || a.order - b.order,
   );
@@ -70,16 +70,16 @@
   }
 
   override now(): number {
-    return this.time;
+    return this.currentMs;
   }
 
   override wallTime(): number {
-    return this.epoch + Math.floor(this.time + this.suspended);
+    return this.epoch + Math.floor(this.currentMs + this.suspendedMs);
   }
 
-  /** Moves the time of day on, and leaves the steady clock and all timers. */
+  /** Simulates a suspension: advances the wall time, but not `now` or timers. */
   suspend(ms: number): void {
-    this.suspended += ms;
+    this.suspendedMs += ms;
   }
 
   override sleep(ms: number, signal?: AbortSignal): Promise<void> {
@@ -91,31 +91,35 @@
         signal?.removeEventListener('abort', wake);
         resolve();
       };
-      this.order += 1;
-      this.timers.push({at: this.time + ms, order: this.order, wake});
+      this.lastTimerOrder += 1;
+      this.timers.push({
+        at: this.currentMs + ms,
+        order: this.lastTimerOrder,
+        wake,
+      });
       signal?.addEventListener('abort', wake, {once: true});
     });
   }
 
-  /** Runs every timer due within `ms`, letting tasks settle after each one. */
+  /** Advances by `ms`; runs each due timer and then all ready promise callbacks. */
   async advance(ms: number): Promise<void> {
-    const end = this.time + ms;
+    const endMs = this.currentMs + ms;
     await settleTasks();
     for (
       let next = this.timers.peek();
-      next !== undefined && next.at <= end;
+      next !== undefined && next.at <= endMs;
       next = this.timers.peek()
     ) {
       this.timers.pop();
-      this.time = Math.max(this.time, next.at);
+      this.currentMs = Math.max(this.currentMs, next.at);
       next.wake();
       await settleTasks();
     }
-    this.time = end;
+    this.currentMs = endMs;
   }
 }
 
-/** A clock that runs `rate` times as fast as another one. */
+/** A clock whose monotonic time runs `rate` times as fast as another one's. */
 export class ScaledClock extends Clock {
   constructor(
     private readonly base: Clock,
@@ -137,7 +141,7 @@
   }
 }
 
-/** Resolves once every promise that is ready to run has run. */
+/** Resolves after all ready promise callbacks have run. */
 export function settleTasks(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/packages/shared/src/Decimal.ts
+++ b/packages/shared/src/Decimal.ts
@@ -5,14 +5,16 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Plain decimal numbers in the headers of answers. */
+/** Decimal numbers in HTTP header values. */
 
-/** Digits, with a fraction or without; no sign and no exponent. */
-const DECIMAL = /^\d+(?:\.\d+)?$/;
+/** Digits with an optional fraction; no sign and no exponent. */
+const DECIMAL_PATTERN = /^\d+(?:\.\d+)?$/;
 
-/** The number that a header's value names; undefined where it names none. */
+/** Parses a decimal header value; returns undefined if it is not a number. */
 export function decimalOf(value: string | undefined): number | undefined {
   const text = value?.trim() ?? '';
   const number = Number(text);
-  return DECIMAL.test(text) && Number.isFinite(number) ? number : undefined;
+  return DECIMAL_PATTERN.test(text) && Number.isFinite(number)
+    ? number
+    : undefined;
 }
--- a/packages/shared/src/Digest.ts
+++ b/packages/shared/src/Digest.ts
@@ -10,12 +10,12 @@
 
 import stringify from 'safe-stable-stringify';
 
-/** The hexadecimal SHA-256 of `text` or bytes. */
+/** Returns the hexadecimal SHA-256 digest of text or bytes. */
 export function digestBytes(content: string | Uint8Array): string {
   return createHash('sha256').update(content).digest('hex');
 }
 
-/** The digest of a JSON value, independent of the order of its fields. */
+/** Returns the digest of a JSON value, independent of the order of its keys. */
 export function digestValue(value: unknown): string {
   return digestBytes(stringify(value) ?? '');
 }
--- a/packages/shared/src/Failure.ts
+++ b/packages/shared/src/Failure.ts
@@ -5,15 +5,15 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The shape that every failure of the project has. */
+/** The common type of failures that are returned as values. */
 
-/** A failure: `kind` is stable and for programs, `message` is for people. */
+/** A failure with a stable, machine-readable `kind` and a readable `message`. */
 export interface Failure<Kind extends string = string> {
   readonly kind: Kind;
   readonly message: string;
 }
 
-/** Describes any thrown value in one line. */
+/** Returns the message of a thrown value. */
 export function describeError(error: unknown): string {
   return error instanceof Error ? error.message : String(error);
 }
--- a/packages/shared/src/Hash.ts
+++ b/packages/shared/src/Hash.ts
@@ -5,10 +5,10 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Hashes that spread things evenly; they prove nothing. */
+/** Non-cryptographic hashing, for even distribution of keys. */
 import {hash} from 'node:crypto';
 
-/** A 32-bit hash of a text, the same in every process. */
+/** Returns a 32-bit hash of a text that is the same in every process. */
 export function hashOf(text: string): number {
   return hash('md5', text, 'buffer').readUInt32LE(0);
 }
--- a/packages/shared/src/Invariant.ts
+++ b/packages/shared/src/Invariant.ts
@@ -6,14 +6,14 @@
  */
 
 /**
- * Checks for programmer mistakes. Failures that users or the network can cause
- * are values (see Failure), never exceptions.
+ * Assertions against programming errors. Failures caused by users or the network
+ * are returned as Failure values instead of thrown.
  */
 
-/** Thrown when an invariant does not hold: a bug in this project. */
+/** Thrown when an invariant is violated, which is always a bug. */
 export class InvariantError extends Error {}
 
-/** Throws InvariantError unless `condition` holds. */
+/** Throws an InvariantError if `condition` is falsy. */
 export function invariant(
   condition: unknown,
   message: string,
--- a/packages/shared/src/Random.ts
+++ b/packages/shared/src/Random.ts
@@ -5,12 +5,12 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Seeded random numbers, by pure-rand. */
+/** Seeded pseudo-random numbers. */
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 
-/** A sequence of random numbers that its seed fixes. */
+/** A deterministic pseudo-random number generator. */
 export class Random {
   private readonly generator;
 
@@ -18,17 +18,17 @@
     this.generator = xoroshiro128plus(seed);
   }
 
-  /** A whole number from `low` to `high`, both included. */
+  /** Returns an integer from `low` to `high`, both inclusive. */
   integer(low: number, high: number): number {
     return uniformInt(this.generator, low, high);
   }
 
-  /** A number from 0 (included) to 1 (excluded). */
+  /** Returns a number in [0, 1). */
   fraction(): number {
     return uniformFloat64(this.generator);
   }
 
-  /** One of `items`, or undefined when there are none. */
+  /** Returns one of `items`, or undefined if it is empty. */
   pick<Item>(items: readonly Item[]): Item | undefined {
     return items.length === 0
       ? undefined
@@ -37,18 +37,18 @@
 }
 
 /**
- * The item that a number in [0, 1) falls on, where each one has its weight's part;
- * undefined where all weights are 0.
+ * Selects an item by weight, given a random `fraction` in [0, 1). Returns
+ * undefined if all weights are 0.
  */
 export function drawByWeight<Item>(
   items: readonly Item[],
   weightOf: (item: Item) => number,
   fraction: number,
 ): Item | undefined {
-  const sum = items.reduce((total, item) => total + weightOf(item), 0);
-  let rest = fraction * sum;
+  const totalWeight = items.reduce((total, item) => total + weightOf(item), 0);
+  let remaining = fraction * totalWeight;
   return items.find((item) => {
-    rest -= weightOf(item);
-    return rest < 0;
+    remaining -= weightOf(item);
+    return remaining < 0;
   });
 }
--- a/packages/shared/src/Rendezvous.ts
+++ b/packages/shared/src/Rendezvous.ts
@@ -6,10 +6,10 @@
  */
 
 /**
- * Rendezvous hashing: every box that knows the same nodes ranks them alike for
- * a key, and a node that comes or goes moves only the keys that it wins.
+ * Rendezvous hashing: assigns each key to the node with the highest weight.
+ * Adding or removing a node moves only the keys of that node.
  */
-/** The weight of a node for a key, from both hashes; the highest one wins. */
+/** Computes the weight of a node for a key from both hashes. */
 export function rendezvousWeight(nodeHash: number, keyHash: number): number {
   let mixed = Math.imul(nodeHash ^ keyHash, 0x9e3779b1);
   mixed = Math.imul(mixed ^ (mixed >>> 15), 0x85ebca77);
--- a/packages/shared/src/RetryAfter.ts
+++ b/packages/shared/src/RetryAfter.ts
@@ -5,33 +5,31 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * How long an HTTP answer asks whoever got it to wait, from `Retry-After`. Upstreams
- * here name seconds, and no dates.
- */
+/** Parses `Retry-After` headers; only delays in seconds are supported, not dates. */
 import {decimalOf} from './Decimal';
 
-/**
- * The longest time that is taken from an answer, ms. A figure beyond is taken for a
- * mistake that would keep an upstream out for good; after an hour it is asked again.
- */
-const LONGEST_MS = 3_600_000;
+/** Maximum delay, ms; prevents a wrong header from excluding an upstream for good. */
+const MAX_RETRY_AFTER_MS = 3_600_000;
 
-/** The status with which an overloaded upstream turns a request away. */
-const UNAVAILABLE = 503;
+/** HTTP status of an upstream that is temporarily overloaded. */
+const SERVICE_UNAVAILABLE = 503;
 
-/** The rest that an upstream asks for in an answer, ms; undefined where it asks for none. */
+/** Returns the delay of a 503 response with a valid `Retry-After`, ms. */
 export function restMsOf(
   status: number,
   retryAfter: string | undefined,
 ): number | undefined {
-  return status === UNAVAILABLE ? retryAfterMs(retryAfter) : undefined;
+  return status === SERVICE_UNAVAILABLE
+    ? parseRetryAfterMs(retryAfter)
+    : undefined;
 }
 
-/** The time in a header's value, ms; undefined where it names none. */
-export function retryAfterMs(value: string | undefined): number | undefined {
+/** Parses a `Retry-After` value into ms; returns undefined if it is invalid. */
+export function parseRetryAfterMs(
+  value: string | undefined,
+): number | undefined {
   const seconds = decimalOf(value);
   return seconds === undefined
     ? undefined
-    : Math.min(LONGEST_MS, seconds * 1_000);
+    : Math.min(MAX_RETRY_AFTER_MS, seconds * 1_000);
 }
--- a/packages/shared/src/SuspensionWatch.ts
+++ b/packages/shared/src/SuspensionWatch.ts
@@ -6,41 +6,40 @@
  */
 
 /**
- * Notices that the machine was suspended. The steady clock and all timers stand still
- * meanwhile, so what is known seems as fresh as before; the time of day goes on. A
- * time of day that was set forward looks the same, and is taken for a suspension: to
- * ask anew costs little.
+ * Detects that the machine was suspended. The monotonic clock and timers stop
+ * during a suspension, so outdated state would look fresh; the wall clock keeps
+ * running. A wall clock that is set forward is also reported as a suspension.
  */
 import type {Clock} from './Clock';
 import {TaskGroup} from './Task';
 
-/** How often both clocks are compared where nobody asks, ms. */
-const LOOK_MS = 1_000;
+/** Interval between automatic checks, ms. */
+const CHECK_INTERVAL_MS = 1_000;
 
-/** By how much the time of day has to outrun the steady clock, ms; slewing does less. */
-const MISSED_MS = 1_000;
+/** Minimum lead of the wall clock over one check, ms; slewing stays below it. */
+const MIN_SUSPENSION_MS = 1_000;
 
-/** See the module comment. */
+/** Detects suspensions by comparing the wall clock with the monotonic clock. */
 export class SuspensionWatch implements AsyncDisposable {
-  private offset: number;
+  private lastOffsetMs: number;
   private readonly tasks = new TaskGroup();
 
   constructor(
     private readonly clock: Clock,
-    /** Told how long the machine was suspended, ms. */
-    private readonly woke: (missedMs: number) => void,
+    /** Called with the duration of each suspension, ms. */
+    private readonly onSuspension: (missedMs: number) => void,
   ) {
-    this.offset = this.currentOffset();
-    this.tasks.start((signal) => this.run(signal));
+    this.lastOffsetMs = this.clockOffsetMs();
+    this.tasks.start((signal) => this.checkPeriodically(signal));
   }
 
-  /** Compares both clocks now: whoever is about to rely on an age asks first. */
+  /** Checks for a suspension now; call it before relying on the age of state. */
   look(): void {
-    const offset = this.currentOffset();
-    const missedMs = offset - this.offset;
-    this.offset = offset;
-    if (missedMs >= MISSED_MS) {
-      this.woke(missedMs);
+    const offset = this.clockOffsetMs();
+    const missedMs = offset - this.lastOffsetMs;
+    this.lastOffsetMs = offset;
+    if (missedMs >= MIN_SUSPENSION_MS) {
+      this.onSuspension(missedMs);
     }
   }
 
@@ -48,14 +47,14 @@
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  private async run(signal: AbortSignal): Promise<void> {
+  private async checkPeriodically(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.clock.sleep(LOOK_MS, signal);
+      await this.clock.sleep(CHECK_INTERVAL_MS, signal);
       this.look();
     }
   }
 
-  private currentOffset(): number {
+  private clockOffsetMs(): number {
     return this.clock.wallTime() - this.clock.now();
   }
 }
--- a/packages/shared/src/Task.ts
+++ b/packages/shared/src/Task.ts
@@ -5,17 +5,17 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Small helpers for tasks: a mutex, a condition and a background task group. */
+/** Helpers for asynchronous tasks: mutex, condition, task group. */
 
 import {setMaxListeners} from 'node:events';
 
 import type {Clock} from './Clock';
 
-/** Lets one task at a time into a section, in order of arrival. */
+/** Runs critical sections one at a time, in the order of the calls. */
 export class Mutex {
   private tail: Promise<unknown> = Promise.resolve();
 
-  /** Runs `section` once every earlier section has ended. */
+  /** Runs `section` after all earlier sections have completed. */
   run<Value>(section: () => Promise<Value>): Promise<Value> {
     const result = this.tail.then(section);
     this.tail = result.catch(() => undefined);
@@ -23,27 +23,26 @@
   }
 }
 
-/** Wakes every task that waits for something to change. */
+/** A condition variable that wakes all waiting tasks. */
 export class Condition {
   private waiters = new Set<() => void>();
 
-  /** How many tasks wait. */
-  get waiting(): number {
+  /** Number of waiting tasks. */
+  get waiterCount(): number {
     return this.waiters.size;
   }
 
-  /** Resolves at the next `notify`. */
+  /** Resolves on the next `notify`. */
   wait(): Promise<void> {
     return new Promise((resolve) => void this.onNext(resolve));
   }
 
-  /** Calls `wake` at the next `notify`, unless disposed before. */
+  /** Calls `wake` on the next `notify`, unless the result is disposed first. */
   onNext(wake: () => void): Disposable {
     this.waiters.add(wake);
     return {[Symbol.dispose]: () => void this.waiters.delete(wake)};
   }
 
-  /** Wakes all waiting tasks. */
   notify(): void {
     const {waiters} = this;
     this.waiters = new Set();
@@ -53,48 +52,48 @@
   }
 }
 
-/** Sleeps, but returns early when the condition is notified. */
+/** Sleeps for `ms`; returns early on notification or abort. */
 export async function sleepUnlessNotified(
   clock: Clock,
   condition: Condition,
   ms: number,
   signal: AbortSignal,
 ): Promise<void> {
-  const stop = new AbortController();
-  const cancel = (): void => stop.abort();
-  signal.addEventListener('abort', cancel, {once: true});
+  const sleepAbort = new AbortController();
+  const abortSleep = (): void => sleepAbort.abort();
+  signal.addEventListener('abort', abortSleep, {once: true});
   let waiter: Disposable | undefined;
   const notified = new Promise<void>((resolve) => {
     waiter = condition.onNext(resolve);
   });
-  await Promise.race([notified, clock.sleep(ms, stop.signal)]);
-  // A condition that is never notified must not gather those that slept.
+  await Promise.race([notified, clock.sleep(ms, sleepAbort.signal)]);
+  // Prevents a leak of waiters on a condition that is never notified.
   waiter?.[Symbol.dispose]();
-  stop.abort();
-  signal.removeEventListener('abort', cancel);
+  sleepAbort.abort();
+  signal.removeEventListener('abort', abortSleep);
 }
 
-/** Background tasks that end together: disposing aborts and awaits them. */
+/** A group of background tasks; disposal aborts and awaits them. */
 export class TaskGroup implements AsyncDisposable {
   private readonly controller = new AbortController();
   private readonly running = new Set<Promise<void>>();
 
   constructor() {
-    // Every sleeping task listens for the end; many tasks are no leak.
+    // Each sleeping task adds a listener; disables Node's leak warning.
     setMaxListeners(0, this.controller.signal);
   }
 
-  /** Aborted when the group is disposed. */
+  /** Aborted by `abort` and on disposal. */
   get signal(): AbortSignal {
     return this.controller.signal;
   }
 
-  /** True once the group is being disposed. */
+  /** Whether the signal has been aborted. */
   get ended(): boolean {
     return this.controller.signal.aborted;
   }
 
-  /** Starts `task`; it must return soon after the signal aborts. */
+  /** Starts `task`, which must return promptly after the signal is aborted. */
   start(task: (signal: AbortSignal) => Promise<void>): void {
     const running = task(this.signal).finally(() =>
       this.running.delete(running),
@@ -113,11 +112,11 @@
   }
 }
 
-/** Registrations that end together, the newest first. */
+/** Disposes its items together, in reverse order of addition. */
 export class DisposableList implements Disposable {
   private readonly items: Disposable[] = [];
 
-  /** Adds one registration. */
+  /** Adds an item to dispose with the list. */
   add(item: Disposable): void {
     this.items.push(item);
   }
--- a/packages/shared/src/__tests__/unit/Condition.test.ts
+++ b/packages/shared/src/__tests__/unit/Condition.test.ts
@@ -5,33 +5,34 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/** Guards against waiters that leak and sleeps that do not return early. */
 import {Condition, ManualClock, sleepUnlessNotified} from '../../index';
 
-describe('A task that sleeps unless notified', () => {
-  const never = new AbortController().signal;
+describe('sleepUnlessNotified', () => {
+  const neverAborted = new AbortController().signal;
 
-  test('is forgotten by the condition once its time is over', async () => {
+  test('removes its waiter when the time has elapsed', async () => {
     const clock = new ManualClock();
     const condition = new Condition();
     for (let turn = 0; turn < 5; turn += 1) {
-      const slept = sleepUnlessNotified(clock, condition, 10, never);
+      const slept = sleepUnlessNotified(clock, condition, 10, neverAborted);
       await clock.advance(10);
       await slept;
     }
-    expect(condition.waiting).toBe(0);
+    expect(condition.waiterCount).toBe(0);
   });
 
-  test('wakes at a notification, and at the end of its task', async () => {
+  test('returns on notification and on abort', async () => {
     const clock = new ManualClock();
     const condition = new Condition();
-    const ended = new AbortController();
-    const first = sleepUnlessNotified(clock, condition, 1_000, never);
+    const abort = new AbortController();
+    const first = sleepUnlessNotified(clock, condition, 1_000, neverAborted);
     condition.notify();
     await first;
-    const second = sleepUnlessNotified(clock, condition, 1_000, ended.signal);
-    ended.abort();
+    const second = sleepUnlessNotified(clock, condition, 1_000, abort.signal);
+    abort.abort();
     await second;
     expect(clock.now()).toBe(0);
-    expect(condition.waiting).toBe(0);
+    expect(condition.waiterCount).toBe(0);
   });
 });
--- a/packages/shared/src/__tests__/unit/RetryAfter.test.ts
+++ b/packages/shared/src/__tests__/unit/RetryAfter.test.ts
@@ -5,9 +5,10 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import {retryAfterMs} from '../../RetryAfter';
+/** Guards against invalid `Retry-After` values and excessive delays. */
+import {parseRetryAfterMs} from '../../RetryAfter';
 
-describe('A time to wait in an answer', () => {
+describe('parseRetryAfterMs', () => {
   test.each([
     ['3', 3_000],
     [' 0.25 ', 250],
@@ -18,7 +19,7 @@
     ['-1', undefined],
     ['soon', undefined],
     ['3, 4', undefined],
-  ])('%p is %p ms', (value, wanted) => {
-    expect(retryAfterMs(value)).toBe(wanted);
+  ])('parses %p as %p ms', (value, expected) => {
+    expect(parseRetryAfterMs(value)).toBe(expected);
   });
 });
--- a/packages/shared/src/__tests__/unit/SuspensionWatch.test.ts
+++ b/packages/shared/src/__tests__/unit/SuspensionWatch.test.ts
@@ -5,46 +5,47 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/** Guards against missed suspensions and false alarms on clock corrections. */
 import {ManualClock} from '../../Clock';
 import {SuspensionWatch} from '../../SuspensionWatch';
 
-describe('A watch over suspensions', () => {
+describe('SuspensionWatch', () => {
   let clock: ManualClock;
-  let missed: number[];
+  let suspensions: number[];
   let watch: SuspensionWatch;
 
   beforeEach(() => {
     clock = new ManualClock();
-    missed = [];
-    watch = new SuspensionWatch(clock, (ms) => missed.push(ms));
+    suspensions = [];
+    watch = new SuspensionWatch(clock, (ms) => suspensions.push(ms));
   });
 
   afterEach(() => watch[Symbol.asyncDispose]());
 
-  test('tells nothing while both clocks run alike', async () => {
+  test('reports nothing while both clocks advance equally', async () => {
     await clock.advance(60_000);
-    expect(missed).toEqual([]);
+    expect(suspensions).toEqual([]);
   });
 
-  test('tells once how long the steady clock stood still', async () => {
+  test('reports the duration of a suspension once', async () => {
     await clock.advance(1_000);
     clock.suspend(5_000);
     await clock.advance(60_000);
-    expect(missed).toEqual([5_000]);
+    expect(suspensions).toEqual([5_000]);
   });
 
-  test('tells at once whoever asks', async () => {
+  test('reports a suspension immediately on an explicit check', async () => {
     clock.suspend(2_000);
     watch.look();
     watch.look();
-    expect(missed).toEqual([2_000]);
+    expect(suspensions).toEqual([2_000]);
   });
 
-  test('leaves slewing and a time of day that is set back alone', async () => {
+  test('ignores slewing and a wall clock that is set back', async () => {
     for (let turn = 0; turn < 20; turn += 1) {
       clock.suspend(turn % 2 === 0 ? 200 : -3_000);
       await clock.advance(1_000);
     }
-    expect(missed).toEqual([]);
+    expect(suspensions).toEqual([]);
   });
 });
--- a/packages/shared/src/index.ts
+++ b/packages/shared/src/index.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Basics that every package uses. */
+/** Utilities shared by all packages. */
 export {
   Clock,
   ManualClock,
