--- a/packages/puffinturn-membership/src/BoxMember.ts
+++ b/packages/puffinturn-membership/src/BoxMember.ts
@@ -213,9 +213,9 @@
       box,
       configIndex: this.config.index,
       crashNews,
-      floor: this.admissions.floor,
+      floor: this.admissions.lowestOpenSerial,
       former: this.fencedIncarnations.map(({admissions, incarnation}) => ({
-        floor: admissions.floor,
+        floor: admissions.lowestOpenSerial,
         incarnation,
       })),
       inFlight: inFlight(),
@@ -234,7 +234,7 @@
 
   private applyReply(reply: HeartbeatReply): void {
     const previous = this.config;
-    this.config = previous.with(reply.entries, reply.configIndex);
+    this.config = previous.withEntries(reply.entries, reply.configIndex);
     this.boxes = reply.boxes;
     this.parts.onNews(reply);
     if (this.config !== previous) {
--- a/packages/puffinturn-membership/src/FleetConfig.ts
+++ b/packages/puffinturn-membership/src/FleetConfig.ts
@@ -60,7 +60,10 @@
   }
 
   /** Returns the configuration with changes applied; ignores older indices. */
-  with(entries: readonly DeclarationEntry[], index: number): FleetConfig {
+  withEntries(
+    entries: readonly DeclarationEntry[],
+    index: number,
+  ): FleetConfig {
     if (index <= this.index) {
       return this;
     }
--- a/packages/puffinturn-membership/src/HeartbeatMonitor.ts
+++ b/packages/puffinturn-membership/src/HeartbeatMonitor.ts
@@ -130,9 +130,9 @@
   }
 
   private getOrCreateMonitoredBox(box: string, now: number): MonitoredBox {
-    const known = this.monitoredBoxes.get(box);
-    if (known !== undefined) {
-      return known;
+    const existing = this.monitoredBoxes.get(box);
+    if (existing !== undefined) {
+      return existing;
     }
     const created = {
       failureDetector: new FailureDetector(now),
--- a/packages/puffinturn-membership/src/OpenAdmissions.ts
+++ b/packages/puffinturn-membership/src/OpenAdmissions.ts
@@ -25,7 +25,7 @@
   }
 
   /** The lowest open serial, or the next one if none is open. Never decreases. */
-  get floor(): number {
+  get lowestOpenSerial(): number {
     // Serials are added in ascending order, and a Set keeps insertion order.
     const [lowestOpen] = this.openSerials;
     return lowestOpen ?? this.lastSerial + 1;
--- a/packages/puffinturn-membership/src/__tests__/unit/Membership.test.ts
+++ b/packages/puffinturn-membership/src/__tests__/unit/Membership.test.ts
@@ -6,8 +6,8 @@
  */
 
 /**
- * Guards against outdated configuration, admission floors that skip open
- * requests, and fencing of boxes that only have irregular heartbeats.
+ * Guards against outdated configuration, release of admissions that are still
+ * open, and fencing of boxes that only have irregular heartbeats.
  */
 import fc from 'fast-check';
 import type {DeclarationEntry} from 'puffinturn-ledger';
@@ -38,7 +38,10 @@
         let config = FleetConfig.empty;
         let highest = 0;
         for (const index of list) {
-          config = config.with([drainEntry(index, index % 2 === 0)], index);
+          config = config.withEntries(
+            [drainEntry(index, index % 2 === 0)],
+            index,
+          );
           highest = Math.max(highest, index);
           expect(config.index).toBe(highest);
           expect(config.isUpstreamDrained('p', 'u')).toBe(highest % 2 === 0);
@@ -66,7 +69,7 @@
       operator: '',
       sequence: 1,
     };
-    const config = FleetConfig.empty.with([entry], 1);
+    const config = FleetConfig.empty.withEntries([entry], 1);
     expect(config.teamOf('old')?.name).toBe('t');
     expect(config.teamOf('new')?.name).toBe('t');
     expect(config.teamOf('none')).toBeUndefined();
@@ -74,7 +77,7 @@
 });
 
 describe('OpenAdmissions', () => {
-  test('the floor never exceeds an open serial and never decreases', () => {
+  test('reports a lowest open serial that never exceeds an open one or decreases', () => {
     const steps = fc.array(fc.option(fc.nat(20), {nil: undefined}));
     fc.assert(
       fc.property(steps, (list) => {
@@ -88,8 +91,8 @@
             admissions.close(closed);
             open.delete(closed);
           }
-          expect(admissions.floor).toBeGreaterThanOrEqual(floor);
-          floor = admissions.floor;
+          expect(admissions.lowestOpenSerial).toBeGreaterThanOrEqual(floor);
+          floor = admissions.lowestOpenSerial;
           expect(Math.min(floor, ...open)).toBe(floor);
           expect(admissions.size).toBe(open.size);
         }
@@ -104,9 +107,9 @@
     const regular = new FailureDetector(0);
     const irregular = new FailureDetector(0);
     let now = 0;
-    for (let beat = 1; beat <= 60; beat += 1) {
-      regular.recordHeartbeat(beat * 300);
-      now += beat % 2 === 0 ? 100 : 900;
+    for (let heartbeat = 1; heartbeat <= 60; heartbeat += 1) {
+      regular.recordHeartbeat(heartbeat * 300);
+      now += heartbeat % 2 === 0 ? 100 : 900;
       irregular.recordHeartbeat(now);
     }
     expect(regular.timeoutMs).toBe(1_500);
--- a/packages/puffinturn-wire/src/MemoryNetwork.ts
+++ b/packages/puffinturn-wire/src/MemoryNetwork.ts
@@ -43,13 +43,13 @@
 
   /**
    * Connects a box and replaces its previous link. Messages to the box wait
-   * until `whileRunning` resolves, which simulates a paused process.
+   * until `waitUntilRunning` resolves, which simulates a paused process.
    */
   connect(
     box: string,
-    whileRunning: () => Promise<void> = () => Promise.resolve(),
+    waitUntilRunning: () => Promise<void> = () => Promise.resolve(),
   ): MemoryLink {
-    const link = new MemoryLink(box, this, whileRunning);
+    const link = new MemoryLink(box, this, waitUntilRunning);
     this.links.set(box, link);
     return link;
   }
@@ -123,7 +123,7 @@
     if (target === undefined) {
       return undefined;
     }
-    await target.whileRunning();
+    await target.waitUntilRunning();
     if (this.links.get(to) !== target) {
       return undefined;
     }
@@ -141,7 +141,7 @@
       return undefined;
     }
     const isDelivered = await this.deliver(to, from);
-    await link.whileRunning();
+    await link.waitUntilRunning();
     return isDelivered && this.links.get(from) === link ? result : undefined;
   }
 
@@ -169,7 +169,7 @@
   constructor(
     readonly box: string,
     private readonly network: MemoryNetwork,
-    readonly whileRunning: () => Promise<void>,
+    readonly waitUntilRunning: () => Promise<void>,
   ) {
     super();
   }
