--- a/packages/puffinturn-membership/src/BoxMember.ts
+++ b/packages/puffinturn-membership/src/BoxMember.ts
@@ -68,7 +68,7 @@
   /** Returns the crash update for the next heartbeat. */
   readonly crashes: () => CrashTelling;
   /** Called with each heartbeat reply, after the configuration is updated. */
-  readonly onNews: (news: HeartbeatReply) => void;
+  readonly onNews: (reply: HeartbeatReply) => void;
 }
 
 /** Registers a box, sends its heartbeats and holds its configuration. */
@@ -87,7 +87,7 @@
   private isRegistered = false;
   private configLeaseEndsAt = -Infinity;
   private leader: string | undefined;
-  /** Number of failed heartbeats; selects the next control box to try. */
+  /** Heartbeats that the leader did not answer; selects the next control box. */
   private tries = 0;
   private readonly tasks = new TaskGroup();
 
@@ -96,7 +96,7 @@
     this.tasks.start((signal) => this.sendHeartbeats(signal));
   }
 
-  /** Whether this box is registered and holds a valid configuration lease. */
+  /** Whether this box is registered and has a configuration with a valid lease. */
   get isReady(): boolean {
     const hasConfigLease = this.parts.clock.now() < this.configLeaseEndsAt;
     return this.isRegistered && hasConfigLease && this.config.index > 0;
