--- a/packages/puffinturn-membership/src/__tests__/unit/Membership.test.ts
+++ b/packages/puffinturn-membership/src/__tests__/unit/Membership.test.ts
@@ -5,19 +5,23 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against outdated configuration, release of admissions that are still
+ * open, and fencing of boxes that only have irregular heartbeats.
+ */
 import fc from 'fast-check';
 import type {DeclarationEntry} from 'puffinturn-ledger';
 import {checkValue, DeclarationSchema} from 'puffinturn-settings';
 import {digestBytes} from 'shared';
 
-import {FleetConfig, OpenAdmissions, Suspicion} from '../../index';
+import {FailureDetector, FleetConfig, OpenAdmissions} from '../../index';
 
-function drain(index: number, on: boolean): DeclarationEntry {
+function drainEntry(index: number, isOn: boolean): DeclarationEntry {
   const value = {
     kind: 'drain',
     name: 'd',
     number: index,
-    spec: {on, target: {pool: 'p', upstream: 'u'}},
+    spec: {on: isOn, target: {pool: 'p', upstream: 'u'}},
   };
   const checked = checkValue(DeclarationSchema, value, 'test');
   const declaration = checked._unsafeUnwrap();
@@ -25,7 +29,7 @@
 }
 
 describe('FleetConfig', () => {
-  test('never goes back, in whatever order news arrives', () => {
+  test('never returns to an older index, in any order of updates', () => {
     const indices = fc.uniqueArray(fc.integer({max: 50, min: 1}), {
       minLength: 1,
     });
@@ -34,7 +38,10 @@
         let config = FleetConfig.empty;
         let highest = 0;
         for (const index of list) {
-          config = config.with([drain(index, index % 2 === 0)], index);
+          config = config.withEntries(
+            [drainEntry(index, index % 2 === 0)],
+            index,
+          );
           highest = Math.max(highest, index);
           expect(config.index).toBe(highest);
           expect(config.isUpstreamDrained('p', 'u')).toBe(highest % 2 === 0);
@@ -44,7 +51,7 @@
     );
   });
 
-  test('finds a team by either key while one is being replaced', () => {
+  test('finds a team by the old and the new key during key rotation', () => {
     const keys = ['old', 'new'].map((name) => ({
       name,
       sha256: digestBytes(name),
@@ -62,7 +69,7 @@
       operator: '',
       sequence: 1,
     };
-    const config = FleetConfig.empty.with([entry], 1);
+    const config = FleetConfig.empty.withEntries([entry], 1);
     expect(config.teamOf('old')?.name).toBe('t');
     expect(config.teamOf('new')?.name).toBe('t');
     expect(config.teamOf('none')).toBeUndefined();
@@ -70,7 +77,7 @@
 });
 
 describe('OpenAdmissions', () => {
-  test('the floor is never above an open serial and never falls', () => {
+  test('reports a lowest open serial that never exceeds an open one or decreases', () => {
     const steps = fc.array(fc.option(fc.nat(20), {nil: undefined}));
     fc.assert(
       fc.property(steps, (list) => {
@@ -84,8 +91,8 @@
             admissions.close(closed);
             open.delete(closed);
           }
-          expect(admissions.floor).toBeGreaterThanOrEqual(floor);
-          floor = admissions.floor;
+          expect(admissions.lowestOpenSerial).toBeGreaterThanOrEqual(floor);
+          floor = admissions.lowestOpenSerial;
           expect(Math.min(floor, ...open)).toBe(floor);
           expect(admissions.size).toBe(open.size);
         }
@@ -96,17 +103,17 @@
 });
 
 describe('Suspicion', () => {
-  test('is more patient with a box whose heartbeats are irregular', () => {
-    const regular = new Suspicion(0);
-    const irregular = new Suspicion(0);
+  test('uses a longer timeout for a box with irregular heartbeats', () => {
+    const regular = new FailureDetector(0);
+    const irregular = new FailureDetector(0);
     let now = 0;
-    for (let beat = 1; beat <= 60; beat += 1) {
-      regular.heard(beat * 300);
-      now += beat % 2 === 0 ? 100 : 900;
-      irregular.heard(now);
+    for (let heartbeat = 1; heartbeat <= 60; heartbeat += 1) {
+      regular.recordHeartbeat(heartbeat * 300);
+      now += heartbeat % 2 === 0 ? 100 : 900;
+      irregular.recordHeartbeat(now);
     }
-    expect(regular.patienceMs).toBe(1_500);
-    expect(irregular.patienceMs).toBeGreaterThan(2_500);
-    expect(irregular.patienceMs).toBeLessThanOrEqual(10_000);
+    expect(regular.timeoutMs).toBe(1_500);
+    expect(irregular.timeoutMs).toBeGreaterThan(2_500);
+    expect(irregular.timeoutMs).toBeLessThanOrEqual(10_000);
   });
 });
