--- a/packages/puffinturn-decisions/src/Decision.ts
+++ b/packages/puffinturn-decisions/src/Decision.ts
@@ -6,40 +6,39 @@
  */
 
 /**
- * Every kind of line that a process writes. A line names the request it is
- * about, what was known when the decision fell, how old or which version that
- * was, and what came of it. Times are milliseconds.
+ * Types of the structured log lines. A line contains the inputs of a decision, their
+ * age or version, and the outcome. Times are in milliseconds.
  */
 
 interface RequestDecision {
-  /** The request's id as the caller sent it. */
+  /** Request id sent by the caller. */
   readonly request: string;
-  /** The version of the configuration that the decision rests on. */
+  /** Configuration version used for the decision. */
   readonly configuration: number;
 }
 
-/** What one edge knew of a team's tokens; amounts in tokens. */
+/** An edge's view of a team's token balance; amounts in tokens. */
 export interface TokenFacts {
-  /** Tokens here, reserved ones included. */
+  /** Tokens held by this edge, including reserved tokens. */
   readonly held: number;
   readonly reserved: number;
-  /** The edge that holds the team's tokens for this hall. */
+  /** Edge that holds the team's tokens for this hall. */
   readonly holder: string;
-  /** What the core could still grant at this edge's last exchange. */
+  /** Tokens that the core could still grant at this edge's last exchange with it. */
   readonly left: number | undefined;
-  /** The age of that answer. */
+  /** Time since that exchange. */
   readonly leftAgeMs: number | undefined;
-  /** Whether the last exchange that was tried had an answer. */
+  /** Whether the core responded to the last attempted exchange. */
   readonly coreAnswers: boolean;
 }
 
-/** The last decision about a request: what its caller was told. */
+/** A request ended; contains the response sent to the caller. */
 export interface RequestEnded extends RequestDecision {
   readonly event: 'request-ended';
   readonly route: string;
   readonly team: string | undefined;
   readonly status: number;
-  /** Why, in one word; `served` for an upstream's own answer. */
+  /** Reason for the status; `served` if the response came from an upstream. */
   readonly cause: string;
   readonly upstream: string | undefined;
   readonly attempts: number;
@@ -47,81 +46,81 @@
   readonly events: number;
   /** Tokens charged to the team. */
   readonly charged: number;
-  /** The same for all copies of a request; named where it was looked up. */
+  /** Hash shared by identical requests; set only if it was computed. */
   readonly fingerprint?: string | undefined;
-  /** Upstreams that had no permit left for it, the first few. */
+  /** First few upstreams that were skipped because no permit was available. */
   readonly heldBackBy?: readonly string[] | undefined;
-  /** What a refusal for want of tokens rested on. */
+  /** Token balance that caused a rejection for insufficient tokens. */
   readonly tokens?: TokenFacts | undefined;
 }
 
-/** One attempt at an upstream that did not end in an answer. */
+/** An attempt at an upstream failed without a complete response. */
 export interface AttemptFailed extends RequestDecision {
   readonly event: 'attempt-failed';
   readonly upstream: string;
   readonly cause: string;
-  /** Whether the upstream may have begun work. */
+  /** Whether the upstream may have started to process the request. */
   readonly mayHaveRun: boolean;
   readonly retry: boolean;
-  /** Requests of this edge at that upstream. */
+  /** This edge's requests in flight at that upstream. */
   readonly inFlight: number;
-  /** The same for all copies of a request; named where it may have run. */
+  /** Hash shared by identical requests; set only if the request may have run. */
   readonly fingerprint?: string | undefined;
 }
 
-/** What an upstream said of itself in an answer. */
-export interface UpstreamTold extends RequestDecision {
+/** An upstream reported a drain, a back-off or a rate limit in a response. */
+export interface UpstreamStatusChanged extends RequestDecision {
   readonly event: 'upstream-told';
   readonly upstream: string;
-  /** Status of that answer. */
+  /** HTTP status of that response. */
   readonly status: number;
-  /** Whether it is about to leave; told once for each life. */
+  /** Whether the upstream is draining. */
   readonly leaving: boolean;
-  /** How long it wants no requests from this edge; none where it doesn't say. */
+  /** Back-off requested from this edge; undefined if none was requested. */
   readonly restMs: number | undefined;
-  /** The requests a second that it takes; none where it names no limit. */
+  /** Rate limit in requests per second; undefined if there is none. */
   readonly limitPerS?: number | undefined;
-  /** What its newest heartbeat known here says, and the number of that. */
+  /** State and sequence number of the newest heartbeat received from it. */
   readonly state: string;
   readonly sequence: number;
 }
 
-/** What an upstream said of its limit to another box is known here now. */
-export interface UpstreamLimited {
+/** This process adopted an upstream's rate limit that another box reported. */
+export interface UpstreamLimitChanged {
   readonly event: 'upstream-limited';
   readonly upstream: string;
-  /** Requests a second that it takes from all boxes; none where it has no limit. */
+  /** Requests per second from all boxes together; undefined if there is no limit. */
   readonly perSecond: number | undefined;
-  /** Grows with each change of the limit that any box has seen. */
+  /** Increases with each change of the limit seen by any box. */
   readonly revision: number;
-  /** The box that told. */
+  /** Box that sent the update. */
   readonly source: string;
 }
 
-/** Permits for requests to one upstream that this edge granted to all edges. */
-export interface PermitsCounted {
+/** Permits for one upstream that this edge granted to all edges. */
+export interface PermitTotals {
   readonly event: 'permits-counted';
   readonly upstream: string;
-  /** Requests a second that the upstream takes, as this edge knows it. */
+  /** The upstream's rate limit in requests per second, as known to this edge. */
   readonly perSecond: number;
-  /** Since the last such line. */
+  /** Count since the previous line of this type. */
   readonly granted: number;
   readonly refused: number;
 }
 
-/** A life of an upstream ended unplanned while requests of this edge were there. */
+/** An upstream crashed while requests of this edge were in flight. */
 export interface UpstreamCrashed {
   readonly event: 'upstream-crashed';
   readonly upstream: string;
   readonly bornAt: number | undefined;
-  /** Different requests of this edge that were there. */
+  /** Number of distinct requests of this edge that were in flight. */
   readonly count: number;
-  /** The first fingerprints of these. */
+  /** Fingerprints of the first few of these requests. */
   readonly fingerprints: readonly string[];
 }
 
-/** An upstream was taken out of choice, or taken in again. */
-export interface UpstreamJudged {
+/** An upstream became ineligible for selection, or eligible again. */
+export interface UpstreamHealthChanged {
   readonly event: 'upstream-judged';
   readonly upstream: string;
   readonly usable: boolean;
@@ -129,45 +128,45 @@
   readonly failures: number;
 }
 
-/** A team's tokens moved into or out of this edge. */
-export interface AllowanceMoved {
+/** Tokens of a team were added to or removed from this edge. */
+export interface TokenBalanceChanged {
   readonly event: 'allowance-moved';
   readonly team: string;
   readonly source: string;
   readonly amount: number;
   readonly held: number;
   readonly reserved: number;
-  /** Tokens that the core could still grant, as of the last exchange. */
+  /** Tokens that the core could still grant at the last exchange with it. */
   readonly left: number | undefined;
-  /** The life of the other edge, where the tokens were a gift. */
+  /** Incarnation of the other edge in a transfer between edges. */
   readonly peer?: string | undefined;
 }
 
-/** Answers of one kind within a second. */
+/** Number of responses with one status and cause within a second. */
 export interface AnswerCount {
   readonly status: number;
   readonly cause: string;
   readonly count: number;
 }
 
-/** All answers of an edge in the second before, also those with no line. */
-export interface AnswersCounted {
+/** All responses of an edge in the previous second, including those not logged. */
+export interface ResponseTotals {
   readonly event: 'answers-counted';
   readonly answers: readonly AnswerCount[];
 }
 
-/** What one edge did with a team's tokens; amounts in tokens. */
+/** A team's tokens at one edge. */
 export interface TeamTokens {
   readonly team: string;
-  /** Tokens here, reserved ones included. */
+  /** Tokens held by this edge, including reserved tokens. */
   readonly held: number;
   readonly reserved: number;
-  /** Tokens charged to the team here since the process started. */
+  /** Tokens charged to the team by this edge since the process started. */
   readonly charged: number;
 }
 
-/** The tokens at one edge: of all teams together, and of those with most. */
-export interface TokensCounted {
+/** Tokens at one edge: totals of all teams, and the teams with the largest amounts. */
+export interface TokenTotals {
   readonly event: 'tokens-counted';
   readonly held: number;
   readonly reserved: number;
@@ -175,39 +174,39 @@
   readonly teams: readonly TeamTokens[];
 }
 
-/** Tokens of one team, for a list of them. */
+/** A number of tokens of one team. */
 export interface TeamAmount {
   readonly team: string;
   readonly amount: number;
 }
 
-/** What the core has granted of a team's budget; amounts in tokens. */
+/** Tokens that the core has granted from a team's budget. */
 export interface TeamGrants {
   readonly team: string;
   readonly prepaid: number;
-  /** In the hands of edges, or spent. */
+  /** Tokens held by edges or spent. */
   readonly granted: number;
-  /** Of that, in the hands of edges and in no request. */
+  /** Granted tokens that edges hold and that no request has reserved. */
   readonly held: number;
 }
 
-/** What the core has granted, of those teams that asked last. */
-export interface GrantsCounted {
+/** Grants of the teams that requested tokens since the previous line. */
+export interface GrantedTokenTotals {
   readonly event: 'grants-counted';
   readonly teams: readonly TeamGrants[];
 }
 
-/** An edge has started anew: what its former life held stays spent. */
+/** An edge restarted; the tokens of its previous incarnation count as spent. */
 export interface TokensWrittenOff {
   readonly event: 'tokens-written-off';
-  /** The box of the edge. */
+  /** Name of the edge's box. */
   readonly edge: string;
-  /** Tokens of all teams together, as of that life's last exchange. */
+  /** Tokens of all teams at the previous incarnation's last exchange. */
   readonly amount: number;
   readonly teams: readonly TeamAmount[];
 }
 
-/** Another configuration is in force in this process. */
+/** This process switched to another configuration. */
 export interface ConfigurationAdopted {
   readonly event: 'configuration-adopted';
   readonly version: number;
@@ -215,168 +214,168 @@
   readonly source: string;
 }
 
-/** A control box has named a version that this process still lacks. */
+/** A control box announced a configuration version that this process lacks. */
 export interface ConfigurationOverdue {
   readonly event: 'configuration-overdue';
   readonly version: number;
-  /** The version in force here; none at first. */
+  /** Current version of this process; undefined before the first one. */
   readonly held: number | undefined;
-  /** How long ago a version that is lacking was named first. */
+  /** Time since a missing version was first announced. */
   readonly behindMs: number;
-  /** The control box that has named it. */
+  /** Control box that announced the version. */
   readonly source: string;
 }
 
-/** A control box that is asked for news lost its leader, or has one again. */
-export interface LeaderHeard {
+/** A control box polled for updates lost contact with the leader or regained it. */
+export interface LeaderVisibilityChanged {
   readonly event: 'leader-heard';
-  /** The control box. */
+  /** Name of the control box. */
   readonly peer: string;
-  /** The leader that it hears; none where it may be cut off from the quorum. */
+  /** Leader known to it; undefined if it may be partitioned from the quorum. */
   readonly leader: string | undefined;
 }
 
-/** What an edge told of crashes was taken by the log, or not. */
+/** The replicated log accepted or rejected a crash report. */
 export interface CrashesReported {
   readonly event: 'crashes-reported';
-  /** The edge that told, or the leader where it ends a quarantine. */
+  /** Edge that sent the report, or the leader if it ends a quarantine. */
   readonly edge: string;
-  /** How many lives of upstreams have ended. */
+  /** Number of upstream incarnations that crashed. */
   readonly count: number;
-  /** The first of these. */
+  /** The first few of these incarnations. */
   readonly crashes: readonly string[];
-  /** How many suspects got a whole answer. */
+  /** Number of suspect requests that received a complete response. */
   readonly answered: number;
-  /** `accepted` once a quorum holds it, else why it could not be decided. */
+  /** `accepted` if a quorum stored it, otherwise the reason for the failure. */
   readonly outcome: string;
-  /** How many requests are quarantined after it. */
+  /** Number of quarantined requests after the report; undefined if it failed. */
   readonly quarantined: number | undefined;
 }
 
-/** Other requests are quarantined, as this process knows it. */
+/** This process adopted a new list of quarantined requests. */
 export interface QuarantineAdopted {
   readonly event: 'quarantine-adopted';
   readonly revision: number;
   readonly former: number;
   readonly count: number;
-  /** How many requests one more crash has quarantined. */
+  /** Number of requests that one more crash would quarantine. */
   readonly suspects: number;
-  /** The fingerprint that was quarantined last. */
+  /** The most recently quarantined fingerprint. */
   readonly newest: string | undefined;
-  /** The box that told. */
+  /** Box that sent the update. */
   readonly source: string;
 }
 
-/** An operator's change was taken, or not. */
-export interface ChangeDecided {
+/** An operator's configuration change was accepted or rejected. */
+export interface ConfigurationChangeDecided {
   readonly event: 'change-decided';
   readonly version: number | undefined;
   readonly held: number | undefined;
   readonly outcome: string;
 }
 
-/** An operator's order to evacuate a hall, or to end that, was taken, or not. */
+/** A request to start or end the evacuation of a hall was accepted or rejected. */
 export interface EvacuationDecided {
   readonly event: 'evacuation-decided';
   readonly hall: string;
-  /** What was ordered: true to evacuate, false to put in service again. */
+  /** Requested state: true to evacuate the hall, false to return it to service. */
   readonly evacuated: boolean;
-  /** `accepted` once a quorum holds it, else why it could not be decided. */
+  /** `accepted` if a quorum stored it, otherwise the reason for the failure. */
   readonly outcome: string;
   readonly revision: number | undefined;
 }
 
-/** Other halls are evacuated, as this process knows it. */
+/** This process adopted a new list of evacuated halls. */
 export interface EvacuationsAdopted {
   readonly event: 'evacuations-adopted';
   readonly halls: readonly string[];
   readonly revision: number;
   readonly former: number;
-  /** The box that told. */
+  /** Box that sent the update. */
   readonly source: string;
 }
 
-/** An operator's order to roll a version out was taken, or not. */
+/** An operator's rollout order was accepted or rejected. */
 export interface RolloutDecided {
   readonly event: 'rollout-decided';
   readonly service: string;
   readonly targetVersion: string;
-  /** `accepted` once a quorum holds it, else why not. */
+  /** `accepted` if a quorum stored it, otherwise the reason for the failure. */
   readonly outcome: string;
-  /** The number of the newest order for the service. */
+  /** Number of the service's newest rollout order. */
   readonly number: number | undefined;
 }
 
-/** Answers of one version of a service on one route; `*` for all routes. */
+/** Responses of one service version on one route; `*` stands for all routes. */
 export interface VersionAnswers {
   readonly route: string;
   readonly version: string;
   readonly answers: number;
   readonly failures: number;
-  /** Answers that took much longer than expected. */
+  /** Responses that took much longer than expected. */
   readonly slow: number;
 }
 
-/** A roll-out moves on or ends, by the leader's judgement. */
-export interface RolloutJudged {
+/** The leader advanced or ended a rollout. */
+export interface RolloutEvaluated {
   readonly event: 'rollout-judged';
   readonly service: string;
   readonly targetVersion: string;
   readonly number: number;
   readonly state: string;
   readonly cause: string;
-  /** Time since the order. */
+  /** Time since the rollout order. */
   readonly elapsedMs: number;
   readonly figures: readonly VersionAnswers[];
-  /** `accepted` once a quorum holds it, else why it could not be written. */
+  /** `accepted` if a quorum stored it, otherwise the reason for the failure. */
   readonly outcome: string;
 }
 
-/** What a roll-out under way has risked, as the leader knows it; in requests. */
-export interface ExposureCounted {
+/** Exposure of an active rollout, as known to the leader; counts of requests. */
+export interface ExposureTotals {
   readonly event: 'exposure-counted';
   readonly service: string;
   readonly number: number;
-  /** Requests of the service since the order. */
+  /** Requests to the service since the rollout order. */
   readonly requests: number;
-  /** Of these, requests sent to the new version. */
+  /** Requests among these that were sent to the new version. */
   readonly exposed: number;
-  /** Requests that edges were allowed to send to it. */
+  /** Requests that edges were allowed to send to the new version. */
   readonly granted: number;
-  /** Requests that they may be allowed by now. */
+  /** Maximum number of requests that may be granted at this time. */
   readonly budget: number;
 }
 
-/** Requests of a service began to go to another region, or have ceased to. */
-export interface CrossingChanged {
+/** An edge started or stopped sending a service's requests to another region. */
+export interface CrossRegionRoutingChanged {
   readonly event: 'crossing-changed';
   readonly service: string;
   readonly crossing: boolean;
-  /** Requests that went over since it began. */
+  /** Requests sent to another region since it started. */
   readonly requests: number;
 }
 
-/** Other versions of services may get requests, as this process knows it. */
+/** This process adopted new rollout states. */
 export interface RolloutsAdopted {
   readonly event: 'rollouts-adopted';
   readonly revision: number;
   readonly former: number;
-  /** Each service with its versions and how far its roll-out is; some of many. */
+  /** Services with their versions and rollout progress; truncated if there are many. */
   readonly services: readonly string[];
-  /** The box that told. */
+  /** Box that sent the update. */
   readonly source: string;
 }
 
-/** This edge sends nothing more to a new version, by what it has seen itself. */
+/** This edge stopped sending requests to a new version after failed responses. */
 export interface ExposureStopped {
   readonly event: 'exposure-stopped';
   readonly service: string;
-  /** The number of the order. */
+  /** Number of the rollout order. */
   readonly number: number;
   readonly version: string;
-  /** `run` for bad answers in a row, `share` for too many of them. */
+  /** `run` for consecutive bad responses, `share` for a high fraction of them. */
   readonly cause: string | undefined;
-  /** Requests that it had sent to that version. */
+  /** Requests that this edge sent to that version. */
   readonly exposed: number;
 }
 
@@ -387,48 +386,48 @@
   readonly service: string;
   readonly address: string;
   readonly state: string;
-  /** When its life began by its own time of day; none where untold. */
+  /** Start time by the upstream's clock; undefined if it was not reported. */
   readonly bornAt?: number | undefined;
   readonly sequence: number;
   readonly source: string;
 }
 
-/** An upstream has started again: what this edge had with its former life is void. */
+/** An upstream restarted; this edge discards the state of its previous incarnation. */
 export interface UpstreamRestarted {
   readonly event: 'upstream-restarted';
   readonly upstream: string;
   readonly bornAt: number | undefined;
   readonly former: number | undefined;
-  /** Requests of this edge that were open at the former life. */
+  /** This edge's requests in flight at the previous incarnation. */
   readonly open: number;
 }
 
-/** Words of upstreams that were refused for one cause. */
-export interface RefusalCount {
+/** Number of heartbeats rejected for one cause. */
+export interface RejectionCount {
   readonly cause: string;
   readonly count: number;
 }
 
-/** Words that can't be used came within a second; nothing known has changed. */
-export interface UpstreamsRefused {
+/** Invalid heartbeats received within a second; they change no state. */
+export interface HeartbeatsRejected {
   readonly event: 'upstreams-refused';
-  readonly causes: readonly RefusalCount[];
-  /** The id that the newest of them named, cut where it is long. */
+  readonly causes: readonly RejectionCount[];
+  /** Upstream id in the newest rejected heartbeat, truncated to a maximum length. */
   readonly upstream: string;
-  /** How many were refused since the process started. */
+  /** Heartbeats rejected since the process started. */
   readonly total: number;
 }
 
-/** A box that this one depends on was lost or came back. */
+/** A box that this process depends on became unreachable or reachable again. */
 export interface DependencyChanged {
   readonly event: 'dependency-changed';
-  /** The box that was lost or came back. */
+  /** Name of that box. */
   readonly peer: string;
   readonly reachable: boolean;
   readonly lastAnswerAgeMs: number | undefined;
 }
 
-/** This replica's part in the log changed. */
+/** This replica's role in the replicated log changed. */
 export interface RoleChanged {
   readonly event: 'role-changed';
   readonly role: string;
@@ -436,68 +435,70 @@
   readonly leader: string | undefined;
 }
 
-/** An edge reads requests late, or does so no more. */
+/** An edge became overloaded or caught up with its connection backlog. */
 export interface BacklogChanged {
   readonly event: 'backlog-changed';
   /** `behind` or `caught-up`. */
   readonly phase: string;
-  /** The greatest time that a connection accepted now has waited. */
+  /** Upper bound of the waiting time of a connection accepted now. */
   readonly ageMs: number;
-  /** Requests being served. */
+  /** Requests in flight. */
   readonly open: number;
 }
 
-/** An edge leaves new connections to the others of its hall, or may not. */
-export interface StepAsideDecided {
+/** An overloaded edge withdrew from load balancing, was refused, or rejoined. */
+export interface OverloadWithdrawalDecided {
   readonly event: 'step-aside-decided';
-  /** `aside`, `refused` by the others, or `back`. */
+  /** `aside` if it withdrew, `refused` if its peers refused, `back` if it rejoined. */
   readonly outcome: string;
+  /** Upper bound of the waiting time of a connection accepted now. */
   readonly ageMs: number;
-  /** How many of the others agreed, and how many were asked. */
+  /** Number of peers that approved. */
   readonly agreed: number;
+  /** Number of peers asked for approval. */
   readonly asked: number;
 }
 
-/** Start, stop, reload and readiness of the process itself. */
+/** The process started, stopped, reloaded or changed its readiness. */
 export interface ProcessChanged {
   readonly event: 'process-changed';
   readonly phase: string;
   readonly detail: string;
 }
 
-/** Any line. */
+/** Any structured log line. */
 export type Decision =
-  | AllowanceMoved
-  | AnswersCounted
+  | TokenBalanceChanged
+  | ResponseTotals
   | AttemptFailed
   | BacklogChanged
-  | ChangeDecided
+  | ConfigurationChangeDecided
   | ConfigurationAdopted
   | ConfigurationOverdue
   | CrashesReported
-  | CrossingChanged
+  | CrossRegionRoutingChanged
   | DependencyChanged
   | EvacuationDecided
   | EvacuationsAdopted
-  | ExposureCounted
+  | ExposureTotals
   | ExposureStopped
-  | GrantsCounted
-  | LeaderHeard
-  | PermitsCounted
+  | GrantedTokenTotals
+  | LeaderVisibilityChanged
+  | PermitTotals
   | ProcessChanged
   | QuarantineAdopted
   | RequestEnded
   | RoleChanged
   | RolloutDecided
-  | RolloutJudged
+  | RolloutEvaluated
   | RolloutsAdopted
-  | StepAsideDecided
-  | TokensCounted
+  | OverloadWithdrawalDecided
+  | TokenTotals
   | TokensWrittenOff
   | UpstreamChanged
   | UpstreamCrashed
-  | UpstreamJudged
-  | UpstreamLimited
+  | UpstreamHealthChanged
+  | UpstreamLimitChanged
   | UpstreamRestarted
-  | UpstreamTold
-  | UpstreamsRefused;
+  | UpstreamStatusChanged
+  | HeartbeatsRejected;
--- a/packages/puffinturn-decisions/src/DecisionLog.ts
+++ b/packages/puffinturn-decisions/src/DecisionLog.ts
@@ -5,45 +5,40 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Writes decisions as lines of JSON. A full pipe drops lines instead of
- * blocking, and a limit of lines a second holds under load: plain successes
- * are left out first, and the next line says how many were. Lines of totals are
- * always written: they are few, and show what the others leave out.
- */
+/** Writes the decisions of a process as structured log lines. */
 import type {Logger} from 'pino';
 import {pino} from 'pino';
 
 import type {Decision} from './Decision';
 
-/** What a log is made of. */
+/** Dependencies and limits of a JsonDecisionLog. */
 export interface DecisionLogParts {
-  /** The name of this box. */
+  /** Name of this box. */
   readonly box: string;
-  /** Monotonic milliseconds. */
+  /** Monotonic time in milliseconds. */
   readonly now: () => number;
-  /** Lines a second at most. */
+  /** Maximum number of lines per second. */
   readonly linesPerSecond: number;
-  /** One plain success in this many is written. */
+  /** Writes one of this many requests that succeeded at the first attempt. */
   readonly successSample: number;
-  /** Where lines go; standard output by default. */
+  /** Receives each line; standard output by default. */
   readonly write?: (line: string) => void;
 }
 
-/** Bytes waiting for standard output before lines are dropped. */
-const MAX_WAITING_BYTES = 256 * 1024;
+/** Lines are dropped while this many bytes are buffered for standard output. */
+const MAX_BUFFERED_BYTES = 256 * 1024;
 
-/** Takes the decisions of a process. */
+/** Records the decisions of a process. */
 export abstract class DecisionLog {
   abstract note(decision: Decision): void;
 }
 
-/** Writes nothing. */
+/** Discards all decisions. */
 export class SilentDecisionLog extends DecisionLog {
   override note(): void {}
 }
 
-/** Keeps every decision, for tests. */
+/** Keeps all decisions in memory, for tests. */
 export class KeptDecisionLog extends DecisionLog {
   readonly lines: Decision[] = [];
 
@@ -52,18 +47,22 @@
   }
 }
 
-/** See the module comment. */
+/**
+ * Writes decisions as JSON lines. It samples successful requests and limits the rate
+ * of lines by a token bucket; `leftOut` in the next line is the number of lines that
+ * the limit dropped. Lines are also dropped while standard output is blocked.
+ */
 export class JsonDecisionLog extends DecisionLog {
   private readonly logger: Logger;
-  private allowance: number;
-  private filledAt: number;
-  private successes = 0;
-  private leftOut = 0;
+  private availableLines: number;
+  private refilledAt: number;
+  private successCount = 0;
+  private droppedLines = 0;
 
   constructor(private readonly parts: DecisionLogParts) {
     super();
-    this.allowance = parts.linesPerSecond;
-    this.filledAt = parts.now();
+    this.availableLines = parts.linesPerSecond;
+    this.refilledAt = parts.now();
     const options = {base: {box: parts.box}, level: 'info'};
     this.logger =
       parts.write === undefined
@@ -71,7 +70,7 @@
             options,
             pino.destination({
               fd: 1,
-              maxLength: MAX_WAITING_BYTES,
+              maxLength: MAX_BUFFERED_BYTES,
               sync: false,
             }),
           )
@@ -79,37 +78,42 @@
   }
 
   override note(decision: Decision): void {
-    if (isPlainSuccess(decision)) {
-      const isSampled = this.successes % this.parts.successSample === 0;
-      this.successes += 1;
+    if (isFirstAttemptSuccess(decision)) {
+      const isSampled = this.successCount % this.parts.successSample === 0;
+      this.successCount += 1;
       if (!isSampled) {
         return;
       }
     }
-    if (!isTotal(decision) && !this.takeLine()) {
-      this.leftOut += 1;
+    if (!isRateLimitExempt(decision) && !this.tryConsumeLine()) {
+      this.droppedLines += 1;
       return;
     }
-    const {leftOut} = this;
-    this.leftOut = 0;
-    this.logger.info(leftOut === 0 ? decision : {...decision, leftOut});
+    const {droppedLines} = this;
+    this.droppedLines = 0;
+    this.logger.info(
+      droppedLines === 0 ? decision : {...decision, leftOut: droppedLines},
+    );
   }
 
-  private takeLine(): boolean {
+  private tryConsumeLine(): boolean {
     const now = this.parts.now();
     const {linesPerSecond} = this.parts;
-    const earned = ((now - this.filledAt) * linesPerSecond) / 1_000;
-    this.allowance = Math.min(linesPerSecond, this.allowance + earned);
-    this.filledAt = now;
-    if (this.allowance < 1) {
+    const refill = ((now - this.refilledAt) * linesPerSecond) / 1_000;
+    this.availableLines = Math.min(
+      linesPerSecond,
+      this.availableLines + refill,
+    );
+    this.refilledAt = now;
+    if (this.availableLines < 1) {
       return false;
     }
-    this.allowance -= 1;
+    this.availableLines -= 1;
     return true;
   }
 }
 
-function isPlainSuccess(decision: Decision): boolean {
+function isFirstAttemptSuccess(decision: Decision): boolean {
   return (
     decision.event === 'request-ended' &&
     decision.cause === 'served' &&
@@ -118,10 +122,10 @@
 }
 
 /**
- * Whether a line sums up what others tell, or why there are so many of them; its
- * writer writes a few a second at most.
+ * Whether a line is written regardless of the rate limit. These are totals and overload
+ * events, which occur only a few times per second and are needed when others are dropped.
  */
-function isTotal({event}: Decision): boolean {
+function isRateLimitExempt({event}: Decision): boolean {
   return (
     event === 'answers-counted' ||
     event === 'backlog-changed' ||
--- a/packages/puffinturn-decisions/src/__tests__/unit/DecisionLog.test.ts
+++ b/packages/puffinturn-decisions/src/__tests__/unit/DecisionLog.test.ts
@@ -5,10 +5,13 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/** Guards against lost failures and totals, and against an unbounded rate of lines. */
 import type {Decision} from '../../index';
 import {JsonDecisionLog} from '../../index';
 
-function ended(fields: {cause?: string; request?: string} = {}): Decision {
+function createRequestEnded(
+  fields: {cause?: string; request?: string} = {},
+): Decision {
   return {
     attempts: 1,
     cause: 'served',
@@ -26,25 +29,27 @@
   };
 }
 
-function logWith(linesPerSecond: number, successSample: number) {
+function createLog(linesPerSecond: number, successSample: number) {
   const lines: Record<string, unknown>[] = [];
-  const time = {now: 0};
+  const clock = {now: 0};
   const log = new JsonDecisionLog({
     box: 'b',
     linesPerSecond,
-    now: () => time.now,
+    now: () => clock.now,
     successSample,
     write: (line) => lines.push(JSON.parse(line)),
   });
-  return {lines, log, time};
+  return {clock, lines, log};
 }
 
 describe('JsonDecisionLog', () => {
-  test('writes every failure and a sample of plain successes', () => {
-    const {lines, log} = logWith(1_000, 10);
+  test('writes all failures but only a sample of the successful requests', () => {
+    const {lines, log} = createLog(1_000, 10);
     for (let count = 0; count < 100; count += 1) {
-      log.note(ended());
-      log.note(ended({cause: 'no-upstream', request: `f${count}`}));
+      log.note(createRequestEnded());
+      log.note(
+        createRequestEnded({cause: 'no-upstream', request: `f${count}`}),
+      );
     }
     const failures = lines.filter(({cause}) => cause === 'no-upstream');
     expect(failures).toHaveLength(100);
@@ -52,41 +57,41 @@
     expect(lines[0]).toMatchObject({event: 'request-ended', request: 'r'});
   });
 
-  test('writes totals also once the limit of lines is reached', () => {
-    const {lines, log} = logWith(1, 1);
+  test('writes totals after the rate limit is reached', () => {
+    const {lines, log} = createLog(1, 1);
     for (let count = 0; count < 5; count += 1) {
-      log.note(ended({cause: 'no-upstream'}));
+      log.note(createRequestEnded({cause: 'no-upstream'}));
     }
     log.note({answers: [], event: 'answers-counted'});
     expect(lines).toHaveLength(2);
     expect(lines[1]).toMatchObject({event: 'answers-counted', leftOut: 4});
   });
 
-  test('says that an edge is behind also once the limit is reached', () => {
-    const {lines, log} = logWith(1, 1);
+  test('writes an overload event after the rate limit is reached', () => {
+    const {lines, log} = createLog(1, 1);
     for (let count = 0; count < 5; count += 1) {
-      log.note(ended({cause: 'read-late'}));
+      log.note(createRequestEnded({cause: 'read-late'}));
     }
     log.note({ageMs: 600, event: 'backlog-changed', open: 9, phase: 'behind'});
     expect(lines.at(-1)).toMatchObject({event: 'backlog-changed', leftOut: 4});
   });
 
-  test('writes every success where one in one is sampled', () => {
-    const {lines, log} = logWith(1_000, 1);
+  test('writes all successful requests if the sampling interval is 1', () => {
+    const {lines, log} = createLog(1_000, 1);
     for (let count = 0; count < 10; count += 1) {
-      log.note(ended());
+      log.note(createRequestEnded());
     }
     expect(lines).toHaveLength(10);
   });
 
-  test('holds its limit and says how many lines were left out', () => {
-    const {lines, log, time} = logWith(5, 1);
+  test('enforces the rate limit and reports the number of dropped lines', () => {
+    const {clock, lines, log} = createLog(5, 1);
     for (let count = 0; count < 12; count += 1) {
-      log.note(ended({cause: 'x'}));
+      log.note(createRequestEnded({cause: 'x'}));
     }
     expect(lines).toHaveLength(5);
-    time.now = 1_000;
-    log.note(ended({cause: 'x'}));
+    clock.now = 1_000;
+    log.note(createRequestEnded({cause: 'x'}));
     expect(lines.at(-1)).toMatchObject({leftOut: 7});
   });
 });
--- a/packages/puffinturn-decisions/src/index.ts
+++ b/packages/puffinturn-decisions/src/index.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Structured log lines, one for each decision of a process. */
+/** Structured log lines that record the decisions of a process. */
 export type {
   AnswerCount,
   Decision,
--- a/packages/puffinturn-decisions/src/largestTeams.ts
+++ b/packages/puffinturn-decisions/src/largestTeams.ts
@@ -5,17 +5,17 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Which teams a line about tokens names. */
+/** Selects the teams listed in a log line about tokens. */
 
-/** Teams that a line names; there may be thousands. */
-const MAX_TEAMS_NOTED = 12;
+/** Bounds the length of a line, because there may be thousands of teams. */
+const MAX_LOGGED_TEAMS = 12;
 
-/** Those with most tokens, the largest amount first. */
+/** Returns the teams with the largest amounts, in descending order. */
 export function largestTeams<Team>(
-  all: readonly Team[],
+  teams: readonly Team[],
   amountOf: (team: Team) => number,
 ): Team[] {
-  return [...all]
+  return [...teams]
     .sort((a, b) => amountOf(b) - amountOf(a))
-    .slice(0, MAX_TEAMS_NOTED);
+    .slice(0, MAX_LOGGED_TEAMS);
 }
