--- a/packages/puffinturn-settings/src/Files.ts
+++ b/packages/puffinturn-settings/src/ConfigurationFiles.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Reads settings and folders of declarations. */
+/** Reads and validates settings files and declaration files. */
 import {readdir, readFile, stat} from 'node:fs/promises';
 import {dirname, isAbsolute, join, resolve} from 'node:path';
 
@@ -13,17 +13,17 @@
 import {err, ok, ResultAsync} from 'neverthrow';
 import {describeError} from 'shared';
 
-import type {CheckFailure, Problem} from './Checked';
-import {checkFailure, checkValue, parseJson} from './Checked';
 import type {Declaration} from './DeclarationSchema';
 import {DeclarationFileSchema} from './DeclarationSchema';
 import type {Settings, TlsSettings} from './SettingsSchema';
 import {SettingsSchema} from './SettingsSchema';
+import type {CheckFailure, Problem} from './Validation';
+import {checkFailure, checkValue, parseJson} from './Validation';
 
-/** A declaration with the file that it came from. */
+/** A declaration with the file that contains it. */
 export interface DeclarationFile {
   readonly file: string;
-  /** Whether the file itself gives the number. */
+  /** Whether the file sets the version number. */
   readonly numbered: boolean;
   readonly declaration: Declaration;
 }
@@ -36,69 +36,69 @@
   );
 }
 
-/** Reads a settings file; file names in it are relative to its folder. */
+/** Reads a settings file; relative paths in it are resolved against its folder. */
 export function readSettings(
   file: string,
 ): ResultAsync<Settings, CheckFailure> {
   return readText(file)
     .andThen((text) => parseJson(text, file))
     .andThen((value) => checkValue(SettingsSchema, value, file))
-    .map((settings) => withAbsoluteFiles(settings, dirname(resolve(file))));
+    .map((settings) => resolveFilePaths(settings, dirname(resolve(file))));
 }
 
-function withAbsoluteFiles(settings: Settings, folder: string): Settings {
-  const absolute = (path: string): string =>
+function resolveFilePaths(settings: Settings, folder: string): Settings {
+  const toAbsolute = (path: string): string =>
     isAbsolute(path) ? path : join(folder, path);
-  const absoluteTls = (tls?: TlsSettings): TlsSettings | undefined =>
+  const resolveTls = (tls?: TlsSettings): TlsSettings | undefined =>
     tls && {
-      caFile: tls.caFile === undefined ? undefined : absolute(tls.caFile),
-      certFile: absolute(tls.certFile),
-      keyFile: absolute(tls.keyFile),
+      caFile: tls.caFile === undefined ? undefined : toAbsolute(tls.caFile),
+      certFile: toAbsolute(tls.certFile),
+      keyFile: toAbsolute(tls.keyFile),
     };
   const {callers, fleet, operators} = settings;
   return {
     ...settings,
-    callers: {...callers, tls: absoluteTls(callers.tls)},
-    dataFolder: absolute(settings.dataFolder),
+    callers: {...callers, tls: resolveTls(callers.tls)},
+    dataFolder: toAbsolute(settings.dataFolder),
     fleet: {
       ...fleet,
-      keyFile: absolute(fleet.keyFile),
-      tls: absoluteTls(fleet.tls),
+      keyFile: toAbsolute(fleet.keyFile),
+      tls: resolveTls(fleet.tls),
     },
-    operators: {...operators, tls: absoluteTls(operators.tls)},
+    operators: {...operators, tls: resolveTls(operators.tls)},
   };
 }
 
-/** Reads all declarations of a folder (or one file), in order of file name. */
+/** Reads all declarations in a folder, or in a single file, in order of file name. */
 export function readDeclarations(
   path: string,
 ): ResultAsync<DeclarationFile[], CheckFailure> {
-  return new ResultAsync(collectDeclarations(path));
+  return new ResultAsync(collectDeclarationFiles(path));
 }
 
-async function collectDeclarations(
+async function collectDeclarationFiles(
   path: string,
 ): Promise<Result<DeclarationFile[], CheckFailure>> {
-  const names = await jsonFiles(path);
-  if (names.isErr()) {
-    return err(names.error);
+  const paths = await listJsonFiles(path);
+  if (paths.isErr()) {
+    return err(paths.error);
   }
   const problems: Problem[] = [];
-  const found: DeclarationFile[] = [];
-  for (const file of names.value) {
+  const declarations: DeclarationFile[] = [];
+  for (const file of paths.value) {
     const result = await readDeclarationFile(file);
     if (result.isErr()) {
       problems.push(...result.error.problems);
     } else {
-      found.push(...result.value);
+      declarations.push(...result.value);
     }
   }
-  problems.push(...repeatedNames(found));
-  return problems.length > 0 ? err(checkFailure(problems)) : ok(found);
+  problems.push(...findDuplicateNames(declarations));
+  return problems.length > 0 ? err(checkFailure(problems)) : ok(declarations);
 }
 
-function jsonFiles(path: string): ResultAsync<string[], CheckFailure> {
-  const list = async (): Promise<string[]> => {
+function listJsonFiles(path: string): ResultAsync<string[], CheckFailure> {
+  const listPaths = async (): Promise<string[]> => {
     if (!(await stat(path)).isDirectory()) {
       return [path];
     }
@@ -108,13 +108,13 @@
       .sort()
       .map((name) => join(path, name));
   };
-  return ResultAsync.fromPromise(list(), (error) =>
+  return ResultAsync.fromPromise(listPaths(), (error) =>
     checkFailure([
       {
         file: path,
         found: describeError(error),
         path: '/',
-        wanted: 'a folder of JSON files',
+        wanted: 'a JSON file or a folder of JSON files',
       },
     ]),
   );
@@ -129,14 +129,14 @@
       const items = Array.isArray(value) ? value : [value];
       const problems: Problem[] = [];
       const declarations: DeclarationFile[] = [];
-      for (const [position, item] of items.entries()) {
-        const place = items.length > 1 ? `${file}[${position}]` : file;
-        const checked = checkValue(DeclarationFileSchema, item, place);
-        if (checked.isErr()) {
-          problems.push(...checked.error.problems);
+      for (const [index, item] of items.entries()) {
+        const location = items.length > 1 ? `${file}[${index}]` : file;
+        const result = checkValue(DeclarationFileSchema, item, location);
+        if (result.isErr()) {
+          problems.push(...result.error.problems);
         } else {
           const numbered = 'number' in item;
-          declarations.push({declaration: checked.value, file, numbered});
+          declarations.push({declaration: result.value, file, numbered});
         }
       }
       return problems.length > 0
@@ -145,17 +145,19 @@
     });
 }
 
-function repeatedNames(files: readonly DeclarationFile[]): Problem[] {
-  const seen = new Map<string, string>();
+function findDuplicateNames(
+  declarationFiles: readonly DeclarationFile[],
+): Problem[] {
+  const fileById = new Map<string, string>();
   const problems: Problem[] = [];
-  for (const {declaration, file} of files) {
+  for (const {declaration, file} of declarationFiles) {
     const id = `${declaration.kind}/${declaration.name}`;
-    const first = seen.get(id);
-    if (first !== undefined) {
-      const found = `${id}, also in ${first}`;
-      problems.push({file, found, path: '/name', wanted: 'a name used once'});
+    const firstFile = fileById.get(id);
+    if (firstFile !== undefined) {
+      const found = `${id}, also in ${firstFile}`;
+      problems.push({file, found, path: '/name', wanted: 'a unique name'});
     }
-    seen.set(id, file);
+    fileById.set(id, file);
   }
   return problems;
 }
--- a/packages/puffinturn-settings/src/DeclarationSchema.ts
+++ b/packages/puffinturn-settings/src/DeclarationSchema.ts
@@ -5,14 +5,14 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The schema of declarations: everything that operators keep in files. */
+/** Schema of declarations, which operators keep in files. */
 import {z} from 'zod';
 
 const MAX_NAME_LENGTH = 100;
-const MAX_LIST = 1_000;
+const MAX_LIST_LENGTH = 1_000;
 const MAX_EXPRESSION_LENGTH = 4_000;
 
-/** Names of things that operators declare. */
+/** Schema of the names of declared resources, boxes, halls and regions. */
 export const NameSchema = z
   .string()
   .max(MAX_NAME_LENGTH)
@@ -21,109 +21,113 @@
     'a name of a-z, 0-9, dot, dash and underscore',
   );
 
-const CountSchema = z.int().min(0);
-const PositiveSchema = z.int().min(1);
+const NonNegativeIntSchema = z.int().min(0);
+const PositiveIntSchema = z.int().min(1);
 const ExpressionSchema = z.string().min(1).max(MAX_EXPRESSION_LENGTH);
 
-/** A SHA-256 digest in hexadecimal. */
+/** Schema of a SHA-256 digest in hexadecimal. */
 export const Sha256Schema = z
   .string()
   .regex(/^[0-9a-f]{64}$/, 'a SHA-256 in lower-case hexadecimal');
 
-/** A key that is stored as its digest only. */
+/** Schema of an API key, of which only the digest is stored. */
 export const HashedKeySchema = z.strictObject({
   name: NameSchema,
   sha256: Sha256Schema,
 });
 
 const UpstreamSchema = z.strictObject({
-  /** The data hall that it stands in. */
+  /** Data hall where the upstream runs. */
   hall: NameSchema,
   name: NameSchema,
-  /** Requests that it can run at once. */
-  slots: PositiveSchema,
+  /** Maximum number of concurrent requests. */
+  slots: PositiveIntSchema,
   url: z.url({protocol: /^https?$/}),
 });
 
 const UpstreamsSchema = z
   .array(UpstreamSchema)
-  .max(MAX_LIST)
+  .max(MAX_LIST_LENGTH)
   .refine(
-    (list) => new Set(list.map(({name}) => name)).size === list.length,
+    (upstreams) =>
+      new Set(upstreams.map(({name}) => name)).size === upstreams.length,
     'upstreams with names that differ',
   );
 
 const TeamSpecSchema = z.strictObject({
   keys: z.array(HashedKeySchema).max(20),
-  /** Share of a crowded pool in proportion to other teams. */
-  weight: PositiveSchema.max(1_000).default(1),
+  /** Weight in fair sharing between teams when a pool is overloaded. */
+  weight: PositiveIntSchema.max(1_000).default(1),
 });
 
 const BudgetSpecSchema = z.strictObject({
-  /** The region that keeps the budget and grants parts of it to others. */
+  /** Region that owns the budget and grants parts of it to other regions. */
   home: NameSchema,
-  /** Prepaid units; the total that may ever be spent. */
-  limit: CountSchema.max(Number.MAX_SAFE_INTEGER / 4),
+  /** Total number of prepaid units that may be spent. */
+  limit: NonNegativeIntSchema.max(Number.MAX_SAFE_INTEGER / 4),
   team: NameSchema,
 });
 
 const OrdersSchema = z.strictObject({
-  /** Whether the engines refuse orders with an old fence. */
+  /** Whether engines reject orders with a stale fencing token. */
   checksFences: z.boolean().default(true),
-  /** Loads at once, as the weight store allows. */
-  loadsAtOnce: PositiveSchema.max(100).default(1),
-  /** How many engines shall hold each model. */
+  /** Maximum number of concurrent model loads from the weight store. */
+  loadsAtOnce: PositiveIntSchema.max(100).default(1),
+  /** Number of engines that should have each model loaded. */
   placements: z
     .array(
       z.strictObject({
-        copies: PositiveSchema.max(MAX_LIST),
+        copies: PositiveIntSchema.max(MAX_LIST_LENGTH),
         model: z.string().min(1).max(200),
       }),
     )
-    .max(MAX_LIST),
+    .max(MAX_LIST_LENGTH),
 });
 
 const PoolSpecSchema = z.strictObject({
-  /** Tokens of prompt and completion together at most. */
-  contextTokens: PositiveSchema.default(32_768),
-  /** Completion tokens for callers that give no maximum. */
-  defaultMaxTokens: PositiveSchema.default(1_024),
-  models: z.array(z.string().min(1).max(200)).min(1).max(MAX_LIST),
-  /** Absent when nobody orders engines to load models. */
+  /** Maximum number of tokens in prompt and completion together. */
+  contextTokens: PositiveIntSchema.default(32_768),
+  /** Maximum number of completion tokens if the caller sets none. */
+  defaultMaxTokens: PositiveIntSchema.default(1_024),
+  models: z.array(z.string().min(1).max(200)).min(1).max(MAX_LIST_LENGTH),
+  /** Model loading; undefined if it is managed elsewhere. */
   orders: OrdersSchema.optional(),
-  /** Budget units for one token. */
-  price: z.strictObject({completion: CountSchema, prompt: CountSchema}),
+  /** Price of one token in budget units. */
+  price: z.strictObject({
+    completion: NonNegativeIntSchema,
+    prompt: NonNegativeIntSchema,
+  }),
   target: z
     .strictObject({
-      betweenTokensMs: PositiveSchema.default(32),
-      firstTokenMs: PositiveSchema.default(1_100),
+      betweenTokensMs: PositiveIntSchema.default(32),
+      firstTokenMs: PositiveIntSchema.default(1_100),
     })
     .prefault({}),
-  /** Prompt tokens that the chat template adds for each message at most. */
-  tokensPerMessage: CountSchema.default(8),
+  /** Maximum number of prompt tokens that the chat template adds per message. */
+  tokensPerMessage: NonNegativeIntSchema.default(8),
   upstreams: UpstreamsSchema,
 });
 
 const ServiceSpecSchema = z.strictObject({
-  /** Budget units for one call. */
-  callPrice: CountSchema,
+  /** Price of one call in budget units. */
+  callPrice: NonNegativeIntSchema,
   upstreams: UpstreamsSchema,
 });
 
 const AllowRuleSchema = z.strictObject({
   action: z.literal('allow'),
-  /** CEL: the name of the budget. */
+  /** CEL expression for the name of the budget. */
   budget: ExpressionSchema,
-  deadlineMs: PositiveSchema.max(3_600_000).default(60_000),
-  /** Whether a slow request may be sent to a second upstream. */
+  deadlineMs: PositiveIntSchema.max(3_600_000).default(60_000),
+  /** Whether a slow request may be hedged by sending it to a second upstream. */
   hedge: z.boolean().default(false),
-  /** CEL: a business key, such as the order number. */
+  /** CEL expression for a business key, such as an order number. */
   key: ExpressionSchema.optional(),
-  maxTokens: PositiveSchema.optional(),
+  maxTokens: PositiveIntSchema.optional(),
   name: NameSchema,
-  /** The pool or service that serves it. */
+  /** Pool or service that serves the request. */
   pool: NameSchema,
-  /** 0 goes first; 9 goes last. */
+  /** 0 is the highest priority, 9 the lowest. */
   priority: z.int().min(0).max(9).default(5),
   repeat: z.enum(['allowed', 'never']).default('allowed'),
   when: ExpressionSchema,
@@ -137,8 +141,8 @@
 });
 
 const PolicySpecSchema = z.strictObject({
-  /** Policies are tried from the lowest order to the highest. */
-  order: CountSchema.default(100),
+  /** Policies are evaluated in ascending order. */
+  order: NonNegativeIntSchema.default(100),
   rules: z
     .array(z.discriminatedUnion('action', [AllowRuleSchema, RefuseRuleSchema]))
     .min(1)
@@ -146,59 +150,59 @@
 });
 
 const DrainSpecSchema = z.strictObject({
-  /** False ends the drain. */
+  /** True starts the drain, false ends it. */
   on: z.boolean(),
   target: z.union([
     z.strictObject({box: NameSchema}),
-    // Every upstream of the hall, whatever pool or service it belongs to.
+    // All upstreams in the hall, of all pools and services.
     z.strictObject({hall: NameSchema}),
     z.strictObject({pool: NameSchema, upstream: NameSchema}),
   ]),
 });
 
-const envelope = {
+const ENVELOPE_FIELDS = {
   name: NameSchema,
-  /** Counts the versions of this declaration; the highest one holds. */
-  number: PositiveSchema.max(Number.MAX_SAFE_INTEGER),
-  /** `global`, or the one region that it is for. */
+  /** Version number of the declaration; the highest one is in force. */
+  number: PositiveIntSchema.max(Number.MAX_SAFE_INTEGER),
+  /** `global`, or the only region where the declaration applies. */
   scope: NameSchema.default('global'),
 };
 
-/** One declaration with its envelope. */
+/** Schema of a declaration of any kind. */
 export const DeclarationSchema = z.discriminatedUnion('kind', [
   z.strictObject({
-    ...envelope,
+    ...ENVELOPE_FIELDS,
     kind: z.literal('budget'),
     spec: BudgetSpecSchema.nullable(),
   }),
   z.strictObject({
-    ...envelope,
+    ...ENVELOPE_FIELDS,
     kind: z.literal('drain'),
     spec: DrainSpecSchema.nullable(),
   }),
   z.strictObject({
-    ...envelope,
+    ...ENVELOPE_FIELDS,
     kind: z.literal('policy'),
     spec: PolicySpecSchema.nullable(),
   }),
   z.strictObject({
-    ...envelope,
+    ...ENVELOPE_FIELDS,
     kind: z.literal('pool'),
     spec: PoolSpecSchema.nullable(),
   }),
   z.strictObject({
-    ...envelope,
+    ...ENVELOPE_FIELDS,
     kind: z.literal('service'),
     spec: ServiceSpecSchema.nullable(),
   }),
   z.strictObject({
-    ...envelope,
+    ...ENVELOPE_FIELDS,
     kind: z.literal('team'),
     spec: TeamSpecSchema.nullable(),
   }),
 ]);
 
-/** A file may leave the number out; `puffinturn apply` then picks it. */
+/** Schema of a declaration in a file; `puffinturn apply` assigns a missing number. */
 export const DeclarationFileSchema = z.preprocess(
   (value) =>
     typeof value === 'object' && value !== null && !('number' in value)
@@ -207,27 +211,27 @@
   DeclarationSchema,
 );
 
-/** A declaration; a `spec` of null removes the thing. */
+/** A declaration; a `spec` of null deletes the declared resource. */
 export type Declaration = z.output<typeof DeclarationSchema>;
-/** The kinds of things that can be declared. */
+/** Kind of a declared resource. */
 export type DeclarationKind = Declaration['kind'];
-/** A team. */
+/** API keys and weight of a team. */
 export type TeamSpec = z.output<typeof TeamSpecSchema>;
 /** A prepaid budget. */
 export type BudgetSpec = z.output<typeof BudgetSpecSchema>;
-/** Engines that serve the same models. */
+/** A pool of inference engines that serve the same models. */
 export type PoolSpec = z.output<typeof PoolSpecSchema>;
-/** Plain services behind one name. */
+/** A service other than an inference engine, with its upstreams. */
 export type ServiceSpec = z.output<typeof ServiceSpecSchema>;
-/** Rules on who may spend what. */
+/** Rules that admit or reject requests. */
 export type PolicySpec = z.output<typeof PolicySpecSchema>;
-/** A box or upstream that takes no new work. */
+/** A drain of a box, of a hall or of one upstream. */
 export type DrainSpec = z.output<typeof DrainSpecSchema>;
-/** A rule that lets a request run. */
+/** A rule that admits requests. */
 export type AllowRule = z.output<typeof AllowRuleSchema>;
-/** A rule that refuses a request. */
+/** A rule that rejects requests. */
 export type RefuseRule = z.output<typeof RefuseRuleSchema>;
-/** Where requests are sent. */
+/** A server that requests are forwarded to. */
 export type UpstreamSpec = z.output<typeof UpstreamSchema>;
-/** A key as it is stored. */
+/** An API key, stored as its digest. */
 export type HashedKey = z.output<typeof HashedKeySchema>;
--- a/packages/puffinturn-settings/src/Secrets.ts
+++ b/packages/puffinturn-settings/src/Secrets.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Files with secrets, and keys that are stored as digests only. */
+/** Reads secret files and finds API keys by their digests. */
 import type {KeyObject} from 'node:crypto';
 import {createSecretKey, timingSafeEqual} from 'node:crypto';
 import {readFile, stat} from 'node:fs/promises';
@@ -13,27 +13,28 @@
 import {err, ok, ResultAsync} from 'neverthrow';
 import {describeError, digestBytes} from 'shared';
 
-import type {CheckFailure} from './Checked';
-import {checkFailure} from './Checked';
 import type {HashedKey} from './DeclarationSchema';
+import type {CheckFailure} from './Validation';
+import {checkFailure} from './Validation';
 
-const OTHERS_MAY_ACCESS = 0o077;
+/** File mode bits that grant access to users other than the owner. */
+const GROUP_AND_OTHER_MODE_BITS = 0o077;
 const MIN_SECRET_LENGTH = 32;
 
-function secretProblem(file: string, found: string, wanted: string) {
+function createSecretFailure(file: string, found: string, wanted: string) {
   return checkFailure([{file, found, path: '/', wanted}]);
 }
 
-/** Reads a secret; a file that other users may read is refused. */
+/** Reads a secret file; fails if users other than the owner have access to it. */
 export function readSecret(file: string): ResultAsync<Buffer, CheckFailure> {
   const read = Promise.all([stat(file), readFile(file)]);
   return ResultAsync.fromPromise(read, (error) =>
-    secretProblem(file, describeError(error), 'a readable file'),
+    createSecretFailure(file, describeError(error), 'a readable file'),
   ).andThen(([{mode}, content]) =>
-    (mode & OTHERS_MAY_ACCESS) === 0
+    (mode & GROUP_AND_OTHER_MODE_BITS) === 0
       ? ok(content)
       : err(
-          secretProblem(
+          createSecretFailure(
             file,
             `mode ${(mode & 0o777).toString(8)}`,
             'a file that only its owner may access (chmod 600)',
@@ -42,7 +43,7 @@
   );
 }
 
-/** Reads the key that all boxes of a fleet share. */
+/** Reads the secret key shared by all boxes of the fleet. */
 export function readFleetKey(
   file: string,
 ): ResultAsync<KeyObject, CheckFailure> {
@@ -50,23 +51,27 @@
     const text = content.toString('utf8').trim();
     return text.length < MIN_SECRET_LENGTH
       ? err(
-          secretProblem(file, 'a short key', `${MIN_SECRET_LENGTH} characters`),
+          createSecretFailure(
+            file,
+            'a key that is too short',
+            `at least ${MIN_SECRET_LENGTH} characters`,
+          ),
         )
       : ok(createSecretKey(Buffer.from(text)));
   });
 }
 
-/** The stored key that `presented` belongs to, compared in constant time. */
+/** Finds the stored key that matches `presented`; the comparison takes constant time. */
 export function findKey(
   keys: readonly HashedKey[],
   presented: string,
 ): HashedKey | undefined {
   const digest = Buffer.from(digestBytes(presented), 'hex');
-  let found: HashedKey | undefined;
+  let match: HashedKey | undefined;
   for (const key of keys) {
     if (timingSafeEqual(digest, Buffer.from(key.sha256, 'hex'))) {
-      found = key;
+      match = key;
     }
   }
-  return found;
+  return match;
 }
--- a/packages/puffinturn-settings/src/SettingsSchema.ts
+++ b/packages/puffinturn-settings/src/SettingsSchema.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The schema of a box's settings file. */
+/** Schema of the settings file of a box. */
 import {z} from 'zod';
 
 import {HashedKeySchema, NameSchema} from './DeclarationSchema';
@@ -16,7 +16,7 @@
 });
 
 const TlsSchema = z.strictObject({
-  /** Authority that the other side's certificate must come from. */
+  /** CA certificate that the peer's certificate is verified against. */
   caFile: z.string().optional(),
   certFile: z.string(),
   keyFile: z.string(),
@@ -29,41 +29,41 @@
   hall: NameSchema,
   host: z.union([z.ipv4(), z.ipv6()]),
   name: NameSchema,
-  /** Where other boxes reach it. */
+  /** Port for connections from other boxes. */
   port: z.int().min(1).max(65_535),
   region: NameSchema,
 });
 
-/** How a box's settings file must look. */
+/** Schema of the settings of one box. */
 export const SettingsSchema = z
   .strictObject({
-    /** This box's name; one of `fleet.boxes`. */
+    /** Name of this box; must be listed in `fleet.boxes`. */
     box: NameSchema,
     callers: ListenSchema,
-    /** Folder for all files of this box; needed by control boxes. */
+    /** Folder for the persistent files of this box; used by control boxes. */
     dataFolder: z.string().min(1),
     fleet: z.strictObject({
       boxes: z.array(FleetBoxSchema).min(1),
-      /** File with the key that all boxes share. */
+      /** File with the secret key shared by all boxes. */
       keyFile: z.string(),
-      /** The region that orders declarations for all regions. */
+      /** Region that determines the order of declarations for all regions. */
       primaryRegion: NameSchema,
       tls: TlsSchema.optional(),
     }),
     limits: z
       .strictObject({
-        /** Largest body of a request, bytes. */
+        /** Maximum size of a request body, bytes. */
         bodyBytes: z
           .int()
           .min(1_024)
           .default(4 * 1024 * 1024),
-        /** Time that the balancer needs to see a red health check. */
+        /** Time for the load balancer to notice a failing health check before a stop. */
         drainNoticeMs: z.int().min(0).default(3_000),
-        /** How long answers stay for retries. */
+        /** How long responses are kept for retries by the caller. */
         keepAnswerMs: z.int().min(1_000).default(600_000),
-        /** How long the keys of never-repeated requests stay. */
+        /** How long the keys of requests that must not be repeated are kept. */
         keepMarkedMs: z.int().min(1_000).default(604_800_000),
-        /** Longest time for requests in flight at a planned stop. */
+        /** Maximum time for requests in flight to finish during a graceful shutdown. */
         stopMs: z.int().min(1_000).default(120_000),
       })
       .prefault({}),
@@ -74,7 +74,7 @@
       })
       .prefault({}),
     operators: ListenSchema.extend({keys: z.array(HashedKeySchema).min(1)}),
-    /** The platform's list of live and leaving boxes, if there is one. */
+    /** URL of the platform's list of running and draining boxes. */
     platformList: z.url({protocol: /^https?$/}).optional(),
   })
   .refine(
@@ -88,7 +88,7 @@
 
 /** The settings of one box. */
 export type Settings = z.output<typeof SettingsSchema>;
-/** One box of the fleet, as every box's settings list it. */
+/** An entry of `fleet.boxes`. */
 export type FleetBox = z.output<typeof FleetBoxSchema>;
-/** Files for TLS on one side. */
+/** Certificate and key files for TLS. */
 export type TlsSettings = z.output<typeof TlsSchema>;
--- a/packages/puffinturn-settings/src/Checked.ts
+++ b/packages/puffinturn-settings/src/Validation.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Checks JSON against a schema and words every problem for its author. */
+/** Validates JSON values against schemas and describes all problems found. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 import stringify from 'safe-stable-stringify';
@@ -13,26 +13,27 @@
 import {describeError} from 'shared';
 import type {z} from 'zod';
 
-const SHOWN_VALUE_LENGTH = 60;
+/** Longer values are truncated in messages, characters. */
+const MAX_SHOWN_VALUE_LENGTH = 60;
 
-/** One problem of one file. */
+/** A value that violates the schema, or a file that cannot be read. */
 export interface Problem {
-  /** The file, or the name of what was checked. */
+  /** File name, or another name of the validated value. */
   readonly file: string;
-  /** Where in the file, as `/a/0/b`; `/` is the whole. */
+  /** Path of the value in the file, such as `/a/0/b`; `/` is the whole file. */
   readonly path: string;
-  /** What is there. */
+  /** Description of the actual value. */
   readonly found: string;
-  /** What should be there. */
+  /** Description of the expected value. */
   readonly wanted: string;
 }
 
-/** JSON that is not what the schema wants. */
+/** Validation failed, or a file could not be read. */
 export interface CheckFailure extends Failure<'invalid'> {
   readonly problems: readonly Problem[];
 }
 
-/** A failure from a list of problems, one line each. */
+/** Creates a failure whose message has one line per problem. */
 export function checkFailure(problems: readonly Problem[]): CheckFailure {
   const lines = problems.map(
     ({file, found, path, wanted}) =>
@@ -41,24 +42,24 @@
   return {kind: 'invalid', message: lines.join('\n'), problems};
 }
 
-function valueAt(value: unknown, path: readonly PropertyKey[]): unknown {
+function getValueAt(value: unknown, path: readonly PropertyKey[]): unknown {
   return path.reduce<unknown>(
-    (inner, key) =>
-      typeof inner === 'object' && inner !== null
-        ? (inner as Record<PropertyKey, unknown>)[key]
+    (current, key) =>
+      typeof current === 'object' && current !== null
+        ? (current as Record<PropertyKey, unknown>)[key]
         : undefined,
     value,
   );
 }
 
-function shown(value: unknown): string {
+function formatValue(value: unknown): string {
   const text = stringify(value) ?? 'nothing';
-  return text.length > SHOWN_VALUE_LENGTH
-    ? `${text.slice(0, SHOWN_VALUE_LENGTH)}…`
+  return text.length > MAX_SHOWN_VALUE_LENGTH
+    ? `${text.slice(0, MAX_SHOWN_VALUE_LENGTH)}…`
     : text;
 }
 
-/** Checks a value that is already parsed. */
+/** Validates a parsed value against a schema. */
 export function checkValue<Schema extends z.ZodType>(
   schema: Schema,
   value: unknown,
@@ -70,14 +71,14 @@
   }
   const problems = parsed.error.issues.map((issue) => ({
     file,
-    found: shown(valueAt(value, issue.path)),
+    found: formatValue(getValueAt(value, issue.path)),
     path: `/${issue.path.map(String).join('/')}`,
     wanted: issue.message,
   }));
   return err(checkFailure(problems));
 }
 
-/** Parses JSON text. */
+/** Parses JSON; `file` names the text in the failure. */
 export function parseJson(
   text: string,
   file: string,
@@ -86,6 +87,8 @@
     return ok(JSON.parse(text));
   } catch (error) {
     const wanted = `JSON (${describeError(error)})`;
-    return err(checkFailure([{file, found: shown(text), path: '/', wanted}]));
+    return err(
+      checkFailure([{file, found: formatValue(text), path: '/', wanted}]),
+    );
   }
 }
--- a/packages/puffinturn-settings/src/__tests__/unit/Settings.test.ts
+++ b/packages/puffinturn-settings/src/__tests__/unit/Settings.test.ts
@@ -5,6 +5,10 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against invalid settings that are accepted or throw, duplicate declarations,
+ * and secret files that other users can read.
+ */
 import {chmod, mkdtemp, rm, writeFile} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
@@ -23,8 +27,8 @@
 } from '../../index';
 
 describe('declarations and settings', () => {
-  test('a problem names file, path, what was found and what is wanted', () => {
-    const checked = checkValue(
+  test('a problem contains the file, the path, and the actual and expected value', () => {
+    const result = checkValue(
       DeclarationSchema,
       {
         kind: 'budget',
@@ -34,7 +38,7 @@
       },
       'budgets/b.json',
     );
-    const [problem] = checked._unsafeUnwrapErr().problems;
+    const [problem] = result._unsafeUnwrapErr().problems;
     expect(problem).toMatchObject({
       file: 'budgets/b.json',
       found: '-5',
@@ -43,27 +47,25 @@
     expect(problem?.wanted).toContain('>=0');
   });
 
-  test('unknown fields are refused', () => {
+  test('unknown fields are rejected', () => {
     const spec = {home: 'north', limit: 5, limmit: 6, team: 't'};
     const value = {kind: 'budget', name: 'b', number: 1, spec};
     expect(checkValue(DeclarationSchema, value, 'f').isErr()).toBe(true);
   });
 
-  test('any JSON gives a value or typed problems, never an exception', () => {
+  test('validation of any JSON value returns a value or problems and never throws', () => {
     fc.assert(
       fc.property(fc.jsonValue(), (value) => {
         for (const schema of [DeclarationSchema, SettingsSchema]) {
-          const checked = checkValue(schema, value, 'f');
-          expect(checked.isOk() || checked.error.problems.length > 0).toBe(
-            true,
-          );
+          const result = checkValue(schema, value, 'f');
+          expect(result.isOk() || result.error.problems.length > 0).toBe(true);
         }
       }),
       {seed: 1},
     );
   });
 
-  test('any text gives JSON or a typed problem', () => {
+  test('parsing of any text returns a value or a failure and never throws', () => {
     fc.assert(
       fc.property(fc.string(), (text) => {
         const parsed = parseJson(text, 'f');
@@ -73,7 +75,7 @@
     );
   });
 
-  test('a folder reports a name that two files declare', async () => {
+  test('a name declared in two files of a folder is reported', async () => {
     const folder = await mkdtemp(join(tmpdir(), 'declarations-'));
     const budget = {
       kind: 'budget',
@@ -82,24 +84,24 @@
     };
     await writeFile(join(folder, '1.json'), JSON.stringify(budget));
     await writeFile(join(folder, '2.json'), JSON.stringify([budget]));
-    const read = await readDeclarations(folder);
+    const result = await readDeclarations(folder);
     await rm(folder, {recursive: true});
-    expect(read._unsafeUnwrapErr().problems[0]?.path).toBe('/name');
+    expect(result._unsafeUnwrapErr().problems[0]?.path).toBe('/name');
   });
 
-  test('a key file that others may read is refused', async () => {
+  test('a key file that other users can read is rejected', async () => {
     const folder = await mkdtemp(join(tmpdir(), 'keys-'));
     const file = join(folder, 'fleet.key');
     await writeFile(file, 'k'.repeat(40), {mode: 0o600});
-    const closed = await readFleetKey(file);
+    const ownerOnlyResult = await readFleetKey(file);
     await chmod(file, 0o644);
-    const open = await readFleetKey(file);
+    const readableByOthersResult = await readFleetKey(file);
     await rm(folder, {recursive: true});
-    expect(closed.isOk()).toBe(true);
-    expect(open.isErr()).toBe(true);
+    expect(ownerOnlyResult.isOk()).toBe(true);
+    expect(readableByOthersResult.isErr()).toBe(true);
   });
 
-  test('keys are found by their digest, and two are valid in a rotation', () => {
+  test('keys are found by digest, and the old and new key are both valid in a rotation', () => {
     const keys = ['old', 'new'].map((name) => ({
       name,
       sha256: digestBytes(`secret-${name}`),
--- a/packages/puffinturn-settings/src/index.ts
+++ b/packages/puffinturn-settings/src/index.ts
@@ -5,9 +5,9 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Settings of a box and declarations of operators, checked. */
-export type {CheckFailure, Problem} from './Checked';
-export {checkFailure, checkValue, parseJson} from './Checked';
+/** Validated settings of a box and declarations of operators. */
+export type {DeclarationFile} from './ConfigurationFiles';
+export {readDeclarations, readSettings} from './ConfigurationFiles';
 export type {
   AllowRule,
   BudgetSpec,
@@ -23,8 +23,8 @@
   UpstreamSpec,
 } from './DeclarationSchema';
 export {DeclarationFileSchema, DeclarationSchema} from './DeclarationSchema';
-export type {DeclarationFile} from './Files';
-export {readDeclarations, readSettings} from './Files';
 export {findKey, readFleetKey, readSecret} from './Secrets';
 export type {FleetBox, Settings, TlsSettings} from './SettingsSchema';
 export {SettingsSchema} from './SettingsSchema';
+export type {CheckFailure, Problem} from './Validation';
+export {checkFailure, checkValue, parseJson} from './Validation';
