--- a/packages/puffinturn-timeline/src/HybridClock.ts
+++ b/packages/puffinturn-timeline/src/HybridClock.ts
@@ -5,30 +5,30 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * A hybrid logical clock: close to wall time, yet an event that another one
- * caused always has the later stamp.
- */
+/** Timestamps that preserve causal order between processes. */
 import type {Clock} from 'shared';
 
-/** A stamp: wall time in ms, then a counter for equal times. */
+/** A hybrid timestamp: wall time in ms, and a counter that orders equal times. */
 export interface Stamp {
   readonly wall: number;
   readonly count: number;
 }
 
-/** Orders two stamps. */
+/** Compares two timestamps; negative if `a` is earlier. */
 export function compareStamps(a: Stamp, b: Stamp): number {
   return a.wall - b.wall || a.count - b.count;
 }
 
-/** See the module comment. */
+/**
+ * A hybrid logical clock. Its timestamps are close to the wall time, and an event always
+ * has a later timestamp than the events that caused it.
+ */
 export class HybridClock {
   private last: Stamp = {count: 0, wall: 0};
 
   constructor(private readonly clock: Clock) {}
 
-  /** A stamp for an event of this process. */
+  /** Returns the timestamp of a new event of this process. */
   tick(): Stamp {
     const wall = this.clock.wallTime();
     this.last =
@@ -38,7 +38,7 @@
     return this.last;
   }
 
-  /** Takes a stamp from another process into account. */
+  /** Advances the clock to a timestamp received from another process, if it is later. */
   observe(stamp: Stamp): void {
     if (compareStamps(stamp, this.last) > 0) {
       this.last = stamp;
--- a/packages/puffinturn-timeline/src/Merge.ts
+++ b/packages/puffinturn-timeline/src/Merge.ts
@@ -5,20 +5,20 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** One time line out of those of many processes. */
+/** Merges the timelines of several processes and formats their events. */
 import {compareStamps} from './HybridClock';
 import type {TimelineEvent} from './Timeline';
 
-/** What to keep; absent fields keep everything. */
+/** Selects events; an undefined field matches all events. */
 export interface TimelineFilter {
   readonly box?: string | undefined;
   readonly budget?: string | undefined;
   readonly request?: string | undefined;
-  /** Wall time in ms. */
+  /** Earliest wall time, ms since the Unix epoch. */
   readonly since?: number | undefined;
 }
 
-function matches(event: TimelineEvent, filter: TimelineFilter): boolean {
+function matchesFilter(event: TimelineEvent, filter: TimelineFilter): boolean {
   return (
     (filter.box === undefined || event.box === filter.box) &&
     (filter.budget === undefined || event.budget === filter.budget) &&
@@ -27,14 +27,14 @@
   );
 }
 
-/** Events of all processes that match, in the order of their stamps. */
+/** Merges the matching events of all processes in order of their timestamps. */
 export function mergeTimelines(
   timelines: readonly (readonly TimelineEvent[])[],
   filter: TimelineFilter = {},
 ): TimelineEvent[] {
   return timelines
     .flat()
-    .filter((event) => matches(event, filter))
+    .filter((event) => matchesFilter(event, filter))
     .sort(
       (a, b) =>
         compareStamps(a.stamp, b.stamp) ||
@@ -42,7 +42,7 @@
     );
 }
 
-/** One line for people. */
+/** Formats an event as one human-readable line. */
 export function formatEvent(event: TimelineEvent): string {
   const {box, budget, detail, kind, request, stamp, upstream} = event;
   const time = new Date(stamp.wall).toISOString();
@@ -51,7 +51,7 @@
     budget && `budget=${budget}`,
     upstream && `upstream=${upstream}`,
     detail,
-  ].filter((part) => part !== undefined && part !== '');
+  ].filter((subject) => subject !== undefined && subject !== '');
   return [time, `+${stamp.count}`, box.padEnd(12), kind.padEnd(17), ...subjects]
     .join(' ')
     .trimEnd();
@@ -67,26 +67,28 @@
   readonly args: object;
 }
 
-/** The Chrome trace event format: one process a box. */
+/** Converts events to the Chrome trace event format; each box is one process. */
 export function toChromeTrace(events: readonly TimelineEvent[]): {
   traceEvents: TraceEvent[];
 } {
   const boxes = [...new Set(events.map(({box}) => box))].sort();
-  const names = boxes.map((box, position): TraceEvent => ({
+  const processNames = boxes.map((box, index): TraceEvent => ({
     args: {name: box},
     name: 'process_name',
     ph: 'M',
-    pid: position + 1,
+    pid: index + 1,
     tid: 0,
   }));
-  const marks = events.map(({box, kind, stamp, ...args}): TraceEvent => ({
-    args,
-    name: kind,
-    ph: 'i',
-    pid: boxes.indexOf(box) + 1,
-    s: 'p',
-    tid: 0,
-    ts: stamp.wall * 1_000 + stamp.count,
-  }));
-  return {traceEvents: [...names, ...marks]};
+  const instantEvents = events.map(
+    ({box, kind, stamp, ...args}): TraceEvent => ({
+      args,
+      name: kind,
+      ph: 'i',
+      pid: boxes.indexOf(box) + 1,
+      s: 'p',
+      tid: 0,
+      ts: stamp.wall * 1_000 + stamp.count,
+    }),
+  );
+  return {traceEvents: [...processNames, ...instantEvents]};
 }
--- a/packages/puffinturn-timeline/src/Timeline.ts
+++ b/packages/puffinturn-timeline/src/Timeline.ts
@@ -5,13 +5,13 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Typed events of one process in a bounded ring. */
+/** Keeps the typed events of one process in a ring buffer. */
 import type {Clock} from 'shared';
 
 import type {Stamp} from './HybridClock';
 import {HybridClock} from './HybridClock';
 
-/** What can happen. */
+/** Kinds of events. */
 export const EVENT_KIND = {
   admitted: 'admitted',
   attached: 'attached',
@@ -38,54 +38,57 @@
 /** One of EVENT_KIND. */
 export type EventKind = (typeof EVENT_KIND)[keyof typeof EVENT_KIND];
 
-/** What an event is about. */
+/** Identifiers and details attached to an event. */
 export interface EventSubject {
   readonly request?: string;
   readonly budget?: string;
   readonly upstream?: string;
   readonly team?: string;
-  /** One short line for people. */
+  /** A short human-readable description. */
   readonly detail?: string;
 }
 
-/** One event. */
+/** An event of one process. */
 export interface TimelineEvent extends EventSubject {
   readonly box: string;
   readonly kind: EventKind;
   readonly stamp: Stamp;
 }
 
-/** Events kept by one process. */
-export const DEFAULT_RING_EVENTS = 20_000;
+/** Default maximum number of events kept by one process. */
+export const DEFAULT_CAPACITY = 20_000;
 
-/** The events of one process; the oldest are forgotten. */
+/** The events of one process; the oldest are overwritten when the buffer is full. */
 export class Timeline {
-  /** Stamps events and messages. */
+  /** Clock for the timestamps of events and messages. */
   readonly clock: HybridClock;
-  private readonly ring: TimelineEvent[] = [];
-  private next = 0;
+  private readonly ringBuffer: TimelineEvent[] = [];
+  private recordedCount = 0;
 
   constructor(
     private readonly box: string,
     clock: Clock,
-    private readonly capacity = DEFAULT_RING_EVENTS,
+    private readonly capacity = DEFAULT_CAPACITY,
   ) {
     this.clock = new HybridClock(clock);
   }
 
-  /** Notes an event that happens now. */
+  /** Records an event with the current time. */
   note(kind: EventKind, subject: EventSubject = {}): void {
     const event = {...subject, box: this.box, kind, stamp: this.clock.tick()};
-    this.ring[this.next % this.capacity] = event;
-    this.next += 1;
+    this.ringBuffer[this.recordedCount % this.capacity] = event;
+    this.recordedCount += 1;
   }
 
-  /** All events held, oldest first. */
+  /** Returns the events in the buffer, oldest first. */
   events(): TimelineEvent[] {
-    if (this.next <= this.capacity) {
-      return [...this.ring];
+    if (this.recordedCount <= this.capacity) {
+      return [...this.ringBuffer];
     }
-    const start = this.next % this.capacity;
-    return [...this.ring.slice(start), ...this.ring.slice(0, start)];
+    const oldestIndex = this.recordedCount % this.capacity;
+    return [
+      ...this.ringBuffer.slice(oldestIndex),
+      ...this.ringBuffer.slice(0, oldestIndex),
+    ];
   }
 }
--- a/packages/puffinturn-timeline/src/__tests__/unit/Timeline.test.ts
+++ b/packages/puffinturn-timeline/src/__tests__/unit/Timeline.test.ts
@@ -5,6 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/** Guards against events out of causal order, and against wrong merging or filtering. */
 import fc from 'fast-check';
 import {ManualClock} from 'shared';
 
@@ -19,19 +20,19 @@
 } from '../../index';
 
 describe('HybridClock', () => {
-  test('a message is always stamped before what it causes', () => {
-    const steps = fc.array(fc.tuple(fc.nat(2), fc.nat(2), fc.nat(5)));
+  test('a message has a send timestamp before its receive timestamp despite clock skew', () => {
+    const messageLists = fc.array(fc.tuple(fc.nat(2), fc.nat(2), fc.nat(5)));
     fc.assert(
-      fc.property(steps, (list) => {
-        // The clocks of the three processes are far apart.
+      fc.property(messageLists, (messages) => {
+        // The wall clocks of the three processes differ by up to 50 s.
         const clocks = [0, 50_000, 1_000].map(
           (epoch) => new HybridClock(new ManualClock(epoch)),
         );
-        for (const [from, to] of list) {
-          const sent = clocks[from]?.tick() ?? {count: 0, wall: 0};
-          clocks[to]?.observe(sent);
-          const received = clocks[to]?.tick() ?? sent;
-          expect(compareStamps(sent, received)).toBeLessThan(0);
+        for (const [from, to] of messages) {
+          const sentAt = clocks[from]?.tick() ?? {count: 0, wall: 0};
+          clocks[to]?.observe(sentAt);
+          const receivedAt = clocks[to]?.tick() ?? sentAt;
+          expect(compareStamps(sentAt, receivedAt)).toBeLessThan(0);
         }
       }),
       {seed: 1},
@@ -40,7 +41,7 @@
 });
 
 describe('Timeline', () => {
-  test('keeps the newest events in order when the ring is full', () => {
+  test('keeps the newest events in order when the ring buffer is full', () => {
     const timeline = new Timeline('a', new ManualClock(), 3);
     for (const detail of ['1', '2', '3', '4', '5']) {
       timeline.note(EVENT_KIND.admitted, {detail});
@@ -52,7 +53,7 @@
     ]);
   });
 
-  test('merges, filters, formats and traces events of several boxes', () => {
+  test('merges, filters, formats and exports the events of several boxes', () => {
     const clock = new ManualClock(1_000);
     const [a, b] = ['a', 'b'].map((box) => new Timeline(box, clock));
     a?.note(EVENT_KIND.admitted, {budget: 'x', request: 'r'});
--- a/packages/puffinturn-timeline/src/index.ts
+++ b/packages/puffinturn-timeline/src/index.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The time line of events over all processes. */
+/** A timeline of the events of all processes. */
 export type {Stamp} from './HybridClock';
 export {compareStamps, HybridClock} from './HybridClock';
 export type {TimelineFilter} from './Merge';
