--- a/packages/puffinturn-bench/src/BudgetsBench.ts
+++ b/packages/puffinturn-bench/src/BudgetsBench.ts
@@ -18,7 +18,7 @@
   firstDeclarations,
   FuzzFleet,
 } from 'puffinturn-fuzz';
-import type {SplitSide} from 'puffinturn-ledger';
+import type {RegionSupply} from 'puffinturn-ledger';
 import {invariant, Random} from 'shared';
 
 /** Figures of one way in one situation. */
@@ -74,7 +74,7 @@
 ];
 
 /** Half goes abroad once and never moves again. */
-function fixedShare(): (home: SplitSide, other: SplitSide) => number {
+function fixedShare(): (home: RegionSupply, other: RegionSupply) => number {
   let given = false;
   return (home, other) => {
     if (given) {
@@ -92,8 +92,8 @@
     rows.push(await measure(seed, situation, 'ours', {}));
     rows.push(
       await measure(seed, situation, 'fixed equal share', {
-        neverWait: true,
-        split: fixedShare(),
+        disableAdmissionQueue: true,
+        computeGrantTarget: fixedShare(),
       }),
     );
   }
@@ -169,10 +169,10 @@
   }
   const handled = await life.gateway.handle(request);
   if (handled.isOk()) {
-    const {answer} = handled.value;
-    using reader = answer.read();
-    while ((await reader.chunks()).length > 0);
-    const whole = answer.end?.kind === 'whole';
+    const {response} = handled.value;
+    using reader = response.createReader();
+    while ((await reader.readAvailable()).length > 0);
+    const whole = response.end?.kind === 'whole';
     tally.served += whole ? 1 : 0;
     tally.otherRefusals += whole ? 0 : 1;
   } else if (handled.error.kind !== 'budget_exhausted') {
--- a/packages/puffinturn-bench/src/EdgeProcess.ts
+++ b/packages/puffinturn-bench/src/EdgeProcess.ts
@@ -19,7 +19,12 @@
   Service,
   UpstreamRecord,
 } from 'puffinturn-fleet';
-import {BOX_ROLE, Regions, REPETITION, UPSTREAM_STATE} from 'puffinturn-fleet';
+import {
+  BOX_ROLE,
+  Regions,
+  RETRY_POLICY,
+  UPSTREAM_STATE,
+} from 'puffinturn-fleet';
 import {MemoryNetwork} from 'puffinturn-wire';
 import {invariant, Random, SystemClock} from 'shared';
 
@@ -182,7 +187,7 @@
     objectiveMs: 800,
     pathPrefix: `/${name}/`,
     priority: 0,
-    repetition: streams ? REPETITION.resumable : REPETITION.repeatable,
+    repetition: streams ? RETRY_POLICY.resumable : RETRY_POLICY.repeatable,
     streams,
     targets: [{service: name, weight: 1}],
     timeoutMs: 30_000,
--- a/packages/puffinturn-bench/src/RoutingExperiment.ts
+++ b/packages/puffinturn-bench/src/RoutingExperiment.ts
@@ -9,21 +9,26 @@
  * Drives the real routers of several boxes against engines in virtual time,
  * for one set of decisions in one situation.
  */
-import type {Choice, Limit, Place, RetryBudget} from 'puffinturn-routing';
+import type {
+  ConcurrencyLimit,
+  LoadBalancer,
+  RetryBudget,
+  UpstreamSlot,
+} from 'puffinturn-routing';
 import {
-  AdaptiveLimit,
-  backoffMs,
-  ExpectedTimeChoice,
+  AdaptiveConcurrencyLimit,
+  backoffDelayMs,
+  ExpectedLatencyBalancer,
   FairQueue,
   FifoQueue,
-  Hedge,
-  LeastInFlightChoice,
+  HedgePolicy,
+  LeastInFlightBalancer,
   PrefixIndex,
-  RandomChoice,
-  RoundRobinChoice,
+  RandomBalancer,
+  RatioRetryBudget,
+  RoundRobinBalancer,
   Router,
-  ShareRetryBudget,
-  StaticLimit,
+  StaticConcurrencyLimit,
   UnlimitedRetryBudget,
 } from 'puffinturn-routing';
 import {ManualClock, Random} from 'shared';
@@ -110,7 +115,7 @@
 interface BoxState {
   readonly router: Router;
   readonly retries: RetryBudget;
-  readonly hedge: Hedge;
+  readonly hedge: HedgePolicy;
   readonly prefixes: PrefixIndex;
   readonly random: Random;
 }
@@ -166,7 +171,7 @@
         const names = new Set(event.leaving?.map((at) => `engine-${at}`));
         if (event.leaving !== undefined) {
           run.boxes.forEach(({router}) =>
-            router.markLeaving((name) => names.has(name)),
+            router.markDraining((name) => names.has(name)),
           );
         }
       });
@@ -182,18 +187,18 @@
     const {situation} = this;
     const prefixes = new PrefixIndex();
     const router = new Router({
-      choice: this.makeChoice(random, prefixes),
+      loadBalancer: this.makeChoice(random, prefixes),
       clock: this.clock,
-      limit: this.makeLimit(boxes),
+      concurrencyLimit: this.makeLimit(boxes),
       pool: 'models',
       queue:
         this.decisions.queue === 'fair'
           ? new FairQueue(this.clock)
           : new FifoQueue(),
-      refusesEarly: this.decisions.refusesEarly,
+      rejectsEarly: this.decisions.refusesEarly,
       targetMs: situation.targetMs,
     });
-    router.declare(
+    router.setUpstreams(
       this.engines.map((_, at) => ({
         hall: `hall-${at % 3}`,
         name: `engine-${at}`,
@@ -202,34 +207,34 @@
       })),
     );
     return {
-      hedge: new Hedge(),
+      hedge: new HedgePolicy(),
       prefixes,
       random,
       retries:
         this.decisions.retries === 'share'
-          ? new ShareRetryBudget()
+          ? new RatioRetryBudget()
           : new UnlimitedRetryBudget(),
       router,
     };
   }
 
-  private makeChoice(random: Random, prefixes: PrefixIndex): Choice {
+  private makeChoice(random: Random, prefixes: PrefixIndex): LoadBalancer {
     switch (this.decisions.choice) {
       case 'expected':
-        return new ExpectedTimeChoice(random, prefixes);
+        return new ExpectedLatencyBalancer(random, prefixes);
       case 'least':
-        return new LeastInFlightChoice(random);
+        return new LeastInFlightBalancer(random);
       case 'random':
-        return new RandomChoice(random);
+        return new RandomBalancer(random);
       case 'round-robin':
-        return new RoundRobinChoice();
+        return new RoundRobinBalancer();
     }
   }
 
-  private makeLimit(boxes: number): Limit {
+  private makeLimit(boxes: number): ConcurrencyLimit {
     return this.decisions.limit === 'adaptive'
-      ? new AdaptiveLimit(() => boxes, this.clock)
-      : new StaticLimit(() => boxes);
+      ? new AdaptiveConcurrencyLimit(() => boxes, this.clock)
+      : new StaticConcurrencyLimit(() => boxes);
   }
 
   private async feed(workload: readonly Demand[]): Promise<void> {
@@ -246,26 +251,26 @@
     tally.teams.set(demand.team, team);
     tally.asked += 1;
     team.asked += 1;
-    box.retries.earn();
+    box.retries.recordRequest();
     const started = this.clock.now();
     const deadline = started + this.situation.deadlineMs;
     const avoid = new Set<string>();
     for (let turn = 0; turn < MAX_TRIES; turn += 1) {
-      const place = await this.acquire(box, demand, deadline, avoid);
-      if (place === undefined) {
+      const slot = await this.acquire(box, demand, deadline, avoid);
+      if (slot === undefined) {
         tally.refused += 1;
         return;
       }
-      const whole = await this.runHedged(box, demand, place, avoid, started);
+      const whole = await this.runHedged(box, demand, slot, avoid, started);
       if (whole) {
         tally.whole += 1;
         team.whole += 1;
         return;
       }
-      if (!box.retries.spend()) {
+      if (!box.retries.tryConsume()) {
         break;
       }
-      await this.clock.sleep(backoffMs(turn, box.random));
+      await this.clock.sleep(backoffDelayMs(turn, box.random));
     }
     tally.failed += 1;
   }
@@ -274,39 +279,39 @@
     box: BoxState,
     demand: Demand,
     deadline: number,
-    avoid: ReadonlySet<string>,
-  ): Promise<Place | undefined> {
-    const placed = await box.router.acquire({
-      avoid,
+    triedUpstreams: ReadonlySet<string>,
+  ): Promise<UpstreamSlot | undefined> {
+    const acquired = await box.router.acquire({
+      triedUpstreams,
       cost: demand.tokens,
       deadline,
-      prefix: demand.prefix,
+      blockHashes: demand.prefix,
       priority: demand.priority,
       team: demand.team,
       weight: 1,
     });
-    return placed.isOk() ? placed.value : undefined;
+    return acquired.isOk() ? acquired.value : undefined;
   }
 
   private async runHedged(
     box: BoxState,
     demand: Demand,
-    place: Place,
+    slot: UpstreamSlot,
     avoid: Set<string>,
     started: number,
   ): Promise<boolean> {
-    const first = this.runOn(box, demand, place, avoid, started);
+    const first = this.runOn(box, demand, slot, avoid, started);
     if (!this.decisions.hedges) {
       return first.whole;
     }
     const slow = await Promise.race([
       first.begun.then(() => false),
-      this.clock.sleep(Math.min(box.hedge.afterMs, 1e9)).then(() => true),
+      this.clock.sleep(Math.min(box.hedge.delayMs, 1e9)).then(() => true),
     ]);
-    if (!slow || !box.hedge.spend()) {
+    if (!slow || !box.hedge.tryConsume()) {
       return first.whole;
     }
-    avoid.add(place.upstream.name);
+    avoid.add(slot.upstream.name);
     const second = await this.acquire(box, demand, this.clock.now() + 1, avoid);
     if (second === undefined) {
       return first.whole;
@@ -323,11 +328,11 @@
   private runOn(
     box: BoxState,
     demand: Demand,
-    place: Place,
+    slot: UpstreamSlot,
     avoid: Set<string>,
     started: number,
   ): {begun: Promise<boolean>; whole: Promise<boolean>; cancel: () => void} {
-    const engine = this.engineOf(place);
+    const engine = this.engineOf(slot);
     const sentAt = this.clock.now();
     let made = 0;
     let cancelled = false;
@@ -339,10 +344,10 @@
     let firstAt = 0;
     cancelEngine = engine.submit({
       onEnd: (good) => {
-        place[Symbol.dispose]();
+        slot[Symbol.dispose]();
         if (!good) {
-          place.failed();
-          avoid.add(place.upstream.name);
+          slot.recordFailure();
+          avoid.add(slot.upstream.name);
         }
         if (good && !cancelled) {
           this.noteWhole(firstAt - started, made);
@@ -353,9 +358,9 @@
       onFirstToken: () => {
         made = 1;
         firstAt = this.clock.now();
-        place.answered(firstAt - sentAt);
-        box.hedge.observe(firstAt - sentAt);
-        box.prefixes.learn(place.upstream.name, demand.prefix);
+        slot.recordFirstToken(firstAt - sentAt);
+        box.hedge.recordFirstToken(firstAt - sentAt);
+        box.prefixes.recordPrompt(slot.upstream.name, demand.prefix);
         begin(true);
       },
       onToken: (gap) => {
@@ -369,7 +374,7 @@
     const cancel = (): void => {
       cancelled = true;
       cancelEngine();
-      place[Symbol.dispose]();
+      slot[Symbol.dispose]();
       finish(false);
     };
     return {begun, cancel, whole};
@@ -383,8 +388,8 @@
     }
   }
 
-  private engineOf(place: Place): VirtualEngine {
-    const at = Number(place.upstream.name.slice('engine-'.length));
+  private engineOf(slot: UpstreamSlot): VirtualEngine {
+    const at = Number(slot.upstream.name.slice('engine-'.length));
     return this.engines[at] as VirtualEngine;
   }
 
@@ -400,11 +405,11 @@
         this.boxes.forEach(({router}, box) => {
           const upstream = router.upstreams[at];
           if (upstream !== undefined) {
-            upstream.othersInFlight = sum - (counts[box] ?? 0);
+            upstream.otherBoxesInFlight = sum - (counts[box] ?? 0);
           }
         });
       });
-      this.boxes.forEach(({router}) => router.serveWaiting());
+      this.boxes.forEach(({router}) => router.dispatchQueued());
     }
   }
 
@@ -420,7 +425,10 @@
           router.upstreams.forEach((upstream, at) => {
             const load = loads[at];
             if (load !== undefined) {
-              upstream.reportLoad({...load, at: this.clock.now()});
+              upstream.recordLoadReport({
+                ...load,
+                receivedAt: this.clock.now(),
+              });
             }
           });
         }
--- a/packages/puffinturn-daemon/src/Box.ts
+++ b/packages/puffinturn-daemon/src/Box.ts
@@ -12,15 +12,15 @@
  */
 import type {ResultAsync as Async, ResultAsync} from 'neverthrow';
 import {okAsync} from 'neverthrow';
-import {linkOfReplicas} from 'puffinturn-fleet';
+import {createReplicaLink} from 'puffinturn-fleet';
 import type {GatewayMetrics, UpstreamClient} from 'puffinturn-gateway';
 import {
-  CrashingRequests,
   Gateway,
-  Pools,
+  PoolRegistry,
+  RequestQuarantine,
   UpstreamPermits,
 } from 'puffinturn-gateway';
-import type {LedgerBreakage, SplitSide} from 'puffinturn-ledger';
+import type {LedgerBreakage, RegionSupply} from 'puffinturn-ledger';
 import {ControlClient, ControlService, Ledger} from 'puffinturn-ledger';
 import type {
   Disk,
@@ -32,7 +32,7 @@
 import {BoxMember, HeartbeatMonitor} from 'puffinturn-membership';
 import type {EngineClient} from 'puffinturn-orders';
 import {OrderController} from 'puffinturn-orders';
-import {NO_QUARANTINE} from 'puffinturn-quarantine';
+import {EMPTY_QUARANTINE} from 'puffinturn-quarantine';
 import type {FleetBox} from 'puffinturn-settings';
 import type {TimelineEvent} from 'puffinturn-timeline';
 import {EVENT_KIND, Timeline} from 'puffinturn-timeline';
@@ -66,13 +66,16 @@
   readonly random: Random;
   /** A name never given before. */
   readonly newName: () => string;
-  readonly keepAnswerMs: number;
-  readonly keepMarkedMs: number;
+  readonly responseRetentionMs: number;
+  readonly atMostOnceRetentionMs: number;
   readonly timing?: ReplicaTiming;
   readonly snapshotEvery?: number;
   readonly breakage?: BoxBreakage;
-  readonly split?: (home: SplitSide, other: SplitSide) => number;
-  readonly neverWait?: boolean;
+  readonly computeGrantTarget?: (
+    home: RegionSupply,
+    other: RegionSupply,
+  ) => number;
+  readonly disableAdmissionQueue?: boolean;
   readonly isListedGone?: (box: string) => boolean;
 }
 
@@ -92,8 +95,8 @@
   readonly timeline: Timeline;
   readonly client: ControlClient;
   readonly member: BoxMember;
-  readonly pools: Pools;
-  private readonly crashing: CrashingRequests;
+  readonly pools: PoolRegistry;
+  private readonly requestQuarantine: RequestQuarantine;
   private readonly permits: UpstreamPermits;
   readonly gateway: Gateway;
   private readonly tasks = new TaskGroup();
@@ -121,8 +124,8 @@
       region: self.region,
       relayBoxes: namesOf(region).filter((name) => name !== self.name),
     });
-    this.pools = new Pools(clock, random);
-    this.crashing = new CrashingRequests({
+    this.pools = new PoolRegistry(clock, random);
+    this.requestQuarantine = new RequestQuarantine({
       box: self.name,
       client: parts.client,
       clock,
@@ -133,21 +136,23 @@
       clock,
       control: this.client,
       controlBoxes,
-      crashes: () => this.crashing.telling(),
+      crashes: () => this.requestQuarantine.nextHeartbeatReport(),
       hall: self.hall,
-      inFlight: () => this.pools.inFlight(),
-      leaving: () => this.pools.leaving(),
+      inFlight: () => this.pools.inFlightCounts(),
+      leaving: () => this.pools.leavingUpstreamIds(),
       link,
       newIncarnation: parts.newName,
-      onNews: (news) => {
-        this.pools.adopt(this.member.config);
-        this.pools.adoptNews(news);
-        this.crashing.adopt(news.quarantine ?? NO_QUARANTINE);
+      onNews: (reply) => {
+        this.pools.applyConfig(this.member.config);
+        this.pools.applyHeartbeatReply(reply);
+        this.requestQuarantine.applyQuarantine(
+          reply.quarantine ?? EMPTY_QUARANTINE,
+        );
       },
       timeline,
     });
     this.permits = new UpstreamPermits({
-      areTogether: (hall, other) => regionOf(hall) === regionOf(other),
+      areInSameRegion: (hall, other) => regionOf(hall) === regionOf(other),
       clock,
       link,
       peers: place.boxes
@@ -159,18 +164,18 @@
     this.registrations.add(this.permits);
     this.gateway = new Gateway({
       box: self.name,
-      boxesOf: (name) =>
+      boxesInRegion: (name) =>
         namesOf(place.boxes.filter((box) => box.region === name)),
       client: parts.client,
       clock,
       control: this.client,
-      crashing: this.crashing,
-      keepAnswerMs: parts.keepAnswerMs,
-      keepMarkedMs: parts.keepMarkedMs,
+      requestQuarantine: this.requestQuarantine,
+      responseRetentionMs: parts.responseRetentionMs,
+      atMostOnceRetentionMs: parts.atMostOnceRetentionMs,
       link,
       member: this.member,
       metrics: parts.metrics,
-      newKey: parts.newName,
+      generateKey: parts.newName,
       permits: this.permits,
       pools: this.pools,
       random,
@@ -234,7 +239,7 @@
       this.control?.orders?.[Symbol.asyncDispose](),
       this.control?.replica[Symbol.asyncDispose](),
     ]);
-    await this.crashing[Symbol.asyncDispose]();
+    await this.requestQuarantine[Symbol.asyncDispose]();
     await this.tasks[Symbol.asyncDispose]();
   }
 }
@@ -251,7 +256,7 @@
   const {breakage, clock, disk, link, place, random} = parts;
   const primary = self.region === place.primaryRegion;
   const ledger = new Ledger(self.region, primary, breakage);
-  const {logLink, serve} = linkOfReplicas(link);
+  const {logLink, serve} = createReplicaLink(link);
   return Replica.open({
     box: self.name,
     clock,
@@ -305,8 +310,12 @@
         otherRegions: otherRegions(place, self.region),
         primaryRegion: place.primaryRegion,
         replica,
-        ...(parts.split === undefined ? {} : {split: parts.split}),
-        ...(parts.neverWait === undefined ? {} : {neverWait: parts.neverWait}),
+        ...(parts.computeGrantTarget === undefined
+          ? {}
+          : {computeGrantTarget: parts.computeGrantTarget}),
+        ...(parts.disableAdmissionQueue === undefined
+          ? {}
+          : {disableAdmissionQueue: parts.disableAdmissionQueue}),
       }),
     };
   });
--- a/packages/puffinturn-daemon/src/Daemon.ts
+++ b/packages/puffinturn-daemon/src/Daemon.ts
@@ -11,7 +11,7 @@
 import type {ResultAsync} from 'neverthrow';
 import {err, ok, okAsync, ResultAsync as Async, safeTry} from 'neverthrow';
 import {
-  callerHttp,
+  createCallerApp,
   GatewayMetrics,
   HttpUpstreamClient,
 } from 'puffinturn-gateway';
@@ -89,15 +89,19 @@
     const {box, clock, health, settings} = this.owned;
     const {drainNoticeMs, stopMs} = settings.limits;
     health.green = false;
-    this.log.info('stopping', {inFlight: box.gateway.busy});
+    this.log.info('stopping', {inFlight: box.gateway.inFlightCount});
     await box.prepareStop();
     await clock.sleep(drainNoticeMs, signal);
-    box.gateway.refuseNew();
+    box.gateway.rejectNewRequests();
     const end = clock.now() + stopMs;
-    while (box.gateway.busy > 0 && clock.now() < end && !signal.aborted) {
+    while (
+      box.gateway.inFlightCount > 0 &&
+      clock.now() < end &&
+      !signal.aborted
+    ) {
       await clock.sleep(STOP_POLL_MS, signal);
     }
-    const cut = box.gateway.busy;
+    const cut = box.gateway.inFlightCount;
     this.log.info('stopped', {cutOff: cut});
     return cut;
   }
@@ -135,7 +139,7 @@
   });
   const client = new HttpUpstreamClient();
   const metrics = new GatewayMetrics();
-  metrics.collectProcess();
+  metrics.collectProcessMetrics();
   const listed: {list: PlatformList | undefined} = {list: undefined};
   const box = yield* Box.start({
     client,
@@ -143,8 +147,8 @@
     disk,
     engines: new HttpEngineClient(),
     isListedGone: (name) => listed.list?.isGone(name) === true,
-    keepAnswerMs: limits.keepAnswerMs,
-    keepMarkedMs: limits.keepMarkedMs,
+    responseRetentionMs: limits.keepAnswerMs,
+    atMostOnceRetentionMs: limits.keepMarkedMs,
     link,
     metrics,
     newName: () => randomUUID(),
@@ -154,14 +158,14 @@
   const resources: AsyncDisposable[] = [disk, link, client];
   if (settings.platformList !== undefined) {
     listed.list = new PlatformList(settings.platformList, clock, (leaving) =>
-      box.pools.noteListed(leaving),
+      box.pools.setPlatformLeaving(leaving),
     );
     resources.push(listed.list);
   }
   const health = {green: true};
   const callers = yield* HttpServer.open(
-    callerHttp({
-      bodyBytes: limits.bodyBytes,
+    createCallerApp({
+      maxBodyBytes: limits.bodyBytes,
       gateway: box.gateway,
       isHealthy: () =>
         health.green && !box.member.config.isBoxDrained(settings.box),
--- a/packages/puffinturn-daemon/src/OperatorApi.ts
+++ b/packages/puffinturn-daemon/src/OperatorApi.ts
@@ -140,7 +140,7 @@
 
   private async ask(
     region: string,
-    request: Parameters<ControlClient['ask']>[0],
+    request: Parameters<ControlClient['call']>[0],
     timeoutMs = READ_TIMEOUT_MS,
   ): Promise<Result<ControlReply, OperatorFailure>> {
     const client = this.clients.get(region);
@@ -148,7 +148,7 @@
       const message = `there is no region ${region}`;
       return err({kind: 'unknown-region', message});
     }
-    const reply = await client.ask(request, timeoutMs, timeoutMs);
+    const reply = await client.call(request, timeoutMs, timeoutMs);
     return reply.mapErr(() => unreachable(region));
   }
 }
--- a/packages/puffinturn-edge/src/Edge.ts
+++ b/packages/puffinturn-edge/src/Edge.ts
@@ -17,22 +17,22 @@
 import type {
   BoxRecord,
   ConfigurationChange,
+  EdgeState,
   Evacuations,
   FleetConfiguration,
-  HandOver,
   Regions,
   Rollouts,
 } from 'puffinturn-fleet';
 import {
   applyChange,
+  EMPTY_ROLLOUTS,
   FleetWatch,
-  lifeOf,
+  incarnationIdOf,
   NO_EVACUATIONS,
-  NO_ROLLOUTS,
 } from 'puffinturn-fleet';
 import type {ColdTolerance} from 'puffinturn-permits';
-import {Permits} from 'puffinturn-permits';
-import {NO_QUARANTINE} from 'puffinturn-quarantine';
+import {PermitClient} from 'puffinturn-permits';
+import {EMPTY_QUARANTINE} from 'puffinturn-quarantine';
 import type {Link} from 'puffinturn-wire';
 import type {Clock, Random} from 'shared';
 
@@ -48,7 +48,7 @@
   RETRY_AFTER_UNAVAILABLE_S,
 } from './EdgeConstants';
 import {EdgeMetrics} from './EdgeMetrics';
-import {EdgeUpdates} from './EdgeUpdates';
+import {EdgeUpdateHandler} from './EdgeUpdateHandler';
 import {KnownBoxes} from './KnownBoxes';
 import {NeighbourRecovery} from './NeighbourRecovery';
 import {CrossRegionEpisodes} from './regions/CrossRegionEpisodes';
@@ -128,7 +128,7 @@
   private readonly fleetWatch: FleetWatch;
   private readonly neighbourRecovery: NeighbourRecovery;
   private readonly withdrawal: OverloadWithdrawal;
-  private readonly permits: Permits;
+  private readonly permits: PermitClient;
   private readonly limitReporter: LimitReporter;
   private readonly forwarderParts: RequestForwarderParts;
   private readonly listeners: HttpListener[] = [];
@@ -171,11 +171,11 @@
       metrics: this.metrics,
     });
     this.fleetWatch = new FleetWatch({
-      askedAtOnce: MAX_POLLED_CONTROL_BOXES,
+      maxPolledControls: MAX_POLLED_CONTROL_BOXES,
       clock,
       link,
       log,
-      news: new EdgeUpdates(this),
+      updateHandler: new EdgeUpdateHandler(this),
       regions,
       seeds: parts.seeds,
       self,
@@ -185,7 +185,7 @@
       clock,
       controlBoxes: () => this.controlBoxes(),
       hall: self.hall,
-      incarnationId: lifeOf(self),
+      incarnationId: incarnationIdOf(self),
       link,
       log,
       peers: () => this.knownBoxes.peers,
@@ -196,7 +196,7 @@
       clock,
       controlBoxes: () => this.controlBoxes(),
       exposureController: this.exposureController,
-      incarnationId: lifeOf(self),
+      incarnationId: incarnationIdOf(self),
       link,
     });
     this.responseTotals = new ResponseTotals(clock, log, () =>
@@ -206,7 +206,7 @@
     this.neighbourRecovery = new NeighbourRecovery({
       clock,
       otherEdges: () => this.knownBoxes.peers,
-      isControlReachable: () => this.fleetWatch.inTouch,
+      isControlReachable: () => this.fleetWatch.isConnected,
       link,
       needsState: () => this.needsState,
       regions,
@@ -231,15 +231,15 @@
       pool: this.pool,
       watch: this.fleetWatch,
     });
-    this.permits = new Permits({
-      areTogether: (hall, other) => regions.areTogether(hall, other),
+    this.permits = new PermitClient({
+      areInSameRegion: (hall, other) => regions.areInSameRegion(hall, other),
       clock,
       coldTolerance: parts.coldTolerance,
-      learnLimit: (id, limit, source) =>
-        this.pool.learnLimit(id, limit, source),
+      mergeLimit: (id, limit, source) =>
+        this.pool.mergeLimit(id, limit, source),
       limitOf: (id) => this.pool.limitOf(id),
       link,
-      onCount: (count) => log.note({...count, event: 'permits-counted'}),
+      onCounts: (count) => log.note({...count, event: 'permits-counted'}),
       peers: () => this.knownBoxes.peers,
       self,
     });
@@ -334,9 +334,9 @@
     const isPastFallback =
       this.parts.clock.now() - this.startedAt > READY_FALLBACK_MS;
     return (
-      this.fleetWatch.current ||
-      (this.hasHandover && !this.fleetWatch.inTouch) ||
-      (isPastFallback && this.fleetWatch.answered > 0)
+      this.fleetWatch.isCurrent ||
+      (this.hasHandover && !this.fleetWatch.isConnected) ||
+      (isPastFallback && this.fleetWatch.respondedCount > 0)
     );
   }
 
@@ -449,13 +449,13 @@
     const elapsedMs = this.parts.clock.now() - this.startedAt;
     return (
       this.routeTable === undefined &&
-      this.fleetWatch.answered === 0 &&
+      this.fleetWatch.respondedCount === 0 &&
       elapsedMs > HANDOVER_DELAY_MS &&
       !this.isStopping
     );
   }
 
-  private handoverState(): HandOver | undefined {
+  private handoverState(): EdgeState | undefined {
     const configuration = this.routeTable?.configuration;
     return configuration === undefined
       ? undefined
@@ -469,23 +469,27 @@
         };
   }
 
-  private applyHandover(handover: HandOver, source: string): void {
+  private applyHandover(handover: EdgeState, source: string): void {
     this.updateBoxes(handover.boxes);
-    this.fleetWatch.learn(handover.boxes);
-    this.applyRollouts(handover.rollouts ?? NO_ROLLOUTS, source);
+    this.fleetWatch.addControls(handover.boxes);
+    this.applyRollouts(handover.rollouts ?? EMPTY_ROLLOUTS, source);
     this.pool.merge(handover.upstreams, source);
     this.applyConfiguration(handover.configuration, source);
     this.applyEvacuations(handover.evacuations ?? NO_EVACUATIONS, source);
-    this.quarantine.adopt(handover.quarantine ?? NO_QUARANTINE, source);
+    this.quarantine.adopt(handover.quarantine ?? EMPTY_QUARANTINE, source);
     this.hasHandover = true;
   }
 
   /** Control boxes in the order in which they are tried, the leader first. */
   private controlBoxes(): string[] {
-    const {controls, leader} = this.fleetWatch;
-    return leader === undefined || !controls.includes(leader)
-      ? controls
-      : [leader, ...controls.filter((box) => box !== leader)];
+    const {controlAddresses, leaderAddress} = this.fleetWatch;
+    return leaderAddress === undefined ||
+      !controlAddresses.includes(leaderAddress)
+      ? controlAddresses
+      : [
+          leaderAddress,
+          ...controlAddresses.filter((box) => box !== leaderAddress),
+        ];
   }
 
   private handleRequest(
@@ -589,7 +593,7 @@
     crossRegionCallBytes.set(this.knownBoxes.crossRegionBytes);
     limitedUpstreams.set(this.pool.limitedUpstreamCount);
     backlogAge.set((this.backlogMonitor?.queueAgeMs ?? 0) / 1_000);
-    controlReachable.set(this.fleetWatch.inTouch ? 1 : 0);
+    controlReachable.set(this.fleetWatch.isConnected ? 1 : 0);
     for (const tokens of this.allowances.status()) {
       const {held, reserved, team} = tokens;
       charged.set({team}, tokens.charged);
--- a/packages/puffinturn-edge/src/EdgeUpdates.ts
+++ b/packages/puffinturn-edge/src/EdgeUpdateHandler.ts
@@ -14,13 +14,13 @@
   Rollouts,
   UpstreamRecord,
 } from 'puffinturn-fleet';
-import {FleetNews} from 'puffinturn-fleet';
+import {FleetUpdateHandler} from 'puffinturn-fleet';
 import type {Quarantine} from 'puffinturn-quarantine';
 
 import type {Edge} from './Edge';
 
 /** Adapts an edge to the interface for fleet updates. */
-export class EdgeUpdates extends FleetNews {
+export class EdgeUpdateHandler extends FleetUpdateHandler {
   constructor(private readonly edge: Edge) {
     super();
   }
@@ -29,14 +29,14 @@
     return this.edge.configurationVersion;
   }
 
-  override configuration(
+  override onConfiguration(
     configuration: FleetConfiguration,
     source: string,
   ): void {
     this.edge.applyConfiguration(configuration, source);
   }
 
-  override configurationChange(
+  override onConfigurationChange(
     change: ConfigurationChange,
     source: string,
   ): void {
@@ -47,7 +47,7 @@
     return this.edge.pool.evacuations.revision;
   }
 
-  override evacuations(evacuations: Evacuations, source: string): void {
+  override onEvacuations(evacuations: Evacuations, source: string): void {
     this.edge.applyEvacuations(evacuations, source);
   }
 
@@ -55,7 +55,7 @@
     return this.edge.rolloutRevision;
   }
 
-  override rollouts(rollouts: Rollouts, source: string): void {
+  override onRollouts(rollouts: Rollouts, source: string): void {
     this.edge.applyRollouts(rollouts, source);
   }
 
@@ -63,15 +63,18 @@
     return this.edge.quarantine.current.revision;
   }
 
-  override quarantine(quarantine: Quarantine, source: string): void {
+  override onQuarantine(quarantine: Quarantine, source: string): void {
     this.edge.quarantine.adopt(quarantine, source);
   }
 
-  override upstreams(records: readonly UpstreamRecord[], source: string): void {
+  override onUpstreams(
+    records: readonly UpstreamRecord[],
+    source: string,
+  ): void {
     this.edge.pool.merge(records, source);
   }
 
-  override boxes(records: readonly BoxRecord[]): void {
+  override onBoxes(records: readonly BoxRecord[]): void {
     this.edge.updateBoxes(records);
   }
 }
--- a/packages/puffinturn-edge/src/KnownBoxes.ts
+++ b/packages/puffinturn-edge/src/KnownBoxes.ts
@@ -70,6 +70,6 @@
 
   private isInOwnRegion(hall: string): boolean {
     const {regions, self} = this.parts;
-    return regions.areTogether(self.hall, hall);
+    return regions.areInSameRegion(self.hall, hall);
   }
 }
--- a/packages/puffinturn-edge/src/NeighbourRecovery.ts
+++ b/packages/puffinturn-edge/src/NeighbourRecovery.ts
@@ -12,7 +12,12 @@
  * list of boxes to a successor that has no state. The cost per edge does not depend on
  * the number of edges.
  */
-import type {BoxRecord, GreetReply, HandOver, Regions} from 'puffinturn-fleet';
+import type {
+  BoxRecord,
+  EdgeState,
+  Regions,
+  StateNeededReply,
+} from 'puffinturn-fleet';
 import {FLEET_SERVICE} from 'puffinturn-fleet';
 import type {Link} from 'puffinturn-wire';
 import type {Clock} from 'shared';
@@ -49,9 +54,9 @@
   /** Whether this edge has no configuration and can't reach the control plane. */
   readonly needsState: () => boolean;
   /** The state to send to an edge that has none; undefined if this edge has none. */
-  readonly getState: () => HandOver | undefined;
+  readonly getState: () => EdgeState | undefined;
   /** Applies the state received from another edge. */
-  readonly applyState: (handover: HandOver, source: string) => void;
+  readonly applyState: (handover: EdgeState, source: string) => void;
 }
 
 /** Probes the successors in the ring, and serves the probes of other edges. */
@@ -62,14 +67,17 @@
   constructor(private readonly parts: NeighbourRecoveryParts) {
     const {link, needsState, applyState} = parts;
     this.handlers.add(
-      link.register(FLEET_SERVICE.greet, async (): Promise<GreetReply> => ({
-        needsState: needsState(),
-      })),
+      link.register(
+        FLEET_SERVICE.checkStateNeeded,
+        async (): Promise<StateNeededReply> => ({
+          needsState: needsState(),
+        }),
+      ),
     );
     this.handlers.add(
-      link.register(FLEET_SERVICE.handOver, async (body, from) => {
+      link.register(FLEET_SERVICE.sendState, async (body, from) => {
         if (needsState()) {
-          applyState(body as HandOver, from);
+          applyState(body as EdgeState, from);
         }
         return null;
       }),
@@ -106,7 +114,7 @@
     const {link, getState} = this.parts;
     const reply = await link.call(
       box,
-      FLEET_SERVICE.greet,
+      FLEET_SERVICE.checkStateNeeded,
       null,
       PROBE_TIMEOUT_MS,
     );
@@ -114,10 +122,10 @@
     if (reply.isErr() || handover === undefined) {
       return;
     }
-    if ((reply.value as GreetReply).needsState) {
+    if ((reply.value as StateNeededReply).needsState) {
       await link.call(
         box,
-        FLEET_SERVICE.handOver,
+        FLEET_SERVICE.sendState,
         handover,
         HANDOVER_TIMEOUT_MS,
       );
@@ -144,6 +152,6 @@
 
 /** Sort key that orders edges by region, hall and box. */
 function ringKey({box, hall}: BoxRecord, regions: Regions): string {
-  const region = regions.several ? `${regions.regionOf(hall)} ` : '';
+  const region = regions.hasMultipleRegions ? `${regions.regionOf(hall)} ` : '';
   return `${region}${hall} ${box}`;
 }
--- a/packages/puffinturn-edge/src/WakeRefresh.ts
+++ b/packages/puffinturn-edge/src/WakeRefresh.ts
@@ -10,8 +10,8 @@
  * dead and the state outdated, so requests wait until the control plane has confirmed
  * the current state or a timeout expires.
  */
-import type {FleetWatch, WakeUpParts} from 'puffinturn-fleet';
-import {wakeUp} from 'puffinturn-fleet';
+import type {FleetWatch, SuspensionRecoveryParts} from 'puffinturn-fleet';
+import {recoverFromSuspension} from 'puffinturn-fleet';
 import type {Clock} from 'shared';
 import {SuspensionWatch} from 'shared';
 
@@ -27,7 +27,7 @@
 const REFRESH_POLL_MS = 10;
 
 /** Dependencies of WakeRefresh. */
-export interface WakeRefreshParts extends WakeUpParts {
+export interface WakeRefreshParts extends SuspensionRecoveryParts {
   readonly clock: Clock;
   readonly pool: UpstreamPool;
   readonly watch: FleetWatch;
@@ -59,8 +59,8 @@
   private startRefresh(missedMs: number): void {
     const {onWake, pool, watch} = this.parts;
     onWake();
-    watch.distrust();
-    wakeUp(this.parts, missedMs);
+    watch.invalidate();
+    recoverFromSuspension(this.parts, missedMs);
     pool.closeIdleConnections();
     this.refreshing ??= this.waitUntilCurrent().finally(
       () => (this.refreshing = undefined),
@@ -70,7 +70,7 @@
   private async waitUntilCurrent(): Promise<void> {
     const {clock, watch} = this.parts;
     const deadline = clock.now() + REFRESH_TIMEOUT_MS;
-    while (!watch.current && clock.now() < deadline) {
+    while (!watch.isCurrent && clock.now() < deadline) {
       await clock.sleep(REFRESH_POLL_MS);
     }
   }
--- a/packages/puffinturn-edge/src/__tests__/unit/Allowances.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/Allowances.test.ts
@@ -163,7 +163,7 @@
     );
     edge.settle('t', 300, 200);
     await fleet.advanceUntilSettled(edge.close());
-    expect(fleet.machine.grantedTo('t')).toBe(200);
+    expect(fleet.machine.grantedTokens('t')).toBe(200);
   });
 
   test('give all free tokens to another edge on close if the core is unreachable', async () => {
@@ -271,7 +271,7 @@
         const pending = new Promise(() => undefined);
         fleet.network
           .connect(other)
-          .register(FLEET_SERVICE.borrow, () => pending);
+          .register(FLEET_SERVICE.borrowTokens, () => pending);
       }
       const edge = await fleet.start(name, unresponsive);
       let outcome: ReserveOutcome | undefined;
@@ -329,7 +329,7 @@
         team: TEAM,
         want: before + 500,
       };
-      const call = link.call('a1', FLEET_SERVICE.borrow, request, 2_000);
+      const call = link.call('a1', FLEET_SERVICE.borrowTokens, request, 2_000);
       const answer = await fleet.advanceUntilSettled(Promise.resolve(call));
       const {given} = answer._unsafeUnwrap() as BorrowReply;
       expect(given).toBeLessThanOrEqual(before);
@@ -353,8 +353,8 @@
     );
     fleet.network.heal();
     await fleet.clock.advance(6_000);
-    expect(fleet.machine.grantedTo('t')).toBeGreaterThanOrEqual(totalHeld);
-    const coreRemaining = 10_000 - fleet.machine.grantedTo('t');
+    expect(fleet.machine.grantedTokens('t')).toBeGreaterThanOrEqual(totalHeld);
+    const coreRemaining = 10_000 - fleet.machine.grantedTokens('t');
     expect(heldTokens(edge) + heldTokens(other) + coreRemaining).toBe(10_000);
   });
 
--- a/packages/puffinturn-edge/src/__tests__/unit/EdgeRollouts.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/EdgeRollouts.test.ts
@@ -161,8 +161,10 @@
     expect(ownedEdge.edge).toBe(edge);
     const handOvers: unknown[] = [];
     const link = network.connect('e2');
-    link.register(FLEET_SERVICE.greet, async () => ({needsState: true}));
-    link.register(FLEET_SERVICE.handOver, async (body) => {
+    link.register(FLEET_SERVICE.checkStateNeeded, async () => ({
+      needsState: true,
+    }));
+    link.register(FLEET_SERVICE.sendState, async (body) => {
       handOvers.push(body);
       return {};
     });
--- a/packages/puffinturn-edge/src/__tests__/unit/ExposureController.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ExposureController.test.ts
@@ -8,10 +8,10 @@
 import {KeptDecisionLog} from 'puffinturn-decisions';
 import type {Rollouts, RolloutState, UpstreamRecord} from 'puffinturn-fleet';
 import {
-  NO_ROLLOUTS,
+  EMPTY_ROLLOUTS,
   Regions,
-  REPETITION,
-  UNNAMED_VERSION,
+  RETRY_POLICY,
+  UNKNOWN_VERSION,
   UPSTREAM_STATE,
 } from 'puffinturn-fleet';
 import {ManualClock, Random} from 'shared';
@@ -179,7 +179,7 @@
     );
     const {exposureController, sendRequests} = startEdge(unnamed);
     const services = [
-      {rollout: undefined, service: 's', stableVersion: UNNAMED_VERSION},
+      {rollout: undefined, service: 's', stableVersion: UNKNOWN_VERSION},
     ];
     exposureController.adopt({revision: 1, services}, 'c1');
     expect([...(await sendRequests(30)).keys()]).not.toContain(undefined);
@@ -313,7 +313,7 @@
       startEdge(BOTH_VERSIONS);
     exposureController.adopt(rolloutsOf(5, 'rolled-back'), 'c1');
     exposureController.adopt(rolloutsOf(4, 'exposing'), 'c2');
-    exposureController.adopt(NO_ROLLOUTS, 'e2');
+    exposureController.adopt(EMPTY_ROLLOUTS, 'e2');
     applyGrant(50);
     expect(await servedVersions(400)).toEqual(['v1']);
     const adopted = log.lines.filter(({event}) => event === 'rollouts-adopted');
@@ -428,7 +428,7 @@
 describe('Requests during a rollout', () => {
   const ROUTES = [
     createRoute('look'),
-    createRoute('order', {repetition: REPETITION.never}),
+    createRoute('order', {repetition: RETRY_POLICY.never}),
   ];
 
   /** An edge with one upstream of each version. */
--- a/packages/puffinturn-edge/src/__tests__/unit/NeighbourRecovery.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/NeighbourRecovery.test.ts
@@ -6,7 +6,7 @@
  */
 
 /** Guards against edges without state after a restart during a control plane outage. */
-import type {BoxRecord, HandOver} from 'puffinturn-fleet';
+import type {BoxRecord, EdgeState} from 'puffinturn-fleet';
 import {BOX_ROLE, NO_EVACUATIONS, Regions} from 'puffinturn-fleet';
 import {MemoryNetwork} from 'puffinturn-wire';
 import {ManualClock, Random} from 'shared';
@@ -18,7 +18,7 @@
   return {box, hall: 'z', incarnation: '1', role: BOX_ROLE.edge};
 }
 
-const STATE: HandOver = {
+const STATE: EdgeState = {
   boxes: ['a', 'b', 'c', 'd'].map(edgeRecord),
   configuration: makeConfiguration(4),
   evacuations: NO_EVACUATIONS,
@@ -31,7 +31,7 @@
   readonly network = new MemoryNetwork(this.clock, new Random(5));
   readonly handovers: string[] = [];
 
-  start(box: string, state: HandOver | undefined): void {
+  start(box: string, state: EdgeState | undefined): void {
     let current = state;
     const others = STATE.boxes.filter((other) => other.box !== box);
     new NeighbourRecovery({
--- a/packages/puffinturn-edge/src/__tests__/unit/NeighbourRecoveryInRegions.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/NeighbourRecoveryInRegions.test.ts
@@ -7,7 +7,7 @@
 
 // Guards against neighbours that greet across regions without need, and against a
 // region that cannot recover its state. Hall names alternate between the regions.
-import type {BoxRecord, HandOver} from 'puffinturn-fleet';
+import type {BoxRecord, EdgeState} from 'puffinturn-fleet';
 import {
   BOX_ROLE,
   FLEET_SERVICE,
@@ -29,7 +29,7 @@
     role: BOX_ROLE.edge,
   })),
 );
-const STATE: HandOver = {
+const STATE: EdgeState = {
   boxes: EDGES,
   configuration: makeConfiguration(4),
   evacuations: NO_EVACUATIONS,
@@ -42,9 +42,9 @@
   readonly regions = new Regions(HALLS);
   /** Distinct `sender>receiver` pairs. */
   readonly greetings = new Set<string>();
-  private readonly states = new Map<string, HandOver>();
+  private readonly states = new Map<string, EdgeState>();
 
-  start(self: BoxRecord, state: HandOver | undefined): void {
+  start(self: BoxRecord, state: EdgeState | undefined): void {
     const {box} = self;
     const link = this.network.connect(box);
     const others = EDGES.filter((other) => other.box !== box);
@@ -60,9 +60,9 @@
       regions: this.regions,
       self,
       getState: () => this.states.get(box),
-      applyState: (handOver) => void this.states.set(box, handOver),
+      applyState: (state) => void this.states.set(box, state),
     });
-    link.register(FLEET_SERVICE.greet, async (_, from) => {
+    link.register(FLEET_SERVICE.checkStateNeeded, async (_, from) => {
       this.greetings.add(`${from}>${box}`);
       return {needsState: !this.hasState(box)};
     });
@@ -76,7 +76,7 @@
   get crossRegionGreetings(): number {
     const pairs = [...this.greetings].filter((pair) => {
       const [from = '', to = ''] = pair.split('>');
-      return !this.regions.areTogether(from.slice(0, 1), to.slice(0, 1));
+      return !this.regions.areInSameRegion(from.slice(0, 1), to.slice(0, 1));
     });
     return pairs.length;
   }
--- a/packages/puffinturn-edge/src/__tests__/unit/RequestQuarantine.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/RequestQuarantine.test.ts
@@ -9,8 +9,8 @@
 import type {ResultAsync} from 'neverthrow';
 import {errAsync, okAsync} from 'neverthrow';
 import {KeptDecisionLog} from 'puffinturn-decisions';
-import type {CrashRequest} from 'puffinturn-fleet';
-import {NO_QUARANTINE} from 'puffinturn-quarantine';
+import type {CrashReportRequest} from 'puffinturn-fleet';
+import {EMPTY_QUARANTINE} from 'puffinturn-quarantine';
 import type {LinkFailure} from 'puffinturn-wire';
 import {Link} from 'puffinturn-wire';
 import {ManualClock, settleTasks} from 'shared';
@@ -21,7 +21,7 @@
 
 /** Control boxes that accept reports, lose their replies or are unreachable. */
 class ReportLink extends Link {
-  readonly received: CrashRequest[] = [];
+  readonly received: CrashReportRequest[] = [];
   isCut = false;
   losesReplies = false;
 
@@ -31,7 +31,7 @@
     body: unknown,
   ): ResultAsync<unknown, LinkFailure> {
     if (!this.isCut) {
-      this.received.push(body as CrashRequest);
+      this.received.push(body as CrashReportRequest);
     }
     return this.isCut || this.losesReplies
       ? errAsync({kind: 'not-sent', message: 'cut'})
@@ -160,7 +160,7 @@
       },
       'c2',
     );
-    quarantine.adopt(NO_QUARANTINE, 'c2');
+    quarantine.adopt(EMPTY_QUARANTINE, 'c2');
     expect(quarantine.isQuarantined('g')).toBe(true);
     expect(quarantine.isEmpty).toBe(false);
     const line = log.lines.find(({event}) => event === 'quarantine-adopted');
--- a/packages/puffinturn-edge/src/__tests__/unit/ResponseRetry.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ResponseRetry.test.ts
@@ -8,7 +8,7 @@
 /** Guards against mixing the responses of two attempts, and against leaked connections. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
-import {REPETITION} from 'puffinturn-fleet';
+import {RETRY_POLICY} from 'puffinturn-fleet';
 import {Random} from 'shared';
 
 import {MAX_BUFFERED_RESPONSE_BYTES} from '../../EdgeConstants';
@@ -29,7 +29,7 @@
 
 const STREAM_ROUTE = createRoute('stream', {
   maxAttempts: 2,
-  repetition: REPETITION.resumable,
+  repetition: RETRY_POLICY.resumable,
   streams: true,
 });
 const LOOKUP_ROUTE = createRoute('look', {maxAttempts: 2});
--- a/packages/puffinturn-edge/src/__tests__/unit/RouteTable.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/RouteTable.test.ts
@@ -7,7 +7,7 @@
 
 /** Guards against requests that get the wrong route, service, team or regions. */
 import type {Route} from 'puffinturn-fleet';
-import {REPETITION} from 'puffinturn-fleet';
+import {RETRY_POLICY} from 'puffinturn-fleet';
 
 import {RouteTable} from '../../index';
 import {makeConfiguration} from '../utils/EdgeFixture';
@@ -21,7 +21,7 @@
     objectiveMs: 1,
     pathPrefix,
     priority: 0,
-    repetition: REPETITION.never,
+    repetition: RETRY_POLICY.never,
     streams: false,
     targets: weights.map((weight, at) => ({service: `s${at}`, weight})),
     timeoutMs: 1,
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamCrashes.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamCrashes.test.ts
@@ -12,7 +12,11 @@
 import {KeptDecisionLog} from 'puffinturn-decisions';
 import {UPSTREAM_STATE} from 'puffinturn-fleet';
 import type {Crash, ListenerState} from 'puffinturn-quarantine';
-import {CrashWatch, LISTENER, probeListener} from 'puffinturn-quarantine';
+import {
+  CrashDetector,
+  LISTENER_STATE,
+  probeListener,
+} from 'puffinturn-quarantine';
 import {ManualClock, settleTasks} from 'shared';
 
 import type {EdgeUpstream} from '../../upstreams/EdgeUpstream';
@@ -22,7 +26,7 @@
 
 const RECORD = makeUpstream('i-1', {bornAt: 1_000});
 
-function createWatch(state: ListenerState) {
+function createCrashDetector(state: ListenerState) {
   const clock = new ManualClock();
   const pool = new UpstreamPool(clock, new KeptDecisionLog());
   pool.merge([RECORD], 'c1');
@@ -32,9 +36,9 @@
   }
   const crashes: Crash[] = [];
   let probes = 0;
-  const watch = new CrashWatch<EdgeUpstream>({
+  const crashDetector = new CrashDetector<EdgeUpstream>({
     clock,
-    crashed: (crash) => crashes.push(crash),
+    onCrash: (crash) => crashes.push(crash),
     probe: async () => {
       probes += 1;
       return state;
@@ -46,25 +50,27 @@
     await settleTasks();
     return {crashes, probes};
   }
-  return {runProbe, pool, upstream, watch};
+  return {runProbe, pool, upstream, crashDetector};
 }
 
 describe('Crash detection', () => {
   test('reports one crash with all requests that were in flight', async () => {
-    const {runProbe, upstream, watch} = createWatch(LISTENER.refused);
-    watch.broke(upstream, 'f1');
-    watch.broke(upstream, 'f2');
-    watch.broke(upstream, 'f1');
+    const {runProbe, upstream, crashDetector} = createCrashDetector(
+      LISTENER_STATE.refused,
+    );
+    crashDetector.recordFailure(upstream, 'f1');
+    crashDetector.recordFailure(upstream, 'f2');
+    crashDetector.recordFailure(upstream, 'f1');
     const {crashes, probes} = await runProbe();
     expect(probes).toBe(1);
     expect(crashes).toEqual([{fingerprints: ['f1', 'f2'], life: 'i-1 1000'}]);
   });
 
-  test.each([LISTENER.listens, LISTENER.unknown])(
+  test.each([LISTENER_STATE.listening, LISTENER_STATE.unknown])(
     'reports no crash if the probe returns %s',
     async (state) => {
-      const {runProbe, upstream, watch} = createWatch(state);
-      watch.broke(upstream, 'f1');
+      const {runProbe, upstream, crashDetector} = createCrashDetector(state);
+      crashDetector.recordFailure(upstream, 'f1');
       expect((await runProbe()).crashes).toEqual([]);
     },
   );
@@ -72,16 +78,20 @@
   test.each([UPSTREAM_STATE.draining, UPSTREAM_STATE.gone])(
     'reports no crash of an upstream that is %s',
     async (state) => {
-      const {runProbe, pool, upstream, watch} = createWatch(LISTENER.refused);
+      const {runProbe, pool, upstream, crashDetector} = createCrashDetector(
+        LISTENER_STATE.refused,
+      );
       pool.merge([{...RECORD, sequence: 2, state}], 'c1');
-      watch.broke(upstream, 'f1');
+      crashDetector.recordFailure(upstream, 'f1');
       expect((await runProbe()).crashes).toEqual([]);
     },
   );
 
   test('reports a crash if the next incarnation is announced before the probe', async () => {
-    const {runProbe, pool, upstream, watch} = createWatch(LISTENER.listens);
-    watch.broke(upstream, 'f1');
+    const {runProbe, pool, upstream, crashDetector} = createCrashDetector(
+      LISTENER_STATE.listening,
+    );
+    crashDetector.recordFailure(upstream, 'f1');
     pool.merge([{...RECORD, bornAt: 2_000, sequence: 1}], 'c1');
     expect((await runProbe()).crashes).toEqual([
       {fingerprints: ['f1'], life: 'i-1 1000'},
@@ -91,8 +101,12 @@
   test('probes the listener by connecting to it', async () => {
     const listening = await TestUpstream.start('i-2');
     const [host = '', port = '0'] = listening.address.split(':');
-    expect(await probeListener(host, Number(port))).toBe(LISTENER.listens);
+    expect(await probeListener(host, Number(port))).toBe(
+      LISTENER_STATE.listening,
+    );
     await listening[Symbol.asyncDispose]();
-    expect(await probeListener(host, Number(port))).toBe(LISTENER.refused);
+    expect(await probeListener(host, Number(port))).toBe(
+      LISTENER_STATE.refused,
+    );
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamIncarnations.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamIncarnations.test.ts
@@ -12,7 +12,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
 import {SilentDecisionLog} from 'puffinturn-decisions';
-import {REPETITION, UPSTREAM_STATE} from 'puffinturn-fleet';
+import {RETRY_POLICY, UPSTREAM_STATE} from 'puffinturn-fleet';
 import {ManualClock} from 'shared';
 
 import {UpstreamPool} from '../../upstreams/UpstreamPool';
@@ -26,8 +26,8 @@
 
 const ROUTES = [
   createRoute('look'),
-  createRoute('order', {repetition: REPETITION.never}),
-  createRoute('chat', {repetition: REPETITION.resumable, streams: true}),
+  createRoute('order', {repetition: RETRY_POLICY.never}),
+  createRoute('chat', {repetition: RETRY_POLICY.resumable, streams: true}),
 ];
 
 /** Keeps the request open without responding. */
--- a/packages/puffinturn-edge/src/__tests__/utils/Admissions.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/Admissions.ts
@@ -9,7 +9,7 @@
 import type {BoxRecord} from 'puffinturn-fleet';
 import {BOX_ROLE} from 'puffinturn-fleet';
 import type {ColdTolerance} from 'puffinturn-permits';
-import {NO_LIMIT, Permits} from 'puffinturn-permits';
+import {NO_LIMIT, PermitClient} from 'puffinturn-permits';
 import type {MemoryNetwork} from 'puffinturn-wire';
 import type {Clock} from 'shared';
 
@@ -37,11 +37,11 @@
 /** Creates the admission used in production, which is based on permits. */
 export const createPermitAdmission: AdmissionFactory = (edge) => {
   const {box, clock, network, peers, tolerance, findUpstream} = edge;
-  const permits = new Permits({
-    areTogether: () => true,
+  const permits = new PermitClient({
+    areInSameRegion: () => true,
     clock,
     coldTolerance: tolerance,
-    learnLimit: (id, limit) => void findUpstream(id)?.limits.learn(limit),
+    mergeLimit: (id, limit) => void findUpstream(id)?.limits.merge(limit),
     limitOf: (id) => findUpstream(id)?.limits.limit ?? NO_LIMIT,
     link: network.connect(box),
     peers,
--- a/packages/puffinturn-edge/src/__tests__/utils/ForwardingFixture.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/ForwardingFixture.ts
@@ -11,9 +11,9 @@
 
 import {KeptDecisionLog} from 'puffinturn-decisions';
 import type {Route, UpstreamRecord} from 'puffinturn-fleet';
-import {Regions, REPETITION} from 'puffinturn-fleet';
-import type {GrantingBox} from 'puffinturn-permits';
-import {Permits} from 'puffinturn-permits';
+import {Regions, RETRY_POLICY} from 'puffinturn-fleet';
+import type {GranterCandidate} from 'puffinturn-permits';
+import {PermitClient} from 'puffinturn-permits';
 import type {Clock} from 'shared';
 import {Random, SystemClock} from 'shared';
 
@@ -44,8 +44,8 @@
 const HOST = '127.0.0.1';
 
 /** Identity of the edge under test, and its peers. */
-const SELF: GrantingBox = {box: 'e1', hall: 'a'};
-const NO_PEERS: readonly GrantingBox[] = [];
+const SELF: GranterCandidate = {box: 'e1', hall: 'a'};
+const NO_PEERS: readonly GranterCandidate[] = [];
 
 /** A protocol with fixed header names and without token accounting. */
 export class TestProtocol extends CallerProtocol {
@@ -89,7 +89,7 @@
     objectiveMs: 500,
     pathPrefix: `/${name}/`,
     priority: 0,
-    repetition: REPETITION.repeatable,
+    repetition: RETRY_POLICY.repeatable,
     streams: false,
     targets: [{service: 's', weight: 1}],
     timeoutMs: 20_000,
@@ -254,11 +254,11 @@
   /** Creates permits for a single edge without peers. */
   private createAdmission(): UpstreamAdmission {
     const {clock, pool} = this;
-    const permits = new Permits({
-      areTogether: () => true,
+    const permits = new PermitClient({
+      areInSameRegion: () => true,
       clock,
       coldTolerance: {extra: 0, overage: 1},
-      learnLimit: () => undefined,
+      mergeLimit: () => undefined,
       limitOf: (id) => pool.limitOf(id),
       link: new UnreachableLink(),
       peers: () => NO_PEERS,
--- a/packages/puffinturn-edge/src/__tests__/utils/LimitedFleet.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/LimitedFleet.ts
@@ -211,7 +211,7 @@
       this.firstLimitAt.set(id, this.firstLimitAt.get(id) ?? now);
       edge.limitKnownAt.set(id, edge.limitKnownAt.get(id) ?? now);
     }
-    if (edge.isUp && upstream.limits.hear(perSecond, sentAt)) {
+    if (edge.isUp && upstream.limits.recordLimit(perSecond, sentAt)) {
       edge.admission.shareLimit(upstream);
       void this.propagateLimit(upstream);
     }
@@ -225,7 +225,7 @@
     }
     await this.clock.sleep(PROPAGATION_MS);
     for (const {upstreams} of this.edges) {
-      upstreams.find((each) => each.id === id)?.limits.learn(limit);
+      upstreams.find((each) => each.id === id)?.limits.merge(limit);
     }
   }
 
--- a/packages/puffinturn-edge/src/__tests__/utils/RegionEdge.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/RegionEdge.ts
@@ -7,7 +7,7 @@
 
 import {KeptDecisionLog} from 'puffinturn-decisions';
 import type {Route, Service, Team} from 'puffinturn-fleet';
-import {Regions, REPETITION} from 'puffinturn-fleet';
+import {Regions, RETRY_POLICY} from 'puffinturn-fleet';
 import {ManualClock, Random} from 'shared';
 
 import type {PromptPart} from '../../callers/CallerProtocol';
@@ -69,7 +69,7 @@
   objectiveMs: 300,
   pathPrefix: '/',
   priority: 0,
-  repetition: REPETITION.repeatable,
+  repetition: RETRY_POLICY.repeatable,
   streams: false,
   targets: [{service: 's', weight: 1}],
   timeoutMs: 3_000,
--- a/packages/puffinturn-edge/src/__tests__/utils/TestEdge.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/TestEdge.ts
@@ -13,7 +13,7 @@
 import {errAsync} from 'neverthrow';
 import {KeptDecisionLog} from 'puffinturn-decisions';
 import type {FleetConfiguration, Route, Team} from 'puffinturn-fleet';
-import {BOX_ROLE, Regions, REPETITION} from 'puffinturn-fleet';
+import {BOX_ROLE, Regions, RETRY_POLICY} from 'puffinturn-fleet';
 import type {LinkFailure} from 'puffinturn-wire';
 import {Link} from 'puffinturn-wire';
 import type {Clock} from 'shared';
@@ -219,7 +219,7 @@
   objectiveMs: 300,
   pathPrefix: '/',
   priority: 0,
-  repetition: REPETITION.resumable,
+  repetition: RETRY_POLICY.resumable,
   streams: true,
   targets: [{service: 's', weight: 1}],
   timeoutMs: 5_000,
--- a/packages/puffinturn-edge/src/__tests__/utils/TokenFleet.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/TokenFleet.ts
@@ -15,7 +15,7 @@
   BOX_ROLE,
   FLEET_SERVICE,
   FleetMachine,
-  lifeOf,
+  incarnationIdOf,
   Regions,
 } from 'puffinturn-fleet';
 import {MemoryNetwork} from 'puffinturn-wire';
@@ -58,7 +58,7 @@
 
   /** Tokens that the core can still grant. */
   get coreRemaining(): number {
-    return this.prepaid - this.machine.grantedTo(TEAM);
+    return this.prepaid - this.machine.grantedTokens(TEAM);
   }
 
   /** Tokens held by all running edges. */
@@ -138,7 +138,7 @@
       clock: this.clock,
       controlBoxes: () => [CORE],
       hall: hallOf(box),
-      incarnationId: lifeOf({box, incarnation}),
+      incarnationId: incarnationIdOf({box, incarnation}),
       link: this.network.connect(box),
       log: new SilentDecisionLog(),
       peers: () => this.peers.get(box) ?? [],
@@ -188,7 +188,7 @@
   }
 
   private get prepaid(): number {
-    const [team] = this.machine.stored?.configuration.teams ?? [];
+    const [team] = this.machine.storedConfiguration?.configuration.teams ?? [];
     return team?.prepaidTokens ?? 0;
   }
 }
--- a/packages/puffinturn-edge/src/callers/OverloadWithdrawal.ts
+++ b/packages/puffinturn-edge/src/callers/OverloadWithdrawal.ts
@@ -12,7 +12,7 @@
  * withdrawals at a time, so that enough edges stay in service.
  */
 import type {DecisionLog} from 'puffinturn-decisions';
-import type {BoxRecord, StepAsideReply} from 'puffinturn-fleet';
+import type {BoxRecord, WithdrawalReply} from 'puffinturn-fleet';
 import {FLEET_SERVICE} from 'puffinturn-fleet';
 import type {Link} from 'puffinturn-wire';
 import type {Clock} from 'shared';
@@ -80,8 +80,8 @@
 
   constructor(private readonly parts: OverloadWithdrawalParts) {
     this.handler = parts.link.register(
-      FLEET_SERVICE.stepAside,
-      async (_, from): Promise<StepAsideReply> => ({
+      FLEET_SERVICE.requestWithdrawal,
+      async (_, from): Promise<WithdrawalReply> => ({
         agreed: this.approveWithdrawal(from),
       }),
     );
@@ -152,9 +152,9 @@
 
   private async requestApproval(box: string): Promise<boolean> {
     const {link} = this.parts;
-    const service = FLEET_SERVICE.stepAside;
+    const service = FLEET_SERVICE.requestWithdrawal;
     const reply = await link.call(box, service, null, APPROVAL_TIMEOUT_MS);
-    return reply.isOk() && (reply.value as StepAsideReply).agreed;
+    return reply.isOk() && (reply.value as WithdrawalReply).agreed;
   }
 
   /** Decides on another edge's request; an overloaded edge approves none. */
--- a/packages/puffinturn-edge/src/regions/RegionLinkBudget.ts
+++ b/packages/puffinturn-edge/src/regions/RegionLinkBudget.ts
@@ -46,7 +46,7 @@
 
   /** Whether a hall is in a region other than that of this edge. */
   isRemote(hall: string): boolean {
-    return !this.parts.regions.areTogether(this.parts.hall, hall);
+    return !this.parts.regions.areInSameRegion(this.parts.hall, hall);
   }
 
   /** Whether the bucket admits a request; the least urgent must leave a reserve. */
--- a/packages/puffinturn-edge/src/requests/Attempt.ts
+++ b/packages/puffinturn-edge/src/requests/Attempt.ts
@@ -172,8 +172,8 @@
     const startedBackOff =
       retryAfterMs !== undefined && upstream.startBackoff(retryAfterMs);
     const {sentAt} = this;
-    const limitChanged = upstream.limits.hearAnswer({
-      named: rateLimit,
+    const limitChanged = upstream.limits.recordResponse({
+      headerValue: rateLimit,
       sentAt,
       status,
     });
--- a/packages/puffinturn-edge/src/requests/RequestForwarder.ts
+++ b/packages/puffinturn-edge/src/requests/RequestForwarder.ts
@@ -12,7 +12,7 @@
  */
 import type {TokenState} from 'puffinturn-decisions';
 import type {Route} from 'puffinturn-fleet';
-import {REPETITION} from 'puffinturn-fleet';
+import {RETRY_POLICY} from 'puffinturn-fleet';
 import {fingerprintOf} from 'puffinturn-quarantine';
 
 import type {CallerRequest} from '../callers/CallerRequest';
@@ -434,7 +434,7 @@
     wasNotRun: boolean,
   ): boolean {
     const {route} = plan;
-    const isRepeatable = wasNotRun || route.repetition !== REPETITION.never;
+    const isRepeatable = wasNotRun || route.repetition !== RETRY_POLICY.never;
     const willRetry =
       !this.requestOutcome.hasEnded &&
       isRepeatable &&
@@ -467,7 +467,7 @@
   private canContinueResponse({repetition}: Route): boolean {
     const {relay} = this;
     const isResumable =
-      repetition === REPETITION.resumable && relay?.lastEventId !== undefined;
+      repetition === RETRY_POLICY.resumable && relay?.lastEventId !== undefined;
     return relay?.hasStarted !== true || isResumable;
   }
 
@@ -532,7 +532,7 @@
     return (
       status >= MIN_SERVER_ERROR_STATUS &&
       status !== 504 &&
-      route.repetition !== REPETITION.never &&
+      route.repetition !== RETRY_POLICY.never &&
       this.attemptCount < route.maxAttempts &&
       this.parts.pool.isDegraded(upstream)
     );
--- a/packages/puffinturn-edge/src/requests/RequestPlan.ts
+++ b/packages/puffinturn-edge/src/requests/RequestPlan.ts
@@ -9,7 +9,7 @@
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 import type {Route, Service, Team} from 'puffinturn-fleet';
-import {regionsInBoth} from 'puffinturn-fleet';
+import {intersectRegions} from 'puffinturn-fleet';
 
 import type {
   CallerProtocol,
@@ -61,7 +61,10 @@
   const header = (name: string) => caller.header(name);
   const promptParts = protocol.parsePromptParts(header);
   return ok({
-    allowedRegions: regionsInBoth(route.allowedRegions, team?.allowedRegions),
+    allowedRegions: intersectRegions(
+      route.allowedRegions,
+      team?.allowedRegions,
+    ),
     promptParts,
     route,
     service,
--- a/packages/puffinturn-edge/src/requests/RequestQuarantine.ts
+++ b/packages/puffinturn-edge/src/requests/RequestQuarantine.ts
@@ -10,13 +10,13 @@
  * to the control boxes and retried until one of them accepts the report.
  */
 import type {DecisionLog} from 'puffinturn-decisions';
-import type {CrashReply, CrashRequest} from 'puffinturn-fleet';
+import type {CrashReportReply, CrashReportRequest} from 'puffinturn-fleet';
 import {FLEET_SERVICE} from 'puffinturn-fleet';
 import type {Crash, CrashReport, Quarantine} from 'puffinturn-quarantine';
 import {
-  CrashEvidence,
-  CrashWatch,
-  NO_QUARANTINE,
+  CrashDetector,
+  EMPTY_QUARANTINE,
+  LocalQuarantine,
   probeListener,
 } from 'puffinturn-quarantine';
 import type {Link} from 'puffinturn-wire';
@@ -52,18 +52,18 @@
 
 /** Quarantine state of this edge, and the reporter of crashes it has seen. */
 export class RequestQuarantine implements AsyncDisposable {
-  private readonly evidence: CrashEvidence;
-  private readonly watch: CrashWatch<EdgeUpstream>;
-  private adopted = NO_QUARANTINE;
+  private readonly evidence: LocalQuarantine;
+  private readonly crashDetector: CrashDetector<EdgeUpstream>;
+  private adopted = EMPTY_QUARANTINE;
   private readonly reportPending = new Condition();
   private readonly tasks = new TaskGroup();
 
   constructor(private readonly parts: RequestQuarantineParts) {
     const {clock} = parts;
-    this.evidence = new CrashEvidence(clock);
-    this.watch = new CrashWatch({
+    this.evidence = new LocalQuarantine(clock);
+    this.crashDetector = new CrashDetector({
       clock,
-      crashed: (crash, upstream) => this.recordCrash(crash, upstream),
+      onCrash: (crash, upstream) => this.recordCrash(crash, upstream),
       probe: ({host, port}) => probeListener(host, port),
     });
     this.tasks.start((signal) => this.sendReports(signal));
@@ -86,7 +86,7 @@
 
   /** Whether one more crash would quarantine a request. */
   isOneCrashFromQuarantine(fingerprint: string): boolean {
-    return this.evidence.isLastTry(fingerprint);
+    return this.evidence.isSuspect(fingerprint);
   }
 
   /** Adopts the quarantine of another box if its revision is newer. */
@@ -98,7 +98,7 @@
     }
     const {fingerprints, revision, suspects} = update;
     this.adopted = update;
-    this.evidence.adopt(update);
+    this.evidence.setRemoteQuarantine(update);
     metrics.quarantined.set(fingerprints.length);
     log.note({
       count: fingerprints.length,
@@ -113,7 +113,7 @@
 
   /** Records a request whose connection broke, and checks if the upstream crashed. */
   recordBrokenRequest(upstream: EdgeUpstream, fingerprint: string): void {
-    this.watch.broke(upstream, fingerprint);
+    this.crashDetector.recordFailure(upstream, fingerprint);
   }
 
   /** Records a crash and the requests of this edge that were in flight. */
@@ -127,19 +127,19 @@
       upstream: record.id,
     });
     metrics.crashes.inc({service: record.service});
-    this.evidence.crashed(crash);
+    this.evidence.recordCrash(crash);
     this.reportPending.notify();
   }
 
   /** Records a complete response, which clears the request of suspicion. */
   recordSuccess(fingerprint: string): void {
-    if (this.evidence.served(fingerprint)) {
+    if (this.evidence.recordSuccess(fingerprint)) {
       this.reportPending.notify();
     }
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    await this.watch[Symbol.asyncDispose]();
+    await this.crashDetector[Symbol.asyncDispose]();
     await this.tasks[Symbol.asyncDispose]();
   }
 
@@ -147,16 +147,16 @@
     const {evidence} = this;
     const {clock} = this.parts;
     while (!signal.aborted) {
-      const {untold} = evidence;
-      if (untold === undefined) {
+      const {pendingReport} = evidence;
+      if (pendingReport === undefined) {
         await sleepUnlessNotified(
           clock,
           this.reportPending,
           MAX_IDLE_MS,
           signal,
         );
-      } else if (await this.sendReport(evidence.reportOf(untold))) {
-        evidence.told(untold);
+      } else if (await this.sendReport(evidence.buildReport(pendingReport))) {
+        evidence.confirmReported(pendingReport);
       } else {
         await clock.sleep(RETRY_INTERVAL_MS, signal);
       }
@@ -165,8 +165,8 @@
 
   private async sendReport(report: CrashReport): Promise<boolean> {
     const {box, controlBoxes, link} = this.parts;
-    const request: CrashRequest = {box, report};
-    const reply = await callControlBoxes<CrashReply>(
+    const request: CrashReportRequest = {box, report};
+    const reply = await callControlBoxes<CrashReportReply>(
       link,
       controlBoxes(),
       {
--- a/packages/puffinturn-edge/src/requests/RetryBudgets.ts
+++ b/packages/puffinturn-edge/src/requests/RetryBudgets.ts
@@ -9,7 +9,7 @@
  * Retry budgets by service. The configured limit holds for all edges together, so each
  * edge uses its share, given the number of known edges.
  */
-import {ShareRetryBudget} from 'puffinturn-routing';
+import {RatioRetryBudget} from 'puffinturn-routing';
 
 /** Limit on retries of a service, over all edges. */
 export interface RetryLimit {
@@ -24,7 +24,7 @@
 
 /** Limits retries, so that failures of a service don't multiply its load. */
 export class RetryBudgets {
-  private readonly budgets = new Map<string, ShareRetryBudget>();
+  private readonly budgets = new Map<string, RatioRetryBudget>();
 
   constructor(
     private readonly limit: RetryLimit,
@@ -33,22 +33,22 @@
 
   /** Adds the first attempt of a request to the budget of its service. */
   recordRequest(service: string): void {
-    this.getBudget(service).earn();
+    this.getBudget(service).recordRequest();
   }
 
   /** Takes one retry from the budget; false if it is exhausted. */
   tryConsume(service: string): boolean {
-    return this.getBudget(service).spend();
+    return this.getBudget(service).tryConsume();
   }
 
-  private getBudget(service: string): ShareRetryBudget {
+  private getBudget(service: string): RatioRetryBudget {
     const existing = this.budgets.get(service);
     if (existing !== undefined) {
       return existing;
     }
     const {extra, ratio} = this.limit;
     const ownExtra = (extra * USABLE_SHARE) / Math.max(1, this.edgeCount());
-    const budget = new ShareRetryBudget(
+    const budget = new RatioRetryBudget(
       ratio * USABLE_SHARE,
       Math.max(1, ownExtra),
     );
--- a/packages/puffinturn-edge/src/requests/RouteTable.ts
+++ b/packages/puffinturn-edge/src/requests/RouteTable.ts
@@ -7,7 +7,7 @@
 
 /** Looks up routes by host and path, and teams by key. */
 import type {FleetConfiguration, Route, Service, Team} from 'puffinturn-fleet';
-import {regionsInBoth, routePlace} from 'puffinturn-fleet';
+import {intersectRegions, routeKey} from 'puffinturn-fleet';
 import {drawByWeight} from 'shared';
 
 /** Indexes one configuration for look-ups by host, key and name. */
@@ -30,7 +30,7 @@
       routes.push(route);
       this.routesByHost.set(host, routes);
       if (route.allowedRegions !== undefined) {
-        this.regionsByRoute.set(routePlace(route), route.allowedRegions);
+        this.regionsByRoute.set(routeKey(route), route.allowedRegions);
       }
     }
     for (const routes of this.routesByHost.values()) {
@@ -87,8 +87,8 @@
     route: Route,
     team: Team | undefined,
   ): readonly string[] | undefined {
-    return regionsInBoth(
-      this.regionsByRoute.get(routePlace(route)),
+    return intersectRegions(
+      this.regionsByRoute.get(routeKey(route)),
       team === undefined ? undefined : this.regionsByTeam.get(team.name),
     );
   }
--- a/packages/puffinturn-edge/src/rollouts/ExposureController.ts
+++ b/packages/puffinturn-edge/src/rollouts/ExposureController.ts
@@ -12,7 +12,7 @@
   Rollouts,
   ServiceVersions,
 } from 'puffinturn-fleet';
-import {NO_ROLLOUTS, ROLLOUT_STATE, UNNAMED_VERSION} from 'puffinturn-fleet';
+import {EMPTY_ROLLOUTS, ROLLOUT_STATE, UNKNOWN_VERSION} from 'puffinturn-fleet';
 import type {Clock, Random} from 'shared';
 import {Condition, hashOf, rendezvousWeight} from 'shared';
 
@@ -67,7 +67,7 @@
 export class ExposureController {
   /** Notified when rollouts change or exposure stops. */
   readonly changed = new Condition();
-  private current: Rollouts = NO_ROLLOUTS;
+  private current: Rollouts = EMPTY_ROLLOUTS;
   private services = new Map<string, ServiceState>();
 
   constructor(private readonly parts: ExposureControllerParts) {}
@@ -153,7 +153,7 @@
     promptTokens: number,
   ): AttemptObserver {
     const state = this.services.get(service.name);
-    const version = record.version ?? UNNAMED_VERSION;
+    const version = record.version ?? UNKNOWN_VERSION;
     if (state === undefined) {
       return NO_OP_OBSERVER;
     }
--- a/packages/puffinturn-edge/src/rollouts/ExposureTracker.ts
+++ b/packages/puffinturn-edge/src/rollouts/ExposureTracker.ts
@@ -6,7 +6,7 @@
  */
 
 import type {ExposureReport, Rollout, VersionTally} from 'puffinturn-fleet';
-import {tallyKey, TIME_RATIO_BOUNDS} from 'puffinturn-fleet';
+import {createTallyKey, TIME_RATIO_BOUNDS} from 'puffinturn-fleet';
 import type {Clock, Random} from 'shared';
 
 /** Causes for which an edge stops sending requests to the new version. */
@@ -259,7 +259,7 @@
   /** Records a response; returns whether it makes this edge stop exposing requests. */
   recordResponse(response: ObservedResponse): boolean {
     const {failed, latencyRatio = 0, route, version} = response;
-    const key = tallyKey(route, version);
+    const key = createTallyKey(route, version);
     const tally = this.tallies.get(key) ?? new ResponseTally(route, version);
     this.tallies.set(key, tally);
     tally.add(response);
--- a/packages/puffinturn-edge/src/rollouts/VersionRoles.ts
+++ b/packages/puffinturn-edge/src/rollouts/VersionRoles.ts
@@ -6,7 +6,7 @@
  */
 
 import type {ServiceVersions, UpstreamRecord} from 'puffinturn-fleet';
-import {ROLLOUT_STATE, UNNAMED_VERSION} from 'puffinturn-fleet';
+import {ROLLOUT_STATE, UNKNOWN_VERSION} from 'puffinturn-fleet';
 
 /** The part of an upstream that names its version. */
 export interface Versioned {
@@ -71,12 +71,12 @@
     : matching;
 }
 
-/** Returns the upstreams of one version; those without a version count as UNNAMED_VERSION. */
+/** Returns the upstreams of one version; those without a version count as UNKNOWN_VERSION. */
 export function upstreamsOfVersion<Upstream extends Versioned>(
   upstreams: readonly Upstream[],
   version: string,
 ): readonly Upstream[] {
   return upstreams.filter(
-    ({record}) => (record.version ?? UNNAMED_VERSION) === version,
+    ({record}) => (record.version ?? UNKNOWN_VERSION) === version,
   );
 }
--- a/packages/puffinturn-edge/src/tokens/Allowances.ts
+++ b/packages/puffinturn-edge/src/tokens/Allowances.ts
@@ -13,7 +13,7 @@
   Regions,
   Team,
 } from 'puffinturn-fleet';
-import {LOAN} from 'puffinturn-fleet';
+import {LOAN_OUTCOME} from 'puffinturn-fleet';
 import type {Link} from 'puffinturn-wire';
 import type {Clock} from 'shared';
 import {sleepUnlessNotified, TaskGroup} from 'shared';
@@ -255,8 +255,8 @@
       if (this.tryClaim(claim)) {
         return RESERVE_OUTCOME.reserved;
       }
-      if (reply !== undefined && reply.outcome !== LOAN.lent) {
-        return reply.outcome === LOAN.exhausted
+      if (reply !== undefined && reply.outcome !== LOAN_OUTCOME.lent) {
+        return reply.outcome === LOAN_OUTCOME.exhausted
           ? RESERVE_OUTCOME.exhausted
           : RESERVE_OUTCOME.unavailable;
       }
@@ -375,7 +375,7 @@
   private async lend(request: BorrowRequest): Promise<BorrowReply> {
     const {gather, keepPart: withheldFraction = 0, need, team, want} = request;
     if (this.isClosing) {
-      return {given: 0, outcome: LOAN.closing};
+      return {given: 0, outcome: LOAN_OUTCOME.closing};
     }
     const account = this.accounts.getOrCreate(team);
     account.largestRequest = Math.max(account.largestRequest, need);
@@ -391,7 +391,7 @@
         amount,
         Math.min(want, lendable),
       );
-      return {given, outcome: LOAN.lent};
+      return {given, outcome: LOAN_OUTCOME.lent};
     }
     let given = 0;
     const claim: PendingClaim = {
@@ -408,7 +408,10 @@
     );
     return {
       given,
-      outcome: outcome === RESERVE_OUTCOME.reserved ? LOAN.lent : LOAN[outcome],
+      outcome:
+        outcome === RESERVE_OUTCOME.reserved
+          ? LOAN_OUTCOME.lent
+          : LOAN_OUTCOME[outcome],
     };
   }
 
--- a/packages/puffinturn-edge/src/tokens/TokenHolders.ts
+++ b/packages/puffinturn-edge/src/tokens/TokenHolders.ts
@@ -6,7 +6,7 @@
  */
 
 import type {BoxRecord} from 'puffinturn-fleet';
-import {lifeOf, Regions} from 'puffinturn-fleet';
+import {incarnationIdOf, Regions} from 'puffinturn-fleet';
 import type {Clock} from 'shared';
 import {hashOf, rendezvousWeight} from 'shared';
 
@@ -76,7 +76,7 @@
   incarnationIdOf(box: string): string | undefined {
     this.refresh();
     const found = this.otherEdges?.find((other) => other.box === box);
-    return found === undefined ? undefined : lifeOf(found);
+    return found === undefined ? undefined : incarnationIdOf(found);
   }
 
   /** Edges to borrow from: the first ones of this hall, then the other holders. */
@@ -119,7 +119,7 @@
   }
 
   private isHallInOtherRegion(hall: string): boolean {
-    return !this.regions.areTogether(this.self.hall, hall);
+    return !this.regions.areInSameRegion(this.self.hall, hall);
   }
 
   /** Edges of a hall, the holder first, without suspected ones. */
--- a/packages/puffinturn-edge/src/tokens/TokenLoans.ts
+++ b/packages/puffinturn-edge/src/tokens/TokenLoans.ts
@@ -7,7 +7,7 @@
 
 import {LRUCache} from 'lru-cache';
 import type {BorrowReply, BorrowRequest} from 'puffinturn-fleet';
-import {FLEET_SERVICE, LOAN} from 'puffinturn-fleet';
+import {FLEET_SERVICE, LOAN_OUTCOME} from 'puffinturn-fleet';
 import type {Link} from 'puffinturn-wire';
 import type {Clock} from 'shared';
 import {TaskGroup} from 'shared';
@@ -71,8 +71,9 @@
   private lastNumber = 0;
 
   constructor(private readonly parts: TokenLoansParts) {
-    this.registration = parts.link.register(FLEET_SERVICE.borrow, (body) =>
-      this.handleBorrow(body as BorrowRequest),
+    this.registration = parts.link.register(
+      FLEET_SERVICE.borrowTokens,
+      (body) => this.handleBorrow(body as BorrowRequest),
     );
   }
 
@@ -102,7 +103,7 @@
     const timeoutMs = gather ? HOLDER_BORROW_TIMEOUT_MS : BORROW_TIMEOUT_MS;
     const answer = await link.call(
       lender,
-      FLEET_SERVICE.borrow,
+      FLEET_SERVICE.borrowTokens,
       request,
       timeoutMs,
     );
@@ -117,7 +118,7 @@
     }
     const reply = answer.value as BorrowReply;
     this.creditLoan(lender, account, reply);
-    if (reply.outcome === LOAN.closing) {
+    if (reply.outcome === LOAN_OUTCOME.closing) {
       holders.markSuspect(lender);
       return undefined;
     }
@@ -180,7 +181,10 @@
       return cached;
     }
     const outcome = request.outcomeOnly
-      ? Promise.resolve<BorrowReply>({given: 0, outcome: LOAN.unavailable})
+      ? Promise.resolve<BorrowReply>({
+          given: 0,
+          outcome: LOAN_OUTCOME.unavailable,
+        })
       : this.parts.lend(request);
     this.outcomes.set(key, outcome);
     return outcome;
@@ -200,7 +204,7 @@
       }
       const answer = await link.call(
         lender,
-        FLEET_SERVICE.borrow,
+        FLEET_SERVICE.borrowTokens,
         {...request, outcomeOnly: true} satisfies BorrowRequest,
         HOLDER_BORROW_TIMEOUT_MS,
       );
--- a/packages/puffinturn-edge/src/upstreams/EdgeUpstream.ts
+++ b/packages/puffinturn-edge/src/upstreams/EdgeUpstream.ts
@@ -9,7 +9,7 @@
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {UpstreamRecord} from 'puffinturn-fleet';
 import {UPSTREAM_STATE} from 'puffinturn-fleet';
-import {LimitStatements} from 'puffinturn-permits';
+import {RateLimitTracker} from 'puffinturn-permits';
 import type {Clock} from 'shared';
 import {hashOf} from 'shared';
 
@@ -47,7 +47,7 @@
   /** Observed response time, which includes the load of other callers. */
   readonly responseTime: ResponseTime;
   /** The request rate limit that the upstream states. */
-  readonly limits: LimitStatements;
+  readonly limits: RateLimitTracker;
   readonly host: string;
   readonly port: number;
   /**
@@ -74,7 +74,7 @@
     this.hash = hashOf(record.id);
     this.responseTime = new ResponseTime(clock);
     this.prefillSpeed = new PrefillSpeed(clock);
-    this.limits = new LimitStatements(clock);
+    this.limits = new RateLimitTracker(clock);
     const separator = record.address.lastIndexOf(':');
     this.host = record.address.slice(0, separator);
     this.port = Number(record.address.slice(separator + 1));
@@ -209,7 +209,7 @@
    */
   inheritBackoffAndLimitFrom(previous: EdgeUpstream): void {
     this.backoffUntil = previous.backoffUntil;
-    this.limits.goOnWith(previous.limits);
+    this.limits.copyFrom(previous.limits);
   }
 
   /**
--- a/packages/puffinturn-edge/src/upstreams/LimitReporter.ts
+++ b/packages/puffinturn-edge/src/upstreams/LimitReporter.ts
@@ -6,7 +6,7 @@
  */
 
 /** Reports changed rate limits of upstreams to other boxes. */
-import type {LimitReport, LimitsRequest} from 'puffinturn-fleet';
+import type {LimitReport, LimitReportsRequest} from 'puffinturn-fleet';
 import {FLEET_SERVICE} from 'puffinturn-fleet';
 import type {Link} from 'puffinturn-wire';
 import type {Clock} from 'shared';
@@ -87,7 +87,7 @@
   private async sendPending(): Promise<void> {
     const {box, controlBoxes, link} = this.options;
     const reports = [...this.pending.values()];
-    const request: LimitsRequest = {box, reports};
+    const request: LimitReportsRequest = {box, reports};
     const service = FLEET_SERVICE.reportLimits;
     const controlRequest = {timeoutMs: RESPONSE_TIMEOUT_MS, request, service};
     const reply = await callControlBoxes(
--- a/packages/puffinturn-edge/src/upstreams/UpstreamAdmission.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamAdmission.ts
@@ -9,8 +9,8 @@
  * Admission of requests to upstreams whose request rate is limited across all edges.
  */
 import type {ColdStart} from 'puffinturn-fleet';
-import type {PermitQuestion, Permits} from 'puffinturn-permits';
-import {boundOf, rateOf} from 'puffinturn-permits';
+import type {PermitClient, PermitQuery} from 'puffinturn-permits';
+import {effectiveLimit, maxRequestsPerSecond} from 'puffinturn-permits';
 
 import type {EdgeUpstream} from './EdgeUpstream';
 
@@ -41,7 +41,7 @@
 
 /** Admits requests by permits, which one edge grants on behalf of all. */
 export class PermitAdmission extends UpstreamAdmission {
-  constructor(private readonly permits: Permits) {
+  constructor(private readonly permits: PermitClient) {
     super();
   }
 
@@ -56,13 +56,13 @@
     context: AdmissionContext,
   ): boolean | Promise<boolean> {
     return isRateLimited(upstream, context)
-      ? this.permits.take(permitRequestFor(upstream, context))
+      ? this.permits.acquire(permitRequestFor(upstream, context))
       : true;
   }
 
   override shareLimit(upstream: EdgeUpstream): void {
     const context = {coldStart: undefined, isLeastUrgent: false};
-    void this.permits.tell(permitRequestFor(upstream, context));
+    void this.permits.reportLimit(permitRequestFor(upstream, context));
   }
 }
 
@@ -72,7 +72,7 @@
   {coldStart}: AdmissionContext,
 ): boolean {
   return (
-    rateOf(upstream.limits.limit) < Infinity ||
+    maxRequestsPerSecond(upstream.limits.limit) < Infinity ||
     (coldStart !== undefined && upstream.isCold)
   );
 }
@@ -82,7 +82,7 @@
   {isCold, limits}: EdgeUpstream,
   {coldStart}: Pick<AdmissionContext, 'coldStart'>,
 ): number {
-  return boundOf(
+  return effectiveLimit(
     limits.limit,
     isCold ? coldStart?.requestsPerSecond : undefined,
   );
@@ -91,7 +91,7 @@
 function permitRequestFor(
   {isCold, id, limits, record}: EdgeUpstream,
   {coldStart, isLeastUrgent}: AdmissionContext,
-): PermitQuestion {
+): PermitQuery {
   return {
     coldPerSecond: isCold ? coldStart?.requestsPerSecond : undefined,
     isLeastUrgent,
--- a/packages/puffinturn-edge/src/upstreams/UpstreamPool.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamPool.ts
@@ -9,13 +9,13 @@
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {Evacuations, UpstreamRecord} from 'puffinturn-fleet';
 import {
-  compareLives,
+  compareIncarnations,
   NO_EVACUATIONS,
   UPSTREAM_STATE,
   UpstreamTable,
 } from 'puffinturn-fleet';
-import type {UpstreamLimit} from 'puffinturn-permits';
-import {NO_LIMIT, rateOf} from 'puffinturn-permits';
+import type {UpstreamRateLimit} from 'puffinturn-permits';
+import {maxRequestsPerSecond, NO_LIMIT} from 'puffinturn-permits';
 import type {Clock} from 'shared';
 
 import {EdgeUpstream} from './EdgeUpstream';
@@ -71,7 +71,7 @@
       const merged = this.table.get(record.id);
       if (merged !== undefined) {
         this.applyRecord(merged);
-        this.learnLimit(record.id, merged.limit ?? NO_LIMIT, source);
+        this.mergeLimit(record.id, merged.limit ?? NO_LIMIT, source);
       }
     }
   }
@@ -173,24 +173,25 @@
    * edge.
    */
   recordLimit({id, limits, record: {bornAt}}: EdgeUpstream): void {
-    this.table.hearLimit({bornAt, id}, limits.limit, this.clock.now());
+    this.table.updateLimit({bornAt, id}, limits.limit, this.clock.now());
   }
 
   /** The known rate limit of an upstream. */
-  limitOf(id: string): UpstreamLimit {
+  limitOf(id: string): UpstreamRateLimit {
     return this.byId.get(id)?.limits.limit ?? NO_LIMIT;
   }
 
   /** Number of upstreams that state a rate limit. */
   get limitedUpstreamCount(): number {
-    return this.all().filter(({limits}) => rateOf(limits.limit) < Infinity)
-      .length;
+    return this.all().filter(
+      ({limits}) => maxRequestsPerSecond(limits.limit) < Infinity,
+    ).length;
   }
 
   /** Adopts the rate limit of an upstream from another box if it is newer. */
-  learnLimit(id: string, learned: UpstreamLimit, source: string): void {
+  mergeLimit(id: string, learned: UpstreamRateLimit, source: string): void {
     const upstream = this.byId.get(id);
-    if (upstream?.limits.learn(learned) !== true) {
+    if (upstream?.limits.merge(learned) !== true) {
       return;
     }
     this.recordLimit(upstream);
@@ -220,7 +221,10 @@
   private applyRecord(record: UpstreamRecord): void {
     const known = this.byId.get(record.id);
     this.disposePreviousIncarnations(record);
-    if (known !== undefined && compareLives(record, known.record) !== 0) {
+    if (
+      known !== undefined &&
+      compareIncarnations(record, known.record) !== 0
+    ) {
       this.replaceIncarnation(known, record);
     } else if (record.state === UPSTREAM_STATE.gone) {
       this.remove(record.id);
@@ -265,7 +269,7 @@
   private disposePreviousIncarnations(record: UpstreamRecord): void {
     for (const upstream of this.removed) {
       const {id, record: removedRecord} = upstream;
-      if (id === record.id && compareLives(removedRecord, record) < 0) {
+      if (id === record.id && compareIncarnations(removedRecord, record) < 0) {
         this.removed.delete(upstream);
         upstream[Symbol.dispose]();
       }
--- a/packages/puffinturn-edge/src/upstreams/UpstreamSelection.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamSelection.ts
@@ -131,8 +131,9 @@
   if (candidates === undefined) {
     return undefined;
   }
-  const choice = service.engine === undefined ? plainBalancer : engineBalancer;
-  return choice.choosePlacement(candidates, {
+  const balancer =
+    service.engine === undefined ? plainBalancer : engineBalancer;
+  return balancer.choosePlacement(candidates, {
     hall,
     parts: promptParts,
     service,
@@ -201,7 +202,8 @@
   }
   return serving.filter(
     ({record: {hall}}) =>
-      regions.allows(allowedRegions, hall) && regions.allows(newest, hall),
+      regions.isHallAllowed(allowedRegions, hall) &&
+      regions.isHallAllowed(newest, hall),
   );
 }
 
@@ -211,7 +213,7 @@
   upstreams: readonly EdgeUpstream[],
   {isLeastUrgent}: RequestTraits,
 ): readonly EdgeUpstream[] {
-  return !regions.several || linkBudget.hasCapacity(isLeastUrgent)
+  return !regions.hasMultipleRegions || linkBudget.hasCapacity(isLeastUrgent)
     ? upstreams
     : upstreams.filter(({record: {hall}}) => !linkBudget.isRemote(hall));
 }
@@ -222,7 +224,7 @@
   plan: RequestPlan,
   {bodyBytes}: RequestTraits,
 ): RegionLink | undefined {
-  return regions.several
+  return regions.hasMultipleRegions
     ? {
         transferMs: linkBudget.estimateTransferMs(plan, bodyBytes),
         isRemote: ({record: {hall}}) => linkBudget.isRemote(hall),
@@ -250,7 +252,9 @@
   {regions}: SelectionParts,
   tried: ReadonlySet<EdgeUpstream>,
 ): boolean {
-  return regions.several && [...tried].some(({isFailing}) => isFailing);
+  return (
+    regions.hasMultipleRegions && [...tried].some(({isFailing}) => isFailing)
+  );
 }
 
 /** Whether an upstream is failing and no probe of it is due. */
@@ -258,7 +262,7 @@
   {recoveryProbes, regions}: SelectionParts,
   {isFailing}: EdgeUpstream,
 ): boolean {
-  return regions.several && isFailing && !recoveryProbes.isAllowed;
+  return regions.hasMultipleRegions && isFailing && !recoveryProbes.isAllowed;
 }
 
 /**
--- a/packages/puffinturn-fleet/src/AllowanceControl.ts
+++ b/packages/puffinturn-fleet/src/AllowanceControl.ts
@@ -49,7 +49,7 @@
 
   private exchange(request: AllowanceRequest): Promise<AllowanceReply> {
     const unavailable = {grants: undefined};
-    return this.parts.leader.atLeader(
+    return this.parts.leader.runOnLeader(
       FLEET_SERVICE.allowance,
       request,
       unavailable,
--- a/packages/puffinturn-fleet/src/AllowanceLedger.ts
+++ b/packages/puffinturn-fleet/src/AllowanceLedger.ts
@@ -106,7 +106,7 @@
 }
 
 /** Snapshot of the allowance ledger. */
-export interface AllowanceImage {
+export interface AllowanceSnapshot {
   readonly granted: readonly (readonly [string, number])[];
   /** Holders by box; empty except in snapshots of earlier versions. */
   readonly holders: readonly (readonly [string, LegacyHolder])[];
@@ -129,14 +129,14 @@
   constructor(private readonly prepaidTokensOf: (team: string) => number) {}
 
   /** Tokens of a team granted to edges and not returned, including spent ones. */
-  grantedTo(team: string): number {
+  grantedTokens(team: string): number {
     return this.granted.get(team) ?? 0;
   }
 
   /** Granted, held and prepaid tokens of a team. */
   grantsOf(team: string): TeamGrants {
     return {
-      granted: this.grantedTo(team),
+      granted: this.grantedTokens(team),
       held: this.totalHeld(team),
       prepaid: this.prepaidTokensOf(team),
       team,
@@ -144,7 +144,7 @@
   }
 
   /** Returns the ledger's state for a snapshot. */
-  image(): AllowanceImage {
+  snapshot(): AllowanceSnapshot {
     return {
       granted: [...this.granted],
       holders: [],
@@ -153,7 +153,7 @@
   }
 
   /** Restores the ledger's state from a snapshot. */
-  restore({granted, holders, lives}: AllowanceImage): void {
+  restore({granted, holders, lives}: AllowanceSnapshot): void {
     this.granted = new Map(granted);
     this.holdersByIncarnation = new Map(
       lives ?? holders.map(migrateLegacyHolder),
@@ -224,7 +224,7 @@
     const previouslyHeld = held.get(team) ?? 0;
     const remaining = previouslyHeld - back - spent - lent;
     held.set(team, remaining);
-    const alreadyGranted = Math.max(0, this.grantedTo(team) - back);
+    const alreadyGranted = Math.max(0, this.grantedTokens(team) - back);
     const available = Math.max(0, this.prepaidTokensOf(team) - alreadyGranted);
     const totalHeld = this.totalHeld(team);
     const maxTotalHeld = this.maxTotalHeld(team, available + totalHeld);
--- a/packages/puffinturn-fleet/src/AnswerTotals.ts
+++ b/packages/puffinturn-fleet/src/AnswerTotals.ts
@@ -56,7 +56,7 @@
 }
 
 /** Returns a key that is unique for each route and version. */
-export function tallyKey(route: string, version: string): string {
+export function createTallyKey(route: string, version: string): string {
   // The length prevents collisions of names that contain spaces.
   return `${route.length} ${route} ${version}`;
 }
--- a/packages/puffinturn-fleet/src/Configuration.ts
+++ b/packages/puffinturn-fleet/src/Configuration.ts
@@ -10,7 +10,7 @@
 import type {Failure} from 'shared';
 
 /** Whether requests of a route may be retried. */
-export const REPETITION = {
+export const RETRY_POLICY = {
   /** Never retried: a request runs at most once. */
   never: 'never',
   /** Safe to retry from the start. */
@@ -19,8 +19,8 @@
   resumable: 'resumable',
 } as const;
 
-/** A value of REPETITION. */
-export type Repetition = (typeof REPETITION)[keyof typeof REPETITION];
+/** A value of RETRY_POLICY. */
+export type RetryPolicy = (typeof RETRY_POLICY)[keyof typeof RETRY_POLICY];
 
 /** A service that a route sends requests to, with its weight. */
 export interface RouteTarget {
@@ -33,7 +33,7 @@
   readonly name: string;
   readonly host: string;
   readonly pathPrefix: string;
-  readonly repetition: Repetition;
+  readonly repetition: RetryPolicy;
   /** Whether responses are event streams. */
   readonly streams: boolean;
   /** Request timeout, ms. */
@@ -72,7 +72,7 @@
 }
 
 /** Returns the unique key of a route: its host and path prefix. */
-export function routePlace({host, pathPrefix}: Route): string {
+export function routeKey({host, pathPrefix}: Route): string {
   return `${host.toLowerCase()} ${pathPrefix}`;
 }
 
@@ -147,7 +147,7 @@
   const seenKeys = new Set<string>();
   for (const [index, route] of routes.entries()) {
     const path = `routes.${index}`;
-    const key = routePlace(route);
+    const key = routeKey(route);
     if (seenKeys.has(key)) {
       return invalidConfiguration(path, `duplicate route for ${key}`);
     }
--- a/packages/puffinturn-fleet/src/ConfigurationChange.ts
+++ b/packages/puffinturn-fleet/src/ConfigurationChange.ts
@@ -12,7 +12,7 @@
   Service,
   Team,
 } from './Configuration';
-import {routePlace} from './Configuration';
+import {routeKey} from './Configuration';
 
 /**
  * Difference between two versions of a configuration. It is sent instead of the whole
@@ -24,7 +24,7 @@
   readonly version: number;
   /** Routes that were added or changed. */
   readonly routes: readonly Route[];
-  /** Keys of removed routes, as returned by `routePlace`. */
+  /** Keys of removed routes, as returned by `routeKey`. */
   readonly removedRoutes: readonly string[];
   /** Teams that were added or changed; undefined if requests need no API key. */
   readonly teams: readonly Team[] | undefined;
@@ -43,11 +43,11 @@
 }
 
 /** Computes the change from one configuration to another. */
-export function changeBetween(
+export function diffConfigurations(
   base: FleetConfiguration,
   next: FleetConfiguration,
 ): ConfigurationChange {
-  const routes = diffItems(base.routes, next.routes, routePlace);
+  const routes = diffItems(base.routes, next.routes, routeKey);
   const teams = diffItems(base.teams ?? [], next.teams ?? [], teamName);
   return {
     base: base.version,
@@ -73,7 +73,7 @@
       base.routes,
       change.routes,
       change.removedRoutes,
-      routePlace,
+      routeKey,
     ),
     services,
     teams:
--- a/packages/puffinturn-fleet/src/ConfigurationHistory.ts
+++ b/packages/puffinturn-fleet/src/ConfigurationHistory.ts
@@ -7,7 +7,7 @@
 
 import type {FleetConfiguration} from './Configuration';
 import type {ConfigurationChange} from './ConfigurationChange';
-import {changeBetween} from './ConfigurationChange';
+import {diffConfigurations} from './ConfigurationChange';
 
 /** Maximum number of previous versions kept. */
 const MAX_PREVIOUS_VERSIONS = 12;
@@ -49,7 +49,7 @@
     if (base === undefined || this.latest === undefined) {
       return undefined;
     }
-    const change = changeBetween(base, this.latest);
+    const change = diffConfigurations(base, this.latest);
     this.cachedChanges.set(version, change);
     return change;
   }
--- a/packages/puffinturn-fleet/src/ConfigurationLag.ts
+++ b/packages/puffinturn-fleet/src/ConfigurationLag.ts
@@ -33,19 +33,19 @@
   ) {}
 
   /** Highest version that this box has or that a control box announced. */
-  get namedVersion(): number {
+  get announcedVersion(): number {
     return Math.max(this.latestAnnounced, this.heldVersion());
   }
 
   /** Time until a missing version is overdue, ms; Infinity if none is missing. */
-  get dueInMs(): number {
+  get overdueInMs(): number {
     return this.behindSince === undefined
       ? Infinity
       : this.behindSince + OVERDUE_AFTER_MS - this.clock.now();
   }
 
   /** Records the version of a control box, after its configuration was applied. */
-  learn(version: number, source: string): void {
+  recordVersion(version: number, source: string): void {
     this.latestAnnounced = Math.max(this.latestAnnounced, version);
     if (this.heldVersion() >= this.latestAnnounced) {
       this.behindSince = undefined;
@@ -58,7 +58,10 @@
 
   /** Logs an overdue version, once per version. */
   private logIfOverdue(since: number, source: string): void {
-    if (this.dueInMs > 0 || this.latestAnnounced <= this.lastLoggedVersion) {
+    if (
+      this.overdueInMs > 0 ||
+      this.latestAnnounced <= this.lastLoggedVersion
+    ) {
       return;
     }
     const currentVersion = this.heldVersion();
--- a/packages/puffinturn-fleet/src/ConfigurationRegister.ts
+++ b/packages/puffinturn-fleet/src/ConfigurationRegistry.ts
@@ -34,14 +34,14 @@
 }
 
 /** Holds the active configuration: the one with the highest version committed. */
-export class ConfigurationRegister {
+export class ConfigurationRegistry {
   private currentConfiguration: StoredConfiguration | undefined;
 
   /** `onChange` is called whenever another configuration becomes active. */
   constructor(private readonly onChange: () => void) {}
 
   /** The active configuration. */
-  get stored(): StoredConfiguration | undefined {
+  get current(): StoredConfiguration | undefined {
     return this.currentConfiguration;
   }
 
--- a/packages/puffinturn-fleet/src/EvacuationRegister.ts
+++ b/packages/puffinturn-fleet/src/EvacuationRegistry.ts
@@ -22,7 +22,7 @@
 }
 
 /** Replicated state of evacuated halls. */
-export class EvacuationRegister {
+export class EvacuationRegistry {
   private currentEvacuations = NO_EVACUATIONS;
 
   /** `onChange` is called after every change. */
--- a/packages/puffinturn-fleet/src/ExposureLedger.ts
+++ b/packages/puffinturn-fleet/src/ExposureLedger.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import {AnswerTotals, NO_ANSWERS, tallyKey} from './AnswerTotals';
+import {AnswerTotals, createTallyKey, NO_ANSWERS} from './AnswerTotals';
 import {
   CANARY_BUDGET_FRACTION,
   MIN_UNUSED_GRANT_LIMIT,
@@ -159,7 +159,7 @@
     reported: readonly VersionTally[],
   ): void {
     for (const tally of reported) {
-      const key = tallyKey(tally.route, tally.version);
+      const key = createTallyKey(tally.route, tally.version);
       const previous = known.get(key) ?? NO_ANSWERS;
       if (tally.answers > previous.answers) {
         this.answers.addIncrease(key, tally, previous);
--- a/packages/puffinturn-fleet/src/FleetControl.ts
+++ b/packages/puffinturn-fleet/src/FleetControl.ts
@@ -22,26 +22,26 @@
 } from 'shared';
 
 import {AllowanceControl} from './AllowanceControl';
-import {BoxList, BoxTable} from './Boxes';
+import {BoxList, BoxTable} from './BoxList';
 import type {
   ConfigurationOutcome,
   StoredConfiguration,
-} from './ConfigurationRegister';
-import type {EvacuationOutcome} from './EvacuationRegister';
+} from './ConfigurationRegistry';
+import type {EvacuationOutcome} from './EvacuationRegistry';
 import type {FleetMachine} from './FleetMachine';
 import type {
   BoxRecord,
-  ChangeReply,
-  ChangeRequest,
+  ConfigurationChangeReply,
+  ConfigurationChangeRequest,
+  ConfigurationReadReply,
   EvacuateReply,
   EvacuateRequest,
-  LimitsRequest,
-  ReadReply,
+  LimitReportsRequest,
   WatchReply,
   WatchRequest,
 } from './FleetMessages';
 import {FLEET_SERVICE} from './FleetMessages';
-import {FleetNews, FleetWatch} from './FleetWatch';
+import {FleetUpdateHandler, FleetWatch} from './FleetWatch';
 import {LeaderCalls} from './LeaderCalls';
 import {packConfiguration} from './PackedConfiguration';
 import {QuarantineControl} from './QuarantineControl';
@@ -52,11 +52,11 @@
   RolloutOrderReply,
   RolloutReadReply,
 } from './Rollouts';
+import {recoverFromSuspension} from './SuspensionRecovery';
 import {UpstreamRefusals} from './UpstreamRefusals';
-import type {UpstreamRecord} from './Upstreams';
-import {UpstreamTable} from './Upstreams';
-import {wakeUp} from './WakeUp';
-import {WatchReplies} from './WatchAnswers';
+import type {UpstreamRecord} from './UpstreamTable';
+import {UpstreamTable} from './UpstreamTable';
+import {WatchReplies} from './WatchReplies';
 
 /** Interval between expiry checks of silent boxes and upstreams, ms. */
 const EXPIRY_INTERVAL_MS = 1_000;
@@ -77,14 +77,14 @@
   readonly replica: Replica;
   readonly machine: FleetMachine;
   /** Notified on every change that watching boxes have to receive. */
-  readonly changed: Condition;
+  readonly onChange: Condition;
   readonly log: DecisionLog;
-  /** Exposure limit of new versions; undefined disables roll-outs. */
+  /** Exposure limit of new versions; undefined disables rollouts. */
   readonly exposure?: ExposureBound | undefined;
 }
 
 /** Applies the upstream and box records that the other control boxes send. */
-class PeerUpdateHandler extends FleetNews {
+class PeerUpdateHandler extends FleetUpdateHandler {
   constructor(private readonly control: FleetControl) {
     super();
   }
@@ -94,38 +94,41 @@
     return Infinity;
   }
 
-  override configuration(): void {}
+  override onConfiguration(): void {}
 
-  override configurationChange(): void {}
+  override onConfigurationChange(): void {}
 
   /** Infinity, as evacuations are replicated through the log. */
   override get evacuationRevision(): number {
     return Infinity;
   }
 
-  override evacuations(): void {}
+  override onEvacuations(): void {}
 
-  /** Infinity, as roll-outs are replicated through the log. */
+  /** Infinity, as rollouts are replicated through the log. */
   override get rolloutRevision(): number {
     return Infinity;
   }
 
-  override rollouts(): void {}
+  override onRollouts(): void {}
 
   /** Infinity, as the quarantine is replicated through the log. */
   override get quarantineRevision(): number {
     return Infinity;
   }
 
-  override quarantine(): void {}
+  override onQuarantine(): void {}
 
-  override upstreams(records: readonly UpstreamRecord[], source: string): void {
+  override onUpstreams(
+    records: readonly UpstreamRecord[],
+    source: string,
+  ): void {
     for (const record of records) {
-      this.control.hearUpstream(record, source);
+      this.control.recordHeartbeat(record, source);
     }
   }
 
-  override boxes(records: readonly BoxRecord[], source: string): void {
+  override onBoxes(records: readonly BoxRecord[], source: string): void {
     this.control.updatePeerBoxes(records, source);
   }
 }
@@ -175,8 +178,8 @@
       ),
     );
     this.handlers.add(
-      link.register(FLEET_SERVICE.change, (body) =>
-        this.proposeChange(body as ChangeRequest),
+      link.register(FLEET_SERVICE.changeConfiguration, (body) =>
+        this.proposeChange(body as ConfigurationChangeRequest),
       ),
     );
     this.handlers.add(
@@ -185,18 +188,18 @@
       ),
     );
     this.handlers.add(
-      link.register(FLEET_SERVICE.read, () => this.readLocally()),
+      link.register(FLEET_SERVICE.readConfiguration, () => this.readLocally()),
     );
     this.handlers.add(
       link.register(FLEET_SERVICE.reportLimits, async (body) => {
-        this.recordLimits(body as LimitsRequest);
+        this.recordLimits(body as LimitReportsRequest);
         return null;
       }),
     );
     this.peerWatch = new FleetWatch({
       ...parts,
-      askedAtOnce: Infinity,
-      news: new PeerUpdateHandler(this),
+      maxPolledControls: Infinity,
+      updateHandler: new PeerUpdateHandler(this),
     });
     this.rolloutControl = new RolloutControl({
       ...parts,
@@ -204,20 +207,24 @@
       upstreams: this.upstreams,
     });
     // Only connections need recovery after a suspension: reads and proposals need a quorum.
-    this.suspension = new SuspensionWatch(clock, (ms) => wakeUp(parts, ms));
+    this.suspension = new SuspensionWatch(clock, (ms) =>
+      recoverFromSuspension(parts, ms),
+    );
     this.tasks.start((signal) => this.expireSilentPeers(signal));
     this.tasks.start((signal) => this.trackLeader(signal));
   }
 
   /** Replaces the configuration with a validated one; accepted once a quorum has stored it. */
-  async change(stored: StoredConfiguration): Promise<ChangeReply> {
-    const request: ChangeRequest = {
+  async changeConfiguration(
+    stored: StoredConfiguration,
+  ): Promise<ConfigurationChangeReply> {
+    const request: ConfigurationChangeRequest = {
       packed: packConfiguration(stored),
       version: stored.configuration.version,
     };
     const fallback = {accepted: false, heldVersion: undefined};
-    return this.leaderCalls.atLeader(
-      FLEET_SERVICE.change,
+    return this.leaderCalls.runOnLeader(
+      FLEET_SERVICE.changeConfiguration,
       request,
       fallback,
       () => this.proposeChange(request),
@@ -225,9 +232,9 @@
   }
 
   /** Starts or ends the evacuation of a hall; accepted once a quorum has stored it. */
-  async evacuate(request: EvacuateRequest): Promise<EvacuateReply> {
+  async setEvacuated(request: EvacuateRequest): Promise<EvacuateReply> {
     const fallback = {accepted: false};
-    return this.leaderCalls.atLeader(
+    return this.leaderCalls.runOnLeader(
       FLEET_SERVICE.evacuate,
       request,
       fallback,
@@ -235,7 +242,7 @@
     );
   }
 
-  /** Starts a roll-out; accepted once a quorum has stored the order. */
+  /** Starts a rollout; accepted once a quorum has stored the order. */
   beginRollout(order: RolloutOrder): Promise<RolloutOrderReply> {
     return this.rolloutControl.begin(order);
   }
@@ -246,53 +253,56 @@
   }
 
   /** Reads the current configuration document after a barrier of the log. */
-  async read(): Promise<ReadReply> {
+  async readConfiguration(): Promise<ConfigurationReadReply> {
     const fallback = {current: false, document: undefined};
-    return this.leaderCalls.atLeader(FLEET_SERVICE.read, null, fallback, () =>
-      this.readLocally(),
+    return this.leaderCalls.runOnLeader(
+      FLEET_SERVICE.readConfiguration,
+      null,
+      fallback,
+      () => this.readLocally(),
     );
   }
 
   /** Records a heartbeat of an upstream. */
-  hearUpstream(record: UpstreamRecord, source = 'heartbeat'): void {
-    const {changed, clock} = this.parts;
+  recordHeartbeat(record: UpstreamRecord, source = 'heartbeat'): void {
+    const {onChange, clock} = this.parts;
     const {revision} = this.upstreams;
     if (this.upstreams.merge(record, clock.now())) {
       this.logUpstreamChange(record, source);
     }
     if (this.upstreams.revision > revision) {
-      changed.notify();
+      onChange.notify();
     }
   }
 
   /** Records the limits that upstreams reported to an edge. */
-  private recordLimits({box: source, reports}: LimitsRequest): void {
-    const {changed, clock, log} = this.parts;
+  private recordLimits({box: source, reports}: LimitReportsRequest): void {
+    const {onChange, clock, log} = this.parts;
     for (const {bornAt, id, limit} of reports) {
-      if (this.upstreams.hearLimit({bornAt, id}, limit, clock.now())) {
+      if (this.upstreams.updateLimit({bornAt, id}, limit, clock.now())) {
         const {perSecond, revision} = limit;
         const event = 'upstream-limited';
         log.note({event, perSecond, revision, source, upstream: id});
-        changed.notify();
+        onChange.notify();
       }
     }
   }
 
   /** Marks an incarnation of an upstream as gone; the known one by default. */
-  removeUpstream(id: string, bornAt?: number): void {
-    const {changed, clock} = this.parts;
-    if (this.upstreams.remove(id, clock.now(), bornAt)) {
+  markUpstreamGone(id: string, bornAt?: number): void {
+    const {onChange, clock} = this.parts;
+    if (this.upstreams.markGone(id, clock.now(), bornAt)) {
       const record = this.upstreams.get(id);
       if (record !== undefined) {
         this.logUpstreamChange(record, 'leave');
       }
-      changed.notify();
+      onChange.notify();
     }
   }
 
   /** Counts a rejected heartbeat; the known upstreams stay unchanged. */
-  refuseUpstream(id: string, cause: string): void {
-    this.refusals.count(id, cause);
+  countRejectedHeartbeat(id: string, cause: string): void {
+    this.refusals.recordRefusal(id, cause);
   }
 
   /** Replaces the boxes that watch another control box. */
@@ -310,12 +320,12 @@
     await this.quarantineControl[Symbol.asyncDispose]();
     await this.refusals[Symbol.asyncDispose]();
     this.tasks.abort();
-    this.parts.changed.notify();
+    this.parts.onChange.notify();
     await this.tasks[Symbol.asyncDispose]();
   }
 
   private async answerWatch(request: WatchRequest): Promise<WatchReply> {
-    const {changed, clock} = this.parts;
+    const {onChange, clock} = this.parts;
     if (this.boxes.recordCall(request.from, clock.now())) {
       this.rebuildAllBoxes();
     }
@@ -332,7 +342,7 @@
     ) {
       await sleepUnlessNotified(
         clock,
-        changed,
+        onChange,
         deadline - clock.now(),
         this.tasks.signal,
       );
@@ -353,7 +363,7 @@
   private async proposeChange({
     packed,
     version,
-  }: ChangeRequest): Promise<ChangeReply> {
+  }: ConfigurationChangeRequest): Promise<ConfigurationChangeReply> {
     const outcome = await this.leaderCalls.propose<ConfigurationOutcome>({
       kind: 'packed-configuration',
       packed,
@@ -417,15 +427,15 @@
     });
   }
 
-  private async readLocally(): Promise<ReadReply> {
-    const current = await this.leaderCalls.isCurrent();
-    const document = this.parts.machine.stored?.document;
+  private async readLocally(): Promise<ConfigurationReadReply> {
+    const current = await this.leaderCalls.passBarrier();
+    const document = this.parts.machine.storedConfiguration?.document;
     return {current, document: current ? document : undefined};
   }
 
   /** Wakes pending watch requests when the leader is lost or found. */
   private async trackLeader(signal: AbortSignal): Promise<void> {
-    const {changed, clock, replica} = this.parts;
+    const {onChange, clock, replica} = this.parts;
     let hadLeader = this.watchReplies.hasLeader;
     while (!signal.aborted) {
       const nextCheckMs = Math.min(
@@ -439,7 +449,7 @@
       );
       if (hadLeader !== this.watchReplies.hasLeader) {
         hadLeader = this.watchReplies.hasLeader;
-        changed.notify();
+        onChange.notify();
       }
     }
   }
--- a/packages/puffinturn-fleet/src/FleetMachine.ts
+++ b/packages/puffinturn-fleet/src/FleetMachine.ts
@@ -8,18 +8,22 @@
 /**
  * Replicated state machine of a fleet: the current configuration, the evacuated halls,
  * the tokens granted to edges, the allowed service versions and the request quarantine.
- * Each register applies its own records and has its own section in the snapshot.
+ * Each registry applies its own records and has its own section in the snapshot.
  */
 import {Decoder, Encoder} from 'cbor-x';
 import type {TeamGrants} from 'puffinturn-decisions';
 import {Machine} from 'puffinturn-log';
-import type {CrashImage, CrashReport, Quarantine} from 'puffinturn-quarantine';
-import {CrashRegister, NO_CRASHES} from 'puffinturn-quarantine';
+import type {
+  CrashReport,
+  CrashSnapshot,
+  Quarantine,
+} from 'puffinturn-quarantine';
+import {CrashRegistry, EMPTY_CRASH_SNAPSHOT} from 'puffinturn-quarantine';
 
 import type {
-  AllowanceImage,
   AllowanceOutcome,
   AllowanceRecord,
+  AllowanceSnapshot,
 } from './AllowanceLedger';
 import {AllowanceLedger} from './AllowanceLedger';
 import type {
@@ -27,20 +31,20 @@
   ConfigurationRecord,
   PackedConfigurationRecord,
   StoredConfiguration,
-} from './ConfigurationRegister';
-import {ConfigurationRegister} from './ConfigurationRegister';
-import type {EvacuationOutcome, EvacuationRecord} from './EvacuationRegister';
-import {EvacuationRegister} from './EvacuationRegister';
+} from './ConfigurationRegistry';
+import {ConfigurationRegistry} from './ConfigurationRegistry';
+import type {EvacuationOutcome, EvacuationRecord} from './EvacuationRegistry';
+import {EvacuationRegistry} from './EvacuationRegistry';
 import type {Evacuations} from './Evacuations';
 import {NO_EVACUATIONS} from './Evacuations';
 import {unpackConfiguration} from './PackedConfiguration';
 import type {
-  RolloutImage,
   RolloutProgress,
   RolloutRecord,
   RolloutRecordOutcome,
-} from './RolloutRegister';
-import {NO_ROLLOUT_IMAGE, RolloutRegister} from './RolloutRegister';
+  RolloutSnapshot,
+} from './RolloutRegistry';
+import {EMPTY_ROLLOUT_SNAPSHOT, RolloutRegistry} from './RolloutRegistry';
 import type {Rollouts, ServiceVersions} from './Rollouts';
 
 const encoder = new Encoder({useRecords: false});
@@ -77,22 +81,22 @@
   | EvacuationOutcome
   | RolloutRecordOutcome;
 
-interface FleetSnapshot extends AllowanceImage {
+interface FleetSnapshot extends AllowanceSnapshot {
   /** Missing in snapshots of versions without crash reports. */
-  readonly crashes?: CrashImage | undefined;
+  readonly crashes?: CrashSnapshot | undefined;
   /** Missing in snapshots of versions without evacuations. */
   readonly evacuations?: Evacuations | undefined;
-  /** Missing in snapshots of versions without roll-outs. */
-  readonly rollouts?: RolloutImage | undefined;
+  /** Missing in snapshots of versions without rollouts. */
+  readonly rollouts?: RolloutSnapshot | undefined;
   readonly stored: StoredConfiguration | undefined;
 }
 
 /** Replicated state machine of a fleet. */
 export class FleetMachine extends Machine {
-  private readonly configurationRegister: ConfigurationRegister;
-  private readonly evacuationRegister: EvacuationRegister;
-  private readonly rolloutRegister: RolloutRegister;
-  private readonly crashRegister = new CrashRegister();
+  private readonly configurationRegistry: ConfigurationRegistry;
+  private readonly evacuationRegistry: EvacuationRegistry;
+  private readonly rolloutRegistry: RolloutRegistry;
+  private readonly crashRegistry = new CrashRegistry();
   private readonly allowanceLedger = new AllowanceLedger((team) =>
     this.prepaidTokensOf(team),
   );
@@ -100,56 +104,56 @@
   /** Calls `onChange` after each change that boxes have to receive; allowances are exempt. */
   constructor(private readonly onChange: () => void = () => undefined) {
     super();
-    this.configurationRegister = new ConfigurationRegister(onChange);
-    this.evacuationRegister = new EvacuationRegister(onChange);
-    this.rolloutRegister = new RolloutRegister(onChange, (service) =>
+    this.configurationRegistry = new ConfigurationRegistry(onChange);
+    this.evacuationRegistry = new EvacuationRegistry(onChange);
+    this.rolloutRegistry = new RolloutRegistry(onChange, (service) =>
       this.isService(service),
     );
   }
 
   /** The current configuration. */
-  get stored(): StoredConfiguration | undefined {
-    return this.configurationRegister.stored;
+  get storedConfiguration(): StoredConfiguration | undefined {
+    return this.configurationRegistry.current;
   }
 
   /** The evacuated halls. */
   get evacuations(): Evacuations {
-    return this.evacuationRegister.evacuations;
+    return this.evacuationRegistry.evacuations;
   }
 
   /** The versions that may serve requests. */
   get rollouts(): Rollouts {
-    return this.rolloutRegister.rollouts;
+    return this.rolloutRegistry.rollouts;
   }
 
   /** The requests that no upstream may run. */
   get quarantine(): Quarantine {
-    return this.crashRegister.quarantine;
+    return this.crashRegistry.quarantine;
   }
 
   /** The versions of one service. */
-  versionsOf(service: string): ServiceVersions | undefined {
-    return this.rolloutRegister.versionsOf(service);
+  getVersions(service: string): ServiceVersions | undefined {
+    return this.rolloutRegistry.getVersions(service);
   }
 
-  /** Progress of the newest roll-out order of a service. */
-  rolloutProgressOf(service: string): RolloutProgress | undefined {
-    return this.rolloutRegister.progressOf(service);
+  /** Progress of the newest rollout order of a service. */
+  getRolloutProgress(service: string): RolloutProgress | undefined {
+    return this.rolloutRegistry.getProgress(service);
   }
 
   /** Whether the current configuration contains a service. */
   isService(service: string): boolean {
-    const services = this.stored?.configuration.services ?? [];
+    const services = this.storedConfiguration?.configuration.services ?? [];
     return services.some(({name}) => name === service);
   }
 
   /** Tokens of a team that edges hold or have spent. */
-  grantedTo(team: string): number {
-    return this.allowanceLedger.grantedTo(team);
+  grantedTokens(team: string): number {
+    return this.allowanceLedger.grantedTokens(team);
   }
 
   /** Token totals of a team: its budget, the granted tokens, and those that edges hold. */
-  grantsOf(team: string): TeamGrants {
+  tokenTotals(team: string): TeamGrants {
     return this.allowanceLedger.grantsOf(team);
   }
 
@@ -159,61 +163,61 @@
       case 'allowance':
         return this.allowanceLedger.apply(fleetRecord);
       case 'configuration':
-        return this.configurationRegister.apply(fleetRecord.stored);
+        return this.configurationRegistry.apply(fleetRecord.stored);
       case 'crash-report':
         return this.applyCrashReport(fleetRecord);
       case 'evacuation':
-        return this.evacuationRegister.apply(fleetRecord);
+        return this.evacuationRegistry.apply(fleetRecord);
       case 'packed-configuration':
-        return this.configurationRegister.apply(
+        return this.configurationRegistry.apply(
           unpackConfiguration(fleetRecord.packed),
         );
       case 'exposure-block':
       case 'rollout-order':
       case 'rollout-verdict':
       case 'stable-version':
-        return this.rolloutRegister.apply(fleetRecord);
+        return this.rolloutRegistry.apply(fleetRecord);
     }
   }
 
   override snapshot(): Uint8Array {
     const snapshot: FleetSnapshot = {
-      ...this.allowanceLedger.image(),
-      crashes: this.crashRegister.image(),
+      ...this.allowanceLedger.snapshot(),
+      crashes: this.crashRegistry.snapshot(),
       evacuations: this.evacuations,
-      rollouts: this.rolloutRegister.image(),
-      stored: this.stored,
+      rollouts: this.rolloutRegistry.snapshot(),
+      stored: this.storedConfiguration,
     };
     return encoder.encode(snapshot);
   }
 
   override restore(bytes: Uint8Array): void {
     const snapshot = decoder.decode(Buffer.from(bytes)) as FleetSnapshot;
-    this.configurationRegister.restore(snapshot.stored ?? undefined);
+    this.configurationRegistry.restore(snapshot.stored ?? undefined);
     this.allowanceLedger.restore(snapshot);
-    this.crashRegister.restore(snapshot.crashes ?? NO_CRASHES);
-    this.evacuationRegister.restore(snapshot.evacuations ?? NO_EVACUATIONS);
-    this.rolloutRegister.restore(snapshot.rollouts ?? NO_ROLLOUT_IMAGE);
+    this.crashRegistry.restore(snapshot.crashes ?? EMPTY_CRASH_SNAPSHOT);
+    this.evacuationRegistry.restore(snapshot.evacuations ?? NO_EVACUATIONS);
+    this.rolloutRegistry.restore(snapshot.rollouts ?? EMPTY_ROLLOUT_SNAPSHOT);
     this.onChange();
   }
 
   /** Whether applying a report at this time would release quarantined requests. */
-  isQuarantineOver(unixMs: number): boolean {
-    return this.crashRegister.hasExpired(unixMs);
+  hasQuarantineExpired(unixMs: number): boolean {
+    return this.crashRegistry.hasExpired(unixMs);
   }
 
   private applyCrashReport({
     at,
     report,
   }: CrashReportRecord): CrashReportOutcome {
-    if (this.crashRegister.report(report, at)) {
+    if (this.crashRegistry.applyReport(report, at)) {
       this.onChange();
     }
     return {kind: 'crash-report', quarantine: this.quarantine};
   }
 
   private prepaidTokensOf(team: string): number {
-    const teams = this.stored?.configuration.teams;
+    const teams = this.storedConfiguration?.configuration.teams;
     return teams?.find(({name}) => name === team)?.prepaidTokens ?? 0;
   }
 }
--- a/packages/puffinturn-fleet/src/FleetMessages.ts
+++ b/packages/puffinturn-fleet/src/FleetMessages.ts
@@ -6,33 +6,33 @@
  */
 
 /** Messages that control boxes and edges exchange. */
-import type {UpstreamLimit} from 'puffinturn-permits';
+import type {UpstreamRateLimit} from 'puffinturn-permits';
 import type {CrashReport, Quarantine} from 'puffinturn-quarantine';
 
 import type {AllowanceAsk, AllowanceGrant} from './AllowanceLedger';
-import type {BoxChanges} from './Boxes';
+import type {BoxChanges} from './BoxList';
 import type {FleetConfiguration} from './Configuration';
 import type {ConfigurationChange} from './ConfigurationChange';
 import type {Evacuations} from './Evacuations';
 import type {Rollouts} from './Rollouts';
-import type {UpstreamRecord} from './Upstreams';
+import type {UpstreamRecord} from './UpstreamTable';
 
 /** Service names on the link between boxes. */
 export const FLEET_SERVICE = {
   allowance: 'fleet-allowance',
   beginRollout: 'fleet-begin-rollout',
-  borrow: 'fleet-borrow',
-  change: 'fleet-change',
+  borrowTokens: 'fleet-borrow',
+  changeConfiguration: 'fleet-change',
   evacuate: 'fleet-evacuate',
   exposure: 'fleet-exposure',
   give: 'fleet-give',
-  greet: 'fleet-greet',
-  handOver: 'fleet-hand-over',
-  read: 'fleet-read',
+  checkStateNeeded: 'fleet-greet',
+  sendState: 'fleet-hand-over',
+  readConfiguration: 'fleet-read',
   readRollout: 'fleet-read-rollout',
   reportCrashes: 'fleet-report-crashes',
   reportLimits: 'fleet-report-limits',
-  stepAside: 'fleet-step-aside',
+  requestWithdrawal: 'fleet-step-aside',
   watch: 'fleet-watch',
 } as const;
 
@@ -55,7 +55,7 @@
 }
 
 /** Returns the identifier of an incarnation of a box, as used in token messages. */
-export function lifeOf({
+export function incarnationIdOf({
   box,
   incarnation,
 }: Pick<BoxRecord, 'box' | 'incarnation'>): string {
@@ -68,7 +68,7 @@
   readonly configurationVersion: number;
   /** The requester's revision of the evacuations. */
   readonly evacuationRevision: number;
-  /** The requester's revision of the roll-outs; older software versions omit it. */
+  /** The requester's revision of the rollouts; older software versions omit it. */
   readonly rolloutRevision?: number | undefined;
   /** The requester's revision of the quarantine; older software versions omit it. */
   readonly quarantineRevision?: number | undefined;
@@ -102,7 +102,7 @@
   readonly configurationChange: ConfigurationChange | undefined;
   /** Evacuations newer than the requester's revision. */
   readonly evacuations: Evacuations | undefined;
-  /** Roll-outs newer than the requester's revision. */
+  /** Rollouts newer than the requester's revision. */
   readonly rollouts?: Rollouts | undefined;
   /** A quarantine newer than the requester's revision. */
   readonly quarantine?: Quarantine | undefined;
@@ -158,7 +158,7 @@
 }
 
 /** Outcomes of a loan request. */
-export const LOAN = {
+export const LOAN_OUTCOME = {
   /** The lender lent what it could spare. */
   lent: 'lent',
   /** The whole fleet has too few tokens. */
@@ -170,7 +170,7 @@
 } as const;
 
 /** Outcome of a loan request. */
-export type LoanOutcome = (typeof LOAN)[keyof typeof LOAN];
+export type LoanOutcome = (typeof LOAN_OUTCOME)[keyof typeof LOAN_OUTCOME];
 
 /** Tokens that the lender has transferred. */
 export interface BorrowReply {
@@ -209,7 +209,7 @@
 }
 
 /** Whether an edge needs initial state; the request is empty. */
-export interface GreetReply {
+export interface StateNeededReply {
   /** Whether it has no configuration and has not reached a control box. */
   readonly needsState: boolean;
 }
@@ -218,12 +218,12 @@
  * Whether an overloaded edge may stop accepting connections for a while and leave them to
  * the other edges of its hall; the request is empty.
  */
-export interface StepAsideReply {
+export interface WithdrawalReply {
   readonly agreed: boolean;
 }
 
 /** The state of an edge, sent to an edge that can't reach a control box. */
-export interface HandOver {
+export interface EdgeState {
   readonly configuration: FleetConfiguration;
   readonly upstreams: readonly UpstreamRecord[];
   /** Older software versions omit it. */
@@ -237,13 +237,13 @@
 }
 
 /** Reports requests that were in flight at crashes; any control box forwards it to the leader. */
-export interface CrashRequest {
+export interface CrashReportRequest {
   readonly box: string;
   readonly report: CrashReport;
 }
 
 /** Whether a quorum has stored the report; if not, it may be retried. */
-export interface CrashReply {
+export interface CrashReportReply {
   readonly taken: boolean;
 }
 
@@ -251,17 +251,17 @@
 export interface LimitReport {
   readonly id: string;
   readonly bornAt?: number | undefined;
-  readonly limit: UpstreamLimit;
+  readonly limit: UpstreamRateLimit;
 }
 
 /** Sends limits that upstreams reported to any control box; the reply is empty. */
-export interface LimitsRequest {
+export interface LimitReportsRequest {
   readonly box: string;
   readonly reports: readonly LimitReport[];
 }
 
 /** Requests the leader to replace the configuration with a validated one. */
-export interface ChangeRequest {
+export interface ConfigurationChangeRequest {
   readonly version: number;
   /** The configuration and its document, encoded by `packConfiguration`. */
   readonly packed: Uint8Array;
@@ -279,14 +279,14 @@
 }
 
 /** Result of a configuration change. */
-export interface ChangeReply {
+export interface ConfigurationChangeReply {
   readonly accepted: boolean;
   /** The current version after the request. */
   readonly heldVersion: number | undefined;
 }
 
 /** The current configuration document, read after a barrier of the log. */
-export interface ReadReply {
+export interface ConfigurationReadReply {
   /** Whether the barrier was passed; without it there is no document. */
   readonly current: boolean;
   readonly document: string | undefined;
--- a/packages/puffinturn-fleet/src/FleetWatch.ts
+++ b/packages/puffinturn-fleet/src/FleetWatch.ts
@@ -17,7 +17,7 @@
 import type {Clock} from 'shared';
 import {Condition, hashOf, sleepUnlessNotified, TaskGroup} from 'shared';
 
-import type {BoxChanges} from './Boxes';
+import type {BoxChanges} from './BoxList';
 import type {FleetConfiguration} from './Configuration';
 import type {ConfigurationChange} from './ConfigurationChange';
 import {ConfigurationLag} from './ConfigurationLag';
@@ -26,7 +26,7 @@
 import {BOX_ROLE, FLEET_SERVICE} from './FleetMessages';
 import {Regions} from './Regions';
 import type {Rollouts} from './Rollouts';
-import type {UpstreamRecord} from './Upstreams';
+import type {UpstreamRecord} from './UpstreamTable';
 
 /**
  * How long a control box may delay its reply, ms. Short values cost processor time. The sum
@@ -57,26 +57,29 @@
 const DISTANCE = {ownHall: 0, ownRegion: 1, otherRegion: 2} as const;
 
 /** Receives the updates of a FleetWatch. */
-export abstract class FleetNews {
+export abstract class FleetUpdateHandler {
   /** The current configuration version; -Infinity without one. */
   abstract get configurationVersion(): number;
-  abstract configuration(update: FleetConfiguration, source: string): void;
+  abstract onConfiguration(update: FleetConfiguration, source: string): void;
   /** Applies a difference; ignored if its base is not the current configuration. */
-  abstract configurationChange(
+  abstract onConfigurationChange(
     change: ConfigurationChange,
     source: string,
   ): void;
   /** The current revision of the evacuations. */
   abstract get evacuationRevision(): number;
-  abstract evacuations(update: Evacuations, source: string): void;
-  /** The current revision of the roll-outs. */
+  abstract onEvacuations(update: Evacuations, source: string): void;
+  /** The current revision of the rollouts. */
   abstract get rolloutRevision(): number;
-  abstract rollouts(update: Rollouts, source: string): void;
+  abstract onRollouts(update: Rollouts, source: string): void;
   /** The current revision of the quarantine. */
   abstract get quarantineRevision(): number;
-  abstract quarantine(update: Quarantine, source: string): void;
-  abstract upstreams(records: readonly UpstreamRecord[], source: string): void;
-  abstract boxes(records: readonly BoxRecord[], source: string): void;
+  abstract onQuarantine(update: Quarantine, source: string): void;
+  abstract onUpstreams(
+    records: readonly UpstreamRecord[],
+    source: string,
+  ): void;
+  abstract onBoxes(records: readonly BoxRecord[], source: string): void;
 }
 
 /** Constructor arguments of FleetWatch. */
@@ -87,9 +90,9 @@
   readonly clock: Clock;
   readonly link: Link;
   readonly log: DecisionLog;
-  readonly news: FleetNews;
+  readonly updateHandler: FleetUpdateHandler;
   /** Number of control boxes to poll once current; Infinity for all. */
-  readonly askedAtOnce: number;
+  readonly maxPolledControls: number;
   /** The region of each hall; by default all halls are in one region. */
   readonly regions?: Regions | undefined;
 }
@@ -130,17 +133,17 @@
 
   constructor(private readonly parts: FleetWatchParts) {
     this.regions = parts.regions ?? new Regions();
-    const {clock, log, news} = parts;
+    const {clock, log, updateHandler} = parts;
     this.lag = new ConfigurationLag(
       clock,
       log,
-      () => news.configurationVersion,
+      () => updateHandler.configurationVersion,
     );
     this.tasks.start((signal) => this.pollSeeds(signal));
   }
 
   /** Treats all data as possibly stale until a control box has passed a new barrier. */
-  distrust(): void {
+  invalidate(): void {
     for (const peer of this.peers.values()) {
       peer.hasCurrentReply = false;
     }
@@ -148,33 +151,33 @@
   }
 
   /** Addresses of the control boxes; reachable ones come first. */
-  get controls(): string[] {
+  get controlAddresses(): string[] {
     const all = [...this.peers.values()];
     all.sort((a, b) => Number(b.isReachable) - Number(a.isReachable));
     return all.map(({box}) => box);
   }
 
   /** The last known leader. */
-  get leader(): string | undefined {
+  get leaderAddress(): string | undefined {
     return this.leaderBox;
   }
 
   /** Whether some control box has passed a barrier of the log for a reply. */
-  get current(): boolean {
+  get isCurrent(): boolean {
     return [...this.peers.values()].some(
       ({hasCurrentReply}) => hasCurrentReply,
     );
   }
 
   /** Number of control boxes that have replied at least once. */
-  get answered(): number {
+  get respondedCount(): number {
     return [...this.peers.values()].filter(
       ({lastReplyAt}) => lastReplyAt !== undefined,
     ).length;
   }
 
   /** Whether any control box is reachable. */
-  get inTouch(): boolean {
+  get isConnected(): boolean {
     return [...this.peers.values()].some(({isReachable}) => isReachable);
   }
 
@@ -262,10 +265,10 @@
    * detect their recovery; before the first current reply, all are polled.
    */
   private isPolled(peer: ControlPeer): boolean {
-    if (peer.isUnhealthy || !this.current) {
+    if (peer.isUnhealthy || !this.isCurrent) {
       return true;
     }
-    return this.countPreferred(peer) < this.parts.askedAtOnce;
+    return this.countPreferred(peer) < this.parts.maxPolledControls;
   }
 
   /** Number of healthy control boxes that are preferred to this one. */
@@ -292,8 +295,8 @@
       return DISTANCE.ownHall;
     }
     const isInOwnRegion =
-      !this.regions.several ||
-      (hall !== undefined && this.regions.areTogether(ownHall, hall));
+      !this.regions.hasMultipleRegions ||
+      (hall !== undefined && this.regions.areInSameRegion(ownHall, hall));
     return isInOwnRegion ? DISTANCE.ownRegion : DISTANCE.otherRegion;
   }
 
@@ -302,36 +305,40 @@
    * sends them; the others show whether it is behind. If a version is overdue, all send it.
    */
   private isBrief(peer: ControlPeer): boolean {
-    const {askedAtOnce} = this.parts;
-    const isLate = this.lag.dueInMs <= 0;
-    return askedAtOnce < Infinity && !isLate && this.countPreferred(peer) > 0;
+    const {maxPolledControls} = this.parts;
+    const isLate = this.lag.overdueInMs <= 0;
+    return (
+      maxPolledControls < Infinity && !isLate && this.countPreferred(peer) > 0
+    );
   }
 
   private buildRequest(peer: ControlPeer): WatchRequest {
-    const {news, self} = this.parts;
+    const {updateHandler, self} = this.parts;
     const brief = this.isBrief(peer);
     return {
       boxesRevision: peer.boxesRevision,
       brief,
       configurationVersion: brief
-        ? this.lag.namedVersion
-        : news.configurationVersion,
-      current: !this.current,
-      evacuationRevision: news.evacuationRevision,
+        ? this.lag.announcedVersion
+        : updateHandler.configurationVersion,
+      current: !this.isCurrent,
+      evacuationRevision: updateHandler.evacuationRevision,
       from: self,
       hearsLeader: !peer.isUnhealthy,
       incarnation: peer.incarnation,
-      quarantineRevision: news.quarantineRevision,
-      rolloutRevision: news.rolloutRevision,
+      quarantineRevision: updateHandler.quarantineRevision,
+      rolloutRevision: updateHandler.rolloutRevision,
       upstreamsRevision: peer.upstreamsRevision,
       // A longer wait would delay the full request for an overdue version while the
       // preferred control box is partitioned.
-      waitMs: brief ? Math.min(LONG_POLL_MS, this.lag.dueInMs) : LONG_POLL_MS,
+      waitMs: brief
+        ? Math.min(LONG_POLL_MS, this.lag.overdueInMs)
+        : LONG_POLL_MS,
     };
   }
 
   private handleReply(peer: ControlPeer, reply: WatchReply): void {
-    const {clock, log, news} = this.parts;
+    const {clock, log, updateHandler} = this.parts;
     if (!peer.isReachable) {
       log.note({
         event: 'dependency-changed',
@@ -351,28 +358,28 @@
     peer.boxesRevision = reply.boxesRevision;
     this.leaderBox = reply.leader ?? this.leaderBox;
     if (reply.configuration !== undefined && reply.configuration !== null) {
-      news.configuration(reply.configuration, peer.box);
+      updateHandler.onConfiguration(reply.configuration, peer.box);
     }
     const change = reply.configurationChange;
     if (change !== undefined && change !== null) {
-      news.configurationChange(change, peer.box);
+      updateHandler.onConfigurationChange(change, peer.box);
     }
     const {evacuations, quarantine, rollouts} = reply;
     if (evacuations !== undefined && evacuations !== null) {
-      news.evacuations(evacuations, peer.box);
+      updateHandler.onEvacuations(evacuations, peer.box);
     }
     if (rollouts !== undefined && rollouts !== null) {
-      news.rollouts(rollouts, peer.box);
+      updateHandler.onRollouts(rollouts, peer.box);
     }
     if (quarantine !== undefined && quarantine !== null) {
-      news.quarantine(quarantine, peer.box);
+      updateHandler.onQuarantine(quarantine, peer.box);
     }
     if (reply.upstreams.length > 0) {
-      news.upstreams(reply.upstreams, peer.box);
+      updateHandler.onUpstreams(reply.upstreams, peer.box);
     }
     this.applyBoxChanges(peer, reply.boxes ?? undefined);
     peer.hasCurrentReply ||= reply.current;
-    this.lag.learn(reply.heldVersion, peer.box);
+    this.lag.recordVersion(reply.heldVersion, peer.box);
   }
 
   /** Marks a control box as unhealthy if it knows no leader: it may lack a quorum. */
@@ -386,7 +393,7 @@
   }
 
   /** Adds the control boxes among the given boxes. */
-  learn(records: readonly BoxRecord[]): void {
+  addControls(records: readonly BoxRecord[]): void {
     for (const {box, hall, role} of records) {
       if (role === BOX_ROLE.control) {
         this.addPeer(box);
@@ -409,13 +416,14 @@
     for (const box of changes?.gone ?? []) {
       peer.boxes.delete(box);
     }
-    this.learn(changes?.changed ?? []);
+    this.addControls(changes?.changed ?? []);
     const isAuthoritative =
-      this.parts.askedAtOnce === Infinity || this.countPreferred(peer) === 0;
+      this.parts.maxPolledControls === Infinity ||
+      this.countPreferred(peer) === 0;
     const hasChanged = changes !== undefined || this.boxListSource !== peer.box;
     if (isAuthoritative && hasChanged && peer.boxes.size > 0) {
       this.boxListSource = peer.box;
-      this.parts.news.boxes([...peer.boxes.values()], peer.box);
+      this.parts.updateHandler.onBoxes([...peer.boxes.values()], peer.box);
     }
   }
 
--- a/packages/puffinturn-fleet/src/GrantTotals.ts
+++ b/packages/puffinturn-fleet/src/GrantTotals.ts
@@ -46,7 +46,7 @@
   private async logAfterInterval(signal: AbortSignal): Promise<void> {
     await this.clock.sleep(LOG_INTERVAL_MS, signal);
     const grants = [...this.changedTeams].map((team) =>
-      this.machine.grantsOf(team),
+      this.machine.tokenTotals(team),
     );
     this.changedTeams = new Set();
     const teams = largestTeams(grants, ({granted}) => granted);
--- a/packages/puffinturn-fleet/src/LeaderCalls.ts
+++ b/packages/puffinturn-fleet/src/LeaderCalls.ts
@@ -44,7 +44,7 @@
   }
 
   /** Waits for a barrier of the log; true means that the state machine is current. */
-  async isCurrent(): Promise<boolean> {
+  async passBarrier(): Promise<boolean> {
     const {clock, replica} = this.parts;
     const barrier = await withTimeout(clock, replica.barrier());
     return barrier.isOk();
@@ -54,7 +54,7 @@
    * Runs an operation on the leader: here if this box leads or knows no leader, else by a
    * call to the leader. Resolves with `fallback` if that call fails.
    */
-  atLeader<Reply>(
+  runOnLeader<Reply>(
     service: string,
     body: unknown,
     fallback: Reply,
--- a/packages/puffinturn-fleet/src/PackedConfiguration.ts
+++ b/packages/puffinturn-fleet/src/PackedConfiguration.ts
@@ -13,7 +13,7 @@
 
 import {Decoder, Encoder} from 'cbor-x';
 
-import type {StoredConfiguration} from './ConfigurationRegister';
+import type {StoredConfiguration} from './ConfigurationRegistry';
 
 const encoder = new Encoder({useRecords: false});
 const decoder = new Decoder({useRecords: false});
--- a/packages/puffinturn-fleet/src/QuarantineControl.ts
+++ b/packages/puffinturn-fleet/src/QuarantineControl.ts
@@ -7,13 +7,13 @@
 
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {Replica} from 'puffinturn-log';
-import {NO_REPORT} from 'puffinturn-quarantine';
+import {EMPTY_CRASH_REPORT} from 'puffinturn-quarantine';
 import type {Link} from 'puffinturn-wire';
 import type {Clock} from 'shared';
 import {TaskGroup} from 'shared';
 
 import type {CrashReportOutcome, FleetMachine} from './FleetMachine';
-import type {CrashReply, CrashRequest} from './FleetMessages';
+import type {CrashReportReply, CrashReportRequest} from './FleetMessages';
 import {FLEET_SERVICE} from './FleetMessages';
 import type {LeaderCalls} from './LeaderCalls';
 
@@ -44,7 +44,7 @@
 
   constructor(private readonly parts: QuarantineControlParts) {
     this.handler = parts.link.register(FLEET_SERVICE.reportCrashes, (body) =>
-      this.reportCrashes(body as CrashRequest),
+      this.reportCrashes(body as CrashReportRequest),
     );
     this.tasks.start((signal) => this.expireQuarantines(signal));
   }
@@ -54,8 +54,10 @@
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  private reportCrashes(request: CrashRequest): Promise<CrashReply> {
-    return this.parts.leader.atLeader(
+  private reportCrashes(
+    request: CrashReportRequest,
+  ): Promise<CrashReportReply> {
+    return this.parts.leader.runOnLeader(
       FLEET_SERVICE.reportCrashes,
       request,
       {taken: false},
@@ -67,8 +69,8 @@
     const {clock, machine, replica, self} = this.parts;
     while (!signal.aborted) {
       await clock.sleep(EXPIRY_CHECK_INTERVAL_MS, signal);
-      if (replica.isLeader && machine.isQuarantineOver(clock.wallTime())) {
-        await this.recordAsLeader({box: self.box, report: NO_REPORT});
+      if (replica.isLeader && machine.hasQuarantineExpired(clock.wallTime())) {
+        await this.recordAsLeader({box: self.box, report: EMPTY_CRASH_REPORT});
       }
     }
   }
@@ -76,7 +78,7 @@
   private async recordAsLeader({
     box,
     report,
-  }: CrashRequest): Promise<CrashReply> {
+  }: CrashReportRequest): Promise<CrashReportReply> {
     const {clock, leader, log} = this.parts;
     const outcome = await leader.propose<CrashReportOutcome>({
       at: clock.wallTime(),
--- a/packages/puffinturn-fleet/src/Regions.ts
+++ b/packages/puffinturn-fleet/src/Regions.ts
@@ -15,17 +15,17 @@
 
   /** `byHall` maps halls to regions; an unlisted hall is a region of its own. */
   constructor(byHall: Readonly<Record<string, string>> = {}) {
-    this.learn(byHall);
+    this.setRegions(byHall);
   }
 
   /** Replaces the mapping of halls to regions. */
-  learn(byHall: Readonly<Record<string, string>>): void {
+  setRegions(byHall: Readonly<Record<string, string>>): void {
     this.regionByHall = new Map(Object.entries(byHall));
     this.isMultiRegion = new Set(this.regionByHall.values()).size > 1;
   }
 
   /** Whether there is more than one region. */
-  get several(): boolean {
+  get hasMultipleRegions(): boolean {
     return this.isMultiRegion;
   }
 
@@ -35,18 +35,18 @@
   }
 
   /** Whether two halls are in the same region; always true with a single region. */
-  areTogether(hall: string, other: string): boolean {
+  areInSameRegion(hall: string, other: string): boolean {
     return !this.isMultiRegion || this.regionOf(hall) === this.regionOf(other);
   }
 
   /** Whether a hall is in one of the allowed regions; undefined allows every hall. */
-  allows(allowed: readonly string[] | undefined, hall: string): boolean {
+  isHallAllowed(allowed: readonly string[] | undefined, hall: string): boolean {
     return allowed === undefined || allowed.includes(this.regionOf(hall));
   }
 }
 
 /** Returns the regions in both lists; undefined stands for all regions. */
-export function regionsInBoth(
+export function intersectRegions(
   first: readonly string[] | undefined,
   second: readonly string[] | undefined,
 ): readonly string[] | undefined {
--- a/packages/puffinturn-fleet/src/ReplicaLink.ts
+++ b/packages/puffinturn-fleet/src/ReplicaLink.ts
@@ -31,7 +31,7 @@
 }
 
 /** Creates the link of a replica, and the function that registers its message handler. */
-export function linkOfReplicas(link: Link): {
+export function createReplicaLink(link: Link): {
   readonly logLink: LogLink;
   readonly serve: (
     handle: (request: LogRequest) => Promise<unknown>,
--- a/packages/puffinturn-fleet/src/RolloutClock.ts
+++ b/packages/puffinturn-fleet/src/RolloutClock.ts
@@ -8,7 +8,7 @@
 import type {Clock} from 'shared';
 
 import type {FleetMachine} from './FleetMachine';
-import type {RolloutProgress} from './RolloutRegister';
+import type {RolloutProgress} from './RolloutRegistry';
 
 interface OrderStart {
   readonly number: number;
@@ -35,7 +35,7 @@
     const previousRefreshAt = this.lastRefreshAt ?? -Infinity;
     this.lastRefreshAt = this.clock.now();
     for (const {service} of this.machine.rollouts.services) {
-      const progress = this.machine.rolloutProgressOf(service);
+      const progress = this.machine.getRolloutProgress(service);
       if (progress !== undefined) {
         this.recordStart(service, progress, previousRefreshAt);
       }
--- a/packages/puffinturn-fleet/src/RolloutControl.ts
+++ b/packages/puffinturn-fleet/src/RolloutControl.ts
@@ -21,8 +21,8 @@
   LEADER_STEP_INTERVAL_MS,
 } from './RolloutConstants';
 import {RolloutLeader} from './RolloutLeader';
-import type {RolloutOrderRecord, RolloutRecordOutcome} from './RolloutRegister';
-import {isInProgress} from './RolloutRegister';
+import type {RolloutOrderRecord, RolloutRecordOutcome} from './RolloutRegistry';
+import {isInProgress} from './RolloutRegistry';
 import type {
   ExposureBound,
   ExposureReply,
@@ -32,8 +32,8 @@
   RolloutOrderReply,
   RolloutReadReply,
 } from './Rollouts';
-import {ROLLOUT_ORDER} from './Rollouts';
-import type {UpstreamTable} from './Upstreams';
+import {ROLLOUT_ORDER_OUTCOME} from './Rollouts';
+import type {UpstreamTable} from './UpstreamTable';
 
 /** Dependencies of a RolloutControl. */
 export interface RolloutControlParts {
@@ -41,7 +41,7 @@
   readonly exposure?: ExposureBound | undefined;
   readonly clock: Clock;
   /** Notified of every state machine change that boxes must learn of. */
-  readonly changed: Condition;
+  readonly onChange: Condition;
   readonly leader: LeaderCalls;
   readonly link: Link;
   readonly log: DecisionLog;
@@ -52,7 +52,9 @@
 
 const NO_GRANTS: ExposureReply = {grants: undefined};
 
-const UNAVAILABLE: RolloutOrderReply = {outcome: ROLLOUT_ORDER.unavailable};
+const UNAVAILABLE: RolloutOrderReply = {
+  outcome: ROLLOUT_ORDER_OUTCOME.unavailable,
+};
 
 const STALE_READ: RolloutReadReply = {current: false, versions: undefined};
 
@@ -100,7 +102,7 @@
 
   /** Orders a rollout. The order is accepted once a quorum has stored it. */
   begin(order: RolloutOrder): Promise<RolloutOrderReply> {
-    return this.parts.leader.atLeader(
+    return this.parts.leader.runOnLeader(
       FLEET_SERVICE.beginRollout,
       order,
       UNAVAILABLE,
@@ -110,7 +112,7 @@
 
   /** Returns the versions of a service after a linearizable read of the log. */
   read(service: string): Promise<RolloutReadReply> {
-    return this.parts.leader.atLeader(
+    return this.parts.leader.runOnLeader(
       FLEET_SERVICE.readRollout,
       service,
       STALE_READ,
@@ -125,7 +127,7 @@
 
   private exchangeExposure(request: ExposureRequest): Promise<ExposureReply> {
     const {leader} = this.parts;
-    return leader.atLeader(
+    return leader.runOnLeader(
       FLEET_SERVICE.exposure,
       request,
       NO_GRANTS,
@@ -134,15 +136,15 @@
   }
 
   private async readAsLeader(service: string): Promise<RolloutReadReply> {
-    const current = await this.parts.leader.isCurrent();
-    const versions = this.parts.machine.versionsOf(service);
+    const current = await this.parts.leader.passBarrier();
+    const versions = this.parts.machine.getVersions(service);
     return current ? {current, versions} : STALE_READ;
   }
 
   private async beginAsLeader(order: RolloutOrder): Promise<RolloutOrderReply> {
     const reply = await this.handleOrder(order);
     const {service, targetVersion} = order;
-    const rollout = this.parts.machine.versionsOf(service)?.rollout;
+    const rollout = this.parts.machine.getVersions(service)?.rollout;
     this.parts.log.note({
       event: 'rollout-decided',
       number: rollout?.number,
@@ -155,12 +157,12 @@
 
   private async handleOrder(order: RolloutOrder): Promise<RolloutOrderReply> {
     if (this.rolloutLeader === undefined) {
-      return {outcome: ROLLOUT_ORDER.disabled};
+      return {outcome: ROLLOUT_ORDER_OUTCOME.disabled};
     }
     const {rolloutLeader} = this;
     if (
       !(await rolloutLeader.ensureCurrentTerm()) ||
-      !(await this.parts.leader.isCurrent())
+      !(await this.parts.leader.passBarrier())
     ) {
       return UNAVAILABLE;
     }
@@ -177,17 +179,19 @@
     const {durationMs, service, targetVersion} = order;
     const {machine} = this.parts;
     if (!machine.isService(service)) {
-      return ROLLOUT_ORDER.unknownService;
+      return ROLLOUT_ORDER_OUTCOME.unknownService;
     }
-    const rollout = machine.versionsOf(service)?.rollout;
+    const rollout = machine.getVersions(service)?.rollout;
     const isSameVersion = rollout?.targetVersion === targetVersion;
     if (isInProgress(rollout)) {
-      return isSameVersion ? ROLLOUT_ORDER.accepted : ROLLOUT_ORDER.conflict;
+      return isSameVersion
+        ? ROLLOUT_ORDER_OUTCOME.accepted
+        : ROLLOUT_ORDER_OUTCOME.conflict;
     }
     const elapsedMs = this.rolloutClock.getElapsedMs(service) ?? Infinity;
     const isDuplicate = isSameVersion && rollout.durationMs === durationMs;
     return isDuplicate && elapsedMs < DUPLICATE_ORDER_WINDOW_MS
-      ? ROLLOUT_ORDER.accepted
+      ? ROLLOUT_ORDER_OUTCOME.accepted
       : undefined;
   }
 
@@ -197,7 +201,7 @@
   ): Promise<RolloutOrderReply> {
     const {clock, leader, machine} = this.parts;
     const {service, targetVersion} = order;
-    const versions = machine.versionsOf(service);
+    const versions = machine.getVersions(service);
     const stableVersion =
       versions?.stableVersion ??
       rolloutLeader.detectStableVersion(service, targetVersion);
@@ -223,8 +227,8 @@
     {service}: RolloutOrder,
     outcome: RolloutOrderOutcome,
   ): RolloutOrderReply {
-    const rollout = this.parts.machine.versionsOf(service)?.rollout;
-    return outcome === ROLLOUT_ORDER.conflict
+    const rollout = this.parts.machine.getVersions(service)?.rollout;
+    return outcome === ROLLOUT_ORDER_OUTCOME.conflict
       ? {outcome, underWay: rollout?.targetVersion}
       : {outcome};
   }
@@ -234,7 +238,7 @@
     rolloutLeader: RolloutLeader,
     signal: AbortSignal,
   ): Promise<void> {
-    const {changed, clock, replica} = this.parts;
+    const {onChange, clock, replica} = this.parts;
     while (!signal.aborted) {
       this.rolloutClock.refresh();
       if (replica.isLeader) {
@@ -242,7 +246,7 @@
       }
       await (this.hasActiveRollout
         ? clock.sleep(LEADER_STEP_INTERVAL_MS, signal)
-        : sleepUnlessNotified(clock, changed, IDLE_POLL_INTERVAL_MS, signal));
+        : sleepUnlessNotified(clock, onChange, IDLE_POLL_INTERVAL_MS, signal));
     }
   }
 
--- a/packages/puffinturn-fleet/src/RolloutCourse.ts
+++ b/packages/puffinturn-fleet/src/RolloutEvaluator.ts
@@ -20,8 +20,8 @@
 import {ROLLOUT_STATE} from './Rollouts';
 import type {RolloutVerdict} from './RolloutVerdict';
 import {decideVerdict} from './RolloutVerdict';
-import {slotsOf} from './ServiceUpstreams';
-import type {UpstreamRecord} from './Upstreams';
+import {readySlots} from './ServiceUpstreams';
+import type {UpstreamRecord} from './UpstreamTable';
 import {VersionComparison} from './VersionComparison';
 
 /** Input of an evaluation besides the reports of edges. */
@@ -89,9 +89,9 @@
         this.comparison.minMainRouteAnswers(MAIN_ROUTE_FRACTION),
       ...this.answeredFractions(),
       shiftingMs: now - (this.shiftStartedAt ?? now),
-      stableSlots: slotsOf(upstreams, service, stableVersion),
+      stableSlots: readySlots(upstreams, service, stableVersion),
       state,
-      targetSlots: slotsOf(upstreams, service, targetVersion),
+      targetSlots: readySlots(upstreams, service, targetVersion),
     });
   }
 
--- a/packages/puffinturn-fleet/src/RolloutLeader.ts
+++ b/packages/puffinturn-fleet/src/RolloutLeader.ts
@@ -9,7 +9,7 @@
 import type {Replica} from 'puffinturn-log';
 import type {Clock} from 'shared';
 
-import {ExposureAllocator} from './ExposureBlocks';
+import {ExposureAllocator} from './ExposureAllocator';
 import type {FleetMachine} from './FleetMachine';
 import type {LeaderCalls} from './LeaderCalls';
 import type {RolloutClock} from './RolloutClock';
@@ -18,8 +18,8 @@
   EXPOSURE_LOG_INTERVAL_MS,
   STABLE_VERSION_DELAY_MS,
 } from './RolloutConstants';
-import {RolloutEvaluator} from './RolloutCourse';
-import {isInProgress} from './RolloutRegister';
+import {RolloutEvaluator} from './RolloutEvaluator';
+import {isInProgress} from './RolloutRegistry';
 import type {
   ExposureBound,
   ExposureGrant,
@@ -30,8 +30,12 @@
 } from './Rollouts';
 import {ROLLOUT_STATE} from './Rollouts';
 import type {RolloutVerdict} from './RolloutVerdict';
-import {prevalentVersion, readyOf, versionOf} from './ServiceUpstreams';
-import type {UpstreamTable} from './Upstreams';
+import {
+  mostCommonVersion,
+  readyUpstreams,
+  upstreamVersion,
+} from './ServiceUpstreams';
+import type {UpstreamTable} from './UpstreamTable';
 
 /** Dependencies of a RolloutLeader. */
 export interface RolloutLeaderParts {
@@ -108,7 +112,7 @@
    */
   detectStableVersion(service: string, target?: string): string | undefined {
     const {clock, upstreams} = this.parts;
-    const version = prevalentVersion(upstreams.records(), service, target);
+    const version = mostCommonVersion(upstreams.records(), service, target);
     if (version === undefined) {
       return undefined;
     }
@@ -125,7 +129,7 @@
     incarnationId: string,
     report: ExposureReport,
   ): Promise<number | undefined> {
-    const versions = this.parts.machine.versionsOf(report.service);
+    const versions = this.parts.machine.getVersions(report.service);
     const active = versions && this.getActiveRollout(versions);
     if (active === undefined || active.evaluator.number !== report.number) {
       return report.granted;
@@ -156,7 +160,7 @@
     if (!replica.isLeader || this.term === term) {
       return replica.isLeader;
     }
-    if (!(await leader.isCurrent()) || !this.isLeaderOf(term)) {
+    if (!(await leader.passBarrier()) || !this.isLeaderOf(term)) {
       return false;
     }
     if (this.term !== term) {
@@ -169,8 +173,9 @@
 
   private async recordStableVersions(): Promise<void> {
     const {leader, machine} = this.parts;
-    for (const {name} of machine.stored?.configuration.services ?? []) {
-      const isKnown = machine.versionsOf(name) !== undefined;
+    for (const {name} of machine.storedConfiguration?.configuration.services ??
+      []) {
+      const isKnown = machine.getVersions(name) !== undefined;
       const version = isKnown ? undefined : this.detectStableVersion(name);
       if (version !== undefined) {
         await leader.propose({kind: 'stable-version', service: name, version});
@@ -206,9 +211,9 @@
   /** Whether any upstream of the new version has warmed up. */
   private hasWarmUpstream({rollout, service}: VersionsWithRollout): boolean {
     const {clock, upstreams} = this.parts;
-    return readyOf(upstreams.records(), service).some(
+    return readyUpstreams(upstreams.records(), service).some(
       (record) =>
-        versionOf(record) === rollout.targetVersion &&
+        upstreamVersion(record) === rollout.targetVersion &&
         upstreams.coldUntil(record.id) <= clock.now(),
     );
   }
@@ -250,7 +255,7 @@
     active: ActiveRollout,
     elapsedMs: number,
   ): Promise<void> {
-    const progress = this.parts.machine.rolloutProgressOf(service);
+    const progress = this.parts.machine.getRolloutProgress(service);
     if (elapsedMs - (progress?.elapsedMs ?? 0) >= ELAPSED_RECORD_INTERVAL_MS) {
       await active.allocator.recordProgress();
     }
@@ -290,7 +295,7 @@
       return existing;
     }
     const {counted = 0, granted: initialGranted = 0} =
-      this.parts.machine.rolloutProgressOf(service) ?? {};
+      this.parts.machine.getRolloutProgress(service) ?? {};
     const {bound, leader, rolloutClock} = this.parts;
     const evaluator = new RolloutEvaluator(versions, bound, {
       counted,
--- a/packages/puffinturn-fleet/src/RolloutRegister.ts
+++ b/packages/puffinturn-fleet/src/RolloutRegistry.ts
@@ -14,7 +14,7 @@
   RolloutState,
   ServiceVersions,
 } from './Rollouts';
-import {ROLLOUT_ORDER, ROLLOUT_STATE} from './Rollouts';
+import {ROLLOUT_ORDER_OUTCOME, ROLLOUT_STATE} from './Rollouts';
 
 /** Sets the stable version of a service if none is known. */
 export interface StableVersionRecord {
@@ -101,14 +101,17 @@
   readonly progress: RolloutProgress | undefined;
 }
 
-/** State of the register in a snapshot. */
-export interface RolloutImage {
+/** State of the registry in a snapshot. */
+export interface RolloutSnapshot {
   readonly revision: number;
   readonly services: readonly ServiceEntry[];
 }
 
 /** The empty state; also used for snapshots that predate rollouts. */
-export const NO_ROLLOUT_IMAGE: RolloutImage = {revision: 0, services: []};
+export const EMPTY_ROLLOUT_SNAPSHOT: RolloutSnapshot = {
+  revision: 0,
+  services: [],
+};
 
 /** Allowed state transitions; completed and rolled back are final. */
 const NEXT_STATES: Readonly<Record<RolloutState, readonly RolloutState[]>> = {
@@ -130,7 +133,7 @@
  * service, its allocated exposure and its verdict. Applying a record is deterministic
  * and idempotent.
  */
-export class RolloutRegister {
+export class RolloutRegistry {
   private readonly entries = new Map<string, ServiceEntry>();
   private revision = 0;
   private cachedRollouts: Rollouts | undefined;
@@ -154,29 +157,29 @@
   }
 
   /** Returns the versions of one service. */
-  versionsOf(service: string): ServiceVersions | undefined {
+  getVersions(service: string): ServiceVersions | undefined {
     return this.entries.get(service)?.versions;
   }
 
   /** Returns the progress of the newest order for a service. */
-  progressOf(service: string): RolloutProgress | undefined {
+  getProgress(service: string): RolloutProgress | undefined {
     return this.entries.get(service)?.progress;
   }
 
   /** Applies a record of the log. */
   apply(record: RolloutRecord): RolloutRecordOutcome {
     const order = this.applyRecord(record);
-    const versions = this.versionsOf(record.service);
+    const versions = this.getVersions(record.service);
     return {kind: 'rollout', order, versions};
   }
 
   /** Returns the state for a snapshot. */
-  image(): RolloutImage {
+  snapshot(): RolloutSnapshot {
     return {revision: this.revision, services: [...this.entries.values()]};
   }
 
   /** Replaces the state by that of a snapshot. */
-  restore({revision, services}: RolloutImage): void {
+  restore({revision, services}: RolloutSnapshot): void {
     this.entries.clear();
     for (const entry of services) {
       this.entries.set(entry.versions.service, entry);
@@ -189,15 +192,15 @@
     switch (record.kind) {
       case 'exposure-block':
         this.applyBlock(record);
-        return ROLLOUT_ORDER.accepted;
+        return ROLLOUT_ORDER_OUTCOME.accepted;
       case 'rollout-order':
         return this.applyOrder(record);
       case 'rollout-verdict':
         this.applyVerdict(record);
-        return ROLLOUT_ORDER.accepted;
+        return ROLLOUT_ORDER_OUTCOME.accepted;
       case 'stable-version':
         this.applyStableVersion(record);
-        return ROLLOUT_ORDER.accepted;
+        return ROLLOUT_ORDER_OUTCOME.accepted;
     }
   }
 
@@ -212,28 +215,28 @@
   private applyOrder(record: RolloutOrderRecord): RolloutOrderOutcome {
     const {knownNumber, service, targetVersion} = record;
     if (!this.isService(service)) {
-      return ROLLOUT_ORDER.unknownService;
+      return ROLLOUT_ORDER_OUTCOME.unknownService;
     }
-    const newest = this.versionsOf(service)?.rollout;
+    const newest = this.getVersions(service)?.rollout;
     const isSameVersion = newest?.targetVersion === targetVersion;
     const isDuplicate = newest !== undefined && newest.number > knownNumber;
     if (
       isSameVersion &&
       (isDuplicate || newest.state !== ROLLOUT_STATE.rolledBack)
     ) {
-      return ROLLOUT_ORDER.accepted;
+      return ROLLOUT_ORDER_OUTCOME.accepted;
     }
     if (isInProgress(newest)) {
-      return ROLLOUT_ORDER.conflict;
+      return ROLLOUT_ORDER_OUTCOME.conflict;
     }
     this.startRollout(record, (newest?.number ?? 0) + 1);
-    return ROLLOUT_ORDER.accepted;
+    return ROLLOUT_ORDER_OUTCOME.accepted;
   }
 
   private startRollout(record: RolloutOrderRecord, number: number): void {
     const {durationMs, orderedAt, service, targetVersion} = record;
     const {stableVersion = record.stableVersion} =
-      this.versionsOf(service) ?? {};
+      this.getVersions(service) ?? {};
     // A rollout to the version that already serves is complete.
     const state =
       targetVersion === stableVersion
--- a/packages/puffinturn-fleet/src/Rollouts.ts
+++ b/packages/puffinturn-fleet/src/Rollouts.ts
@@ -52,7 +52,7 @@
 }
 
 /** The state before any version is known. */
-export const NO_ROLLOUTS: Rollouts = {revision: 0, services: []};
+export const EMPTY_ROLLOUTS: Rollouts = {revision: 0, services: []};
 
 /** Limits on the requests that the whole fleet may send to a new version. */
 export interface ExposureBound {
@@ -130,7 +130,7 @@
 }
 
 /** Outcomes of an order. */
-export const ROLLOUT_ORDER = {
+export const ROLLOUT_ORDER_OUTCOME = {
   /** A quorum has stored the order, or had already stored an identical one. */
   accepted: 'accepted',
   /** Another rollout of the service is in progress. */
@@ -143,9 +143,9 @@
   unknownService: 'unknown-service',
 } as const;
 
-/** One of ROLLOUT_ORDER. */
+/** One of ROLLOUT_ORDER_OUTCOME. */
 export type RolloutOrderOutcome =
-  (typeof ROLLOUT_ORDER)[keyof typeof ROLLOUT_ORDER];
+  (typeof ROLLOUT_ORDER_OUTCOME)[keyof typeof ROLLOUT_ORDER_OUTCOME];
 
 /** Reply to a RolloutOrder. */
 export interface RolloutOrderReply {
--- a/packages/puffinturn-fleet/src/ServiceUpstreams.ts
+++ b/packages/puffinturn-fleet/src/ServiceUpstreams.ts
@@ -5,25 +5,25 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import type {UpstreamRecord} from './Upstreams';
-import {UPSTREAM_STATE} from './Upstreams';
+import type {UpstreamRecord} from './UpstreamTable';
+import {UPSTREAM_STATE} from './UpstreamTable';
 
 /** Version of upstreams that report none. */
-export const UNNAMED_VERSION = '';
+export const UNKNOWN_VERSION = '';
 
 /** Returns the software version of an upstream. */
-export function versionOf({version}: UpstreamRecord): string {
-  return version ?? UNNAMED_VERSION;
+export function upstreamVersion({version}: UpstreamRecord): string {
+  return version ?? UNKNOWN_VERSION;
 }
 
 /** Returns the total slots of a service's ready upstreams with a given version. */
-export function slotsOf(
+export function readySlots(
   records: readonly UpstreamRecord[],
   service: string,
   version: string,
 ): number {
-  return readyOf(records, service)
-    .filter((record) => versionOf(record) === version)
+  return readyUpstreams(records, service)
+    .filter((record) => upstreamVersion(record) === version)
     .reduce((sum, {slots}) => sum + slots, 0);
 }
 
@@ -32,12 +32,12 @@
  * if none is ready. Ties go to the version found first. `excludedVersion` is returned
  * only if there is no other version.
  */
-export function prevalentVersion(
+export function mostCommonVersion(
   records: readonly UpstreamRecord[],
   service: string,
   excludedVersion?: string,
 ): string | undefined {
-  const versions = readyOf(records, service).map(versionOf);
+  const versions = readyUpstreams(records, service).map(upstreamVersion);
   const others = versions.filter((version) => version !== excludedVersion);
   return mostFrequent(others) ?? mostFrequent(versions);
 }
@@ -55,7 +55,7 @@
  * Returns the ready upstreams of a service. Of several records with one address it
  * returns the last, as the others belong to crashed processes.
  */
-export function readyOf(
+export function readyUpstreams(
   records: readonly UpstreamRecord[],
   serviceName: string,
 ): UpstreamRecord[] {
--- a/packages/puffinturn-fleet/src/WakeUp.ts
+++ b/packages/puffinturn-fleet/src/SuspensionRecovery.ts
@@ -10,13 +10,16 @@
 import type {Link} from 'puffinturn-wire';
 
 /** Dependencies of the recovery. */
-export interface WakeUpParts {
+export interface SuspensionRecoveryParts {
   readonly link: Link;
   readonly log: DecisionLog;
 }
 
 /** Logs the suspension and reopens the links to other boxes, which may be half-open. */
-export function wakeUp({link, log}: WakeUpParts, suspendedMs: number): void {
+export function recoverFromSuspension(
+  {link, log}: SuspensionRecoveryParts,
+  suspendedMs: number,
+): void {
   const detail = `suspended for ${Math.round(suspendedMs)} ms`;
   log.note({detail, event: 'process-changed', phase: 'woke'});
   link.redial();
--- a/packages/puffinturn-fleet/src/UpstreamRefusals.ts
+++ b/packages/puffinturn-fleet/src/UpstreamRefusals.ts
@@ -38,7 +38,7 @@
   }
 
   /** Counts a refused call and schedules a log line unless one is scheduled. */
-  count(upstream: string, cause: string): void {
+  recordRefusal(upstream: string, cause: string): void {
     if (this.countsByCause.size === 0) {
       this.tasks.start((signal) => this.logAfterInterval(signal));
     }
--- a/packages/puffinturn-fleet/src/Upstreams.ts
+++ b/packages/puffinturn-fleet/src/UpstreamTable.ts
@@ -5,8 +5,8 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import type {UpstreamLimit} from 'puffinturn-permits';
-import {isLaterLimit, NO_LIMIT} from 'puffinturn-permits';
+import type {UpstreamRateLimit} from 'puffinturn-permits';
+import {isNewerLimit, NO_LIMIT} from 'puffinturn-permits';
 
 /** States that an upstream can report. */
 export const UPSTREAM_STATE = {
@@ -37,17 +37,20 @@
   /** Increases with every call of this incarnation. */
   readonly sequence: number;
   /** Request limit reported in responses; undefined if none was reported. */
-  readonly limit?: UpstreamLimit | undefined;
+  readonly limit?: UpstreamRateLimit | undefined;
 }
 
 /** The part of a record that distinguishes incarnations of one upstream. */
-export type UpstreamLife = Pick<UpstreamRecord, 'bornAt'>;
+export type UpstreamIncarnation = Pick<UpstreamRecord, 'bornAt'>;
 
 /**
  * Compares incarnations of one upstream; positive if `a` started later. An incarnation
  * without a start time is older than any with one.
  */
-export function compareLives(a: UpstreamLife, b: UpstreamLife): number {
+export function compareIncarnations(
+  a: UpstreamIncarnation,
+  b: UpstreamIncarnation,
+): number {
   const first = a.bornAt ?? -Infinity;
   const second = b.bornAt ?? -Infinity;
   return first === second ? 0 : first - second;
@@ -133,7 +136,7 @@
       return true;
     }
     const {record: current} = entry;
-    const order = compareLives(record, current);
+    const order = compareIncarnations(record, current);
     if (order > 0) {
       // A new incarnation replaces the whole entry, including its warm-up end.
       this.storeEntry(record, now);
@@ -164,15 +167,15 @@
   }
 
   /** Records an incarnation's request limit; returns true if the limit changed. */
-  hearLimit(
-    {bornAt, id}: UpstreamLife & Pick<UpstreamRecord, 'id'>,
-    limit: UpstreamLimit,
+  updateLimit(
+    {bornAt, id}: UpstreamIncarnation & Pick<UpstreamRecord, 'id'>,
+    limit: UpstreamRateLimit,
     now: number,
   ): boolean {
     const entry = this.entries.get(id);
     return (
       entry !== undefined &&
-      compareLives({bornAt}, entry.record) === 0 &&
+      compareIncarnations({bornAt}, entry.record) === 0 &&
       this.applyLimit(entry, limit, now)
     );
   }
@@ -182,11 +185,12 @@
    * if it is undefined. An unknown upstream gets an entry too, so that late heartbeats
    * are ignored.
    */
-  remove(id: string, now: number, bornAt?: number): boolean {
+  markGone(id: string, now: number, bornAt?: number): boolean {
     const current = this.entries.get(id)?.record;
     const startedAt = bornAt ?? current?.bornAt;
     const isCurrent =
-      current !== undefined && compareLives({bornAt: startedAt}, current) === 0;
+      current !== undefined &&
+      compareIncarnations({bornAt: startedAt}, current) === 0;
     const base = isCurrent ? current : UNKNOWN_UPSTREAM;
     const state = UPSTREAM_STATE.gone;
     return this.merge({...base, bornAt: startedAt, coldMs: 0, id, state}, now);
@@ -212,7 +216,8 @@
   ): void {
     const {record: current} = entry;
     const isEarlier =
-      compareLives(stale, current) === 0 && stale.sequence < current.sequence;
+      compareIncarnations(stale, current) === 0 &&
+      stale.sequence < current.sequence;
     if (
       isEarlier &&
       current.state !== UPSTREAM_STATE.gone &&
@@ -224,11 +229,11 @@
 
   private applyLimit(
     entry: Entry,
-    received: UpstreamLimit,
+    received: UpstreamRateLimit,
     now: number,
   ): boolean {
     const {limit: current = NO_LIMIT} = entry.record;
-    if (!isLaterLimit(received, current)) {
+    if (!isNewerLimit(received, current)) {
       return false;
     }
     entry.record = {...entry.record, limit: received};
--- a/packages/puffinturn-fleet/src/WatchAnswers.ts
+++ b/packages/puffinturn-fleet/src/WatchReplies.ts
@@ -12,14 +12,14 @@
 import type {Replica} from 'puffinturn-log';
 import type {Quarantine} from 'puffinturn-quarantine';
 
-import type {BoxList} from './Boxes';
+import type {BoxList} from './BoxList';
 import {ConfigurationHistory} from './ConfigurationHistory';
 import type {Evacuations} from './Evacuations';
 import type {FleetMachine} from './FleetMachine';
 import type {BoxRecord, WatchReply, WatchRequest} from './FleetMessages';
 import {BOX_ROLE} from './FleetMessages';
 import type {Rollouts} from './Rollouts';
-import type {UpstreamTable} from './Upstreams';
+import type {UpstreamTable} from './UpstreamTable';
 
 const NO_CONFIGURATION_UPDATE = {
   configuration: undefined,
@@ -51,7 +51,9 @@
 
   /** The configuration version applied here; -Infinity without one. */
   private get heldVersion(): number {
-    return this.parts.machine.stored?.configuration.version ?? -Infinity;
+    return (
+      this.parts.machine.storedConfiguration?.configuration.version ?? -Infinity
+    );
   }
 
   /** Whether to reply without delay; box changes alone wait for the next reply. */
@@ -125,7 +127,7 @@
   private configurationFor(
     version: number,
   ): Pick<WatchReply, 'configuration' | 'configurationChange'> {
-    const configuration = this.parts.machine.stored?.configuration;
+    const configuration = this.parts.machine.storedConfiguration?.configuration;
     if (configuration === undefined || configuration.version <= version) {
       return NO_CONFIGURATION_UPDATE;
     }
--- a/packages/puffinturn-fleet/src/__tests__/unit/ConfigurationChange.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/ConfigurationChange.test.ts
@@ -10,9 +10,9 @@
 import type {FleetConfiguration, Route, Team} from '../../index';
 import {
   applyChange,
-  changeBetween,
   ConfigurationHistory,
-  REPETITION,
+  diffConfigurations,
+  RETRY_POLICY,
 } from '../../index';
 import {configurationOf} from '../utils/FleetFixture';
 
@@ -24,7 +24,7 @@
   objectiveMs: 100,
   pathPrefix: `/${index}/`,
   priority: 0,
-  repetition: REPETITION.never,
+  repetition: RETRY_POLICY.never,
   streams: false,
   targets: [{service: 's', weight: 1}],
   timeoutMs,
@@ -72,7 +72,7 @@
     );
     let current = versions[0]!;
     for (const next of versions.slice(1)) {
-      const change = changeBetween(current, next);
+      const change = diffConfigurations(current, next);
       expect(change.routes).toHaveLength(1);
       expect(change.teams).toHaveLength(1);
       const sent = JSON.parse(JSON.stringify(change)) as typeof change;
@@ -89,7 +89,7 @@
   test('convert any configuration into any other', () => {
     fc.assert(
       fc.property(anyConfiguration, anyConfiguration, (base, next) => {
-        const result = applyChange(base, changeBetween(base, next));
+        const result = applyChange(base, diffConfigurations(base, next));
         const sortByName = (config: FleetConfiguration) => ({
           ...config,
           routes: [...config.routes].sort((a, b) => (a.name < b.name ? -1 : 1)),
@@ -112,7 +112,7 @@
       ...configurationOf(2),
       routes: [...routes.slice(1), createRoute(900, 1)],
     };
-    const change = changeBetween(base, next);
+    const change = diffConfigurations(base, next);
     expect(change.routes).toEqual([createRoute(900, 1)]);
     expect(change.removedRoutes).toEqual(['h /0/']);
   });
--- a/packages/puffinturn-fleet/src/__tests__/unit/ConfigurationLag.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/ConfigurationLag.test.ts
@@ -22,24 +22,24 @@
 describe('ConfigurationLag', () => {
   test('measures the delay from the first missing version, not the latest', async () => {
     const {box, clock, lag} = createLag();
-    expect(lag.dueInMs).toBe(Infinity);
-    lag.learn(2, 'c1');
-    expect(lag.dueInMs).toBe(OVERDUE_AFTER_MS);
+    expect(lag.overdueInMs).toBe(Infinity);
+    lag.recordVersion(2, 'c1');
+    expect(lag.overdueInMs).toBe(OVERDUE_AFTER_MS);
     await clock.advance(200);
-    lag.learn(3, 'c1');
-    expect(lag.dueInMs).toBe(OVERDUE_AFTER_MS - 200);
-    expect(lag.namedVersion).toBe(3);
+    lag.recordVersion(3, 'c1');
+    expect(lag.overdueInMs).toBe(OVERDUE_AFTER_MS - 200);
+    expect(lag.announcedVersion).toBe(3);
     box.version = 3;
-    lag.learn(2, 'c2');
-    expect(lag.dueInMs).toBe(Infinity);
+    lag.recordVersion(2, 'c2');
+    expect(lag.overdueInMs).toBe(Infinity);
   });
 
   test('logs an overdue version once', async () => {
     const {clock, lag, log} = createLag();
-    lag.learn(2, 'c1');
+    lag.recordVersion(2, 'c1');
     await clock.advance(OVERDUE_AFTER_MS);
-    lag.learn(2, 'c1');
-    lag.learn(2, 'c2');
+    lag.recordVersion(2, 'c1');
+    lag.recordVersion(2, 'c2');
     expect(log.lines).toEqual([
       {
         behindMs: OVERDUE_AFTER_MS,
--- a/packages/puffinturn-fleet/src/__tests__/unit/NewsInRegions.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/ControlSelection.test.ts
@@ -14,7 +14,7 @@
 import {
   BOX_ROLE,
   FLEET_SERVICE,
-  FleetNews,
+  FleetUpdateHandler,
   FleetWatch,
   Regions,
 } from '../../index';
@@ -29,28 +29,28 @@
 const CONTROL_ADDRESSES = CONTROLS.map(({box}) => box);
 
 /** Ignores all updates. */
-class NullHandler extends FleetNews {
+class NullHandler extends FleetUpdateHandler {
   override get configurationVersion(): number {
     return 1;
   }
   override get evacuationRevision(): number {
     return 0;
   }
-  override configuration(): void {}
-  override configurationChange(): void {}
-  override evacuations(): void {}
+  override onConfiguration(): void {}
+  override onConfigurationChange(): void {}
+  override onEvacuations(): void {}
   override get quarantineRevision(): number {
     return 0;
   }
 
-  override quarantine(): void {}
+  override onQuarantine(): void {}
 
   override get rolloutRevision(): number {
     return 0;
   }
-  override rollouts(): void {}
-  override upstreams(): void {}
-  override boxes(): void {}
+  override onRollouts(): void {}
+  override onUpstreams(): void {}
+  override onBoxes(): void {}
 }
 
 /** Control boxes that delay their replies, and an edge that polls them. */
@@ -70,11 +70,11 @@
       this.serveWatch(box);
     }
     new FleetWatch({
-      askedAtOnce: 2,
+      maxPolledControls: 2,
       clock: this.clock,
       link: this.network.connect(name),
       log: new SilentDecisionLog(),
-      news: new NullHandler(),
+      updateHandler: new NullHandler(),
       regions,
       seeds: () => CONTROL_ADDRESSES,
       self: {box: name, hall, incarnation: '1', role: BOX_ROLE.edge},
--- a/packages/puffinturn-fleet/src/__tests__/unit/FleetMachine.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/FleetMachine.test.ts
@@ -74,7 +74,7 @@
       adopted: false,
       heldVersion: 5,
     });
-    expect(machine.stored?.document).toBe('document 5');
+    expect(machine.storedConfiguration?.document).toBe('document 5');
     expect(putConfiguration(machine, 200, 9)).toMatchObject({
       adopted: true,
       heldVersion: 9,
@@ -90,7 +90,7 @@
     const packed = packConfiguration({configuration, document});
     const machine = new FleetMachine();
     machine.apply({kind: 'packed-configuration', packed});
-    expect(machine.stored).toEqual({configuration, document});
+    expect(machine.storedConfiguration).toEqual({configuration, document});
     expect(packed.length).toBeLessThan(document.length / 5);
   });
 
@@ -98,14 +98,14 @@
     const machine = machineWithBudget(1_000);
     const first = exchange(machine, 'e', 1, allowanceAsk({need: 100}));
     expect(exchange(machine, 'e', 1, allowanceAsk({need: 100}))).toBe(first);
-    expect(machine.grantedTo('t')).toBe(first);
+    expect(machine.grantedTokens('t')).toBe(first);
   });
 
   test('counts the tokens held by an earlier incarnation as spent', () => {
     const machine = machineWithBudget(1_000);
     exchange(machine, 'e', 1, allowanceAsk({need: 700}));
     expect(exchange(machine, 'e', 1, allowanceAsk({need: 700}), '2')).toBe(300);
-    expect(machine.grantedTo('t')).toBe(1_000);
+    expect(machine.grantedTokens('t')).toBe(1_000);
   });
 
   // Guards against overspending: a delayed copy of a return was applied again after the
@@ -117,10 +117,10 @@
     exchange(machine, 'e', 2, returnTokens);
     exchange(machine, 'e', 1, allowanceAsk({need: 100}), '2');
     exchange(machine, 'e', 2, returnTokens);
-    expect(machine.grantedTo('t')).toBe(700);
+    expect(machine.grantedTokens('t')).toBe(700);
     exchange(machine, 'e', 2, allowanceAsk({need: 50}), '2');
     exchange(machine, 'e', 2, returnTokens);
-    expect(machine.grantedTo('t')).toBe(750);
+    expect(machine.grantedTokens('t')).toBe(750);
   });
 
   test('reports the tokens written off for an earlier incarnation on the first exchange only', () => {
@@ -293,7 +293,7 @@
           0,
         );
         expect(spent + heldTotal).toBeLessThanOrEqual(1_000);
-        expect(machine.grantedTo('t')).toBeLessThanOrEqual(1_000);
+        expect(machine.grantedTokens('t')).toBeLessThanOrEqual(1_000);
       }),
       {numRuns: 300, seed: 11},
     );
@@ -304,10 +304,10 @@
     exchange(machine, 'e', 1, allowanceAsk({need: 100}));
     const copy = new FleetMachine();
     copy.restore(machine.snapshot());
-    expect(copy.stored?.document).toBe('document 3');
-    expect(copy.grantedTo('t')).toBe(100);
+    expect(copy.storedConfiguration?.document).toBe('document 3');
+    expect(copy.grantedTokens('t')).toBe(100);
     expect(exchange(copy, 'e', 1, allowanceAsk({need: 100}))).toBe(100);
-    expect(copy.grantedTo('t')).toBe(100);
+    expect(copy.grantedTokens('t')).toBe(100);
   });
 
   test('behaves the same after a restore as without one', () => {
@@ -323,8 +323,8 @@
       exchange(target, 'e', 2, allowanceAsk({back: 30, want: 200}), '2');
       exchange(target, 'f', 2, allowanceAsk({spent: 20, want: 200}));
     }
-    expect(copy.grantsOf('t')).toEqual(machine.grantsOf('t'));
-    expect(copy.grantedTo('t')).toBe(machine.grantedTo('t'));
+    expect(copy.tokenTotals('t')).toEqual(machine.tokenTotals('t'));
+    expect(copy.grantedTokens('t')).toBe(machine.grantedTokens('t'));
   });
 
   test('restores a snapshot of an older software version', () => {
@@ -341,14 +341,14 @@
           },
         ],
       ],
-      stored: machineWithBudget(1_000).stored,
+      stored: machineWithBudget(1_000).storedConfiguration,
     };
     const machine = new FleetMachine();
     machine.restore(new Encoder({useRecords: false}).encode(oldSnapshot));
     exchange(machine, 'e', 4, allowanceAsk({back: 300}));
-    expect(machine.grantedTo('t')).toBe(700);
+    expect(machine.grantedTokens('t')).toBe(700);
     exchange(machine, 'e', 5, allowanceAsk({back: 300}));
-    expect(machine.grantedTo('t')).toBe(400);
-    expect(machine.grantsOf('t').held).toBe(200);
+    expect(machine.grantedTokens('t')).toBe(400);
+    expect(machine.tokenTotals('t').held).toBe(200);
   });
 });
--- a/packages/puffinturn-fleet/src/__tests__/unit/FleetSpread.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/FleetPropagation.test.ts
@@ -24,14 +24,14 @@
 import {
   applyChange,
   BOX_ROLE,
+  createReplicaLink,
+  EMPTY_ROLLOUTS,
   FLEET_SERVICE,
   FleetControl,
   FleetMachine,
-  FleetNews,
+  FleetUpdateHandler,
   FleetWatch,
-  linkOfReplicas,
   NO_EVACUATIONS,
-  NO_ROLLOUTS,
   UPSTREAM_STATE,
   UpstreamTable,
 } from '../../index';
@@ -40,12 +40,12 @@
 const CONTROLS = ['c1:1', 'c2:1', 'c3:1'];
 
 /** Records the updates that an edge receives. */
-class RecordingHandler extends FleetNews {
+class RecordingHandler extends FleetUpdateHandler {
   configurationHeld: FleetConfiguration | undefined;
   changeCount = 0;
   boxListCount = 0;
   evacuationsHeld = NO_EVACUATIONS;
-  rolloutsHeld = NO_ROLLOUTS;
+  rolloutsHeld = EMPTY_ROLLOUTS;
   upstreamRecords: UpstreamRecord[] = [];
   boxRecords: BoxRecord[] = [];
 
@@ -53,11 +53,11 @@
     return this.configurationHeld?.version ?? -Infinity;
   }
 
-  override configuration(configuration: FleetConfiguration): void {
+  override onConfiguration(configuration: FleetConfiguration): void {
     this.configurationHeld = configuration;
   }
 
-  override configurationChange(change: ConfigurationChange): void {
+  override onConfigurationChange(change: ConfigurationChange): void {
     if (this.configurationHeld?.version === change.base) {
       this.configurationHeld = applyChange(this.configurationHeld, change);
       this.changeCount += 1;
@@ -68,7 +68,7 @@
     return this.evacuationsHeld.revision;
   }
 
-  override evacuations(evacuations: Evacuations): void {
+  override onEvacuations(evacuations: Evacuations): void {
     this.evacuationsHeld = evacuations;
   }
 
@@ -76,21 +76,21 @@
     return 0;
   }
 
-  override quarantine(): void {}
+  override onQuarantine(): void {}
 
   override get rolloutRevision(): number {
     return this.rolloutsHeld.revision;
   }
 
-  override rollouts(rollouts: Rollouts): void {
+  override onRollouts(rollouts: Rollouts): void {
     this.rolloutsHeld = rollouts;
   }
 
-  override upstreams(records: readonly UpstreamRecord[]): void {
+  override onUpstreams(records: readonly UpstreamRecord[]): void {
     this.upstreamRecords.push(...records);
   }
 
-  override boxes(records: readonly BoxRecord[]): void {
+  override onBoxes(records: readonly BoxRecord[]): void {
     this.boxRecords = [...records];
     this.boxListCount += 1;
   }
@@ -103,9 +103,9 @@
   const controls = new Map<string, FleetControl>();
   for (const box of boxes) {
     const link = network.connect(box);
-    const changed = new Condition();
-    const machine = new FleetMachine(() => changed.notify());
-    const {logLink, serve} = linkOfReplicas(link);
+    const onChange = new Condition();
+    const machine = new FleetMachine(() => onChange.notify());
+    const {logLink, serve} = createReplicaLink(link);
     const openResult = await Replica.open({
       box,
       clock,
@@ -125,7 +125,7 @@
     controls.set(
       box,
       new FleetControl({
-        changed,
+        onChange,
         clock,
         link,
         log,
@@ -137,14 +137,14 @@
     );
   }
   await clock.advance(4_000);
-  const startWatch = (box: string, askedAtOnce = 2) => {
+  const startWatch = (box: string, maxPolledControls = 2) => {
     const handler = new RecordingHandler();
     const watch = new FleetWatch({
-      askedAtOnce,
+      maxPolledControls,
       clock,
       link: network.connect(box),
       log: new SilentDecisionLog(),
-      news: handler,
+      updateHandler: handler,
       seeds: () => boxes,
       self: {box, incarnation: '1', role: BOX_ROLE.edge, hall: 'z'},
     });
@@ -215,7 +215,7 @@
         document: 'changed',
       };
       void control(reachable)
-        .change(stored)
+        .changeConfiguration(stored)
         .then(({accepted}) => {
           if (accepted) {
             acknowledgedAt.set(version, clock.now());
@@ -247,13 +247,16 @@
     for (const box of CONTROLS) {
       const reply = await advanceUntilSettled(
         clock,
-        control(box).change(stored),
+        control(box).changeConfiguration(stored),
       );
       expect(reply).toEqual({accepted: true, heldVersion: 7});
     }
     await clock.advance(200);
     expect(handler.configurationHeld?.version).toBe(7);
-    const read = await advanceUntilSettled(clock, control('c2:1').read());
+    const read = await advanceUntilSettled(
+      clock,
+      control('c2:1').readConfiguration(),
+    );
     expect(read).toEqual({current: true, document: 'seven'});
   });
 
@@ -265,14 +268,14 @@
       const request = {evacuated: true, hall: 'z'};
       const reply = await advanceUntilSettled(
         clock,
-        control(box).evacuate(request),
+        control(box).setEvacuated(request),
       );
       expect(reply).toEqual({accepted: true});
     }
     await clock.advance(200);
     expect(handler.evacuationsHeld).toEqual({halls: ['z'], revision: 1});
     const back = {evacuated: false, hall: 'z'};
-    await advanceUntilSettled(clock, control('c2:1').evacuate(back));
+    await advanceUntilSettled(clock, control('c2:1').setEvacuated(back));
     await clock.advance(200);
     expect(handler.evacuationsHeld).toEqual({halls: [], revision: 2});
   });
@@ -283,7 +286,7 @@
     await clock.advance(1_500);
     network.partition(['e1:1'], CONTROLS);
     const request = {evacuated: true, hall: 'z'};
-    await advanceUntilSettled(clock, control('c1:1').evacuate(request));
+    await advanceUntilSettled(clock, control('c1:1').setEvacuated(request));
     await clock.advance(2_000);
     expect(handler.evacuationsHeld.halls).toEqual([]);
     network.heal();
@@ -294,7 +297,7 @@
     const other = {evacuated: true, hall: 'y'};
     const reply = await advanceUntilSettled(
       clock,
-      control('c1:1').evacuate(other),
+      control('c1:1').setEvacuated(other),
     );
     expect(reply.accepted).toBe(false);
   });
@@ -302,16 +305,22 @@
   test('neither accepts nor reads a configuration without a quorum', async () => {
     const {clock, control, network} = await startFleet();
     const stored = {configuration: configurationOf(7), document: 'seven'};
-    await advanceUntilSettled(clock, control('c1:1').change(stored));
+    await advanceUntilSettled(
+      clock,
+      control('c1:1').changeConfiguration(stored),
+    );
     network.partition(['c1:1'], ['c2:1', 'c3:1']);
     network.partition(['c2:1'], ['c3:1']);
     const later = {configuration: configurationOf(8), document: 'eight'};
     const reply = await advanceUntilSettled(
       clock,
-      control('c1:1').change(later),
+      control('c1:1').changeConfiguration(later),
     );
     expect(reply.accepted).toBe(false);
-    const read = await advanceUntilSettled(clock, control('c1:1').read());
+    const read = await advanceUntilSettled(
+      clock,
+      control('c1:1').readConfiguration(),
+    );
     expect(read.current).toBe(false);
   });
 
@@ -319,10 +328,10 @@
     const {clock, control, startWatch} = await startFleet();
     const {handler} = startWatch('e1:1');
     await clock.advance(1_500);
-    control('c3:1').hearUpstream(upstreamOf());
+    control('c3:1').recordHeartbeat(upstreamOf());
     await clock.advance(100);
     expect(handler.upstreamRecords.map(({id}) => id)).toContain('i-1');
-    control('c1:1').removeUpstream('i-1');
+    control('c1:1').markUpstreamGone('i-1');
     await clock.advance(100);
     expect(handler.upstreamRecords.at(-1)?.state).toBe(UPSTREAM_STATE.gone);
   });
@@ -331,13 +340,16 @@
     const {clock, control, network, startWatch} = await startFleet();
     const {handler, watch} = startWatch('e1:1');
     await clock.advance(1_500);
-    expect(watch.inTouch).toBe(true);
-    expect(watch.current).toBe(true);
+    expect(watch.isConnected).toBe(true);
+    expect(watch.isCurrent).toBe(true);
     network.partition(['e1:1'], CONTROLS);
     await clock.advance(4_000);
-    expect(watch.inTouch).toBe(false);
+    expect(watch.isConnected).toBe(false);
     const stored = {configuration: configurationOf(9), document: 'nine'};
-    await advanceUntilSettled(clock, control('c1:1').change(stored));
+    await advanceUntilSettled(
+      clock,
+      control('c1:1').changeConfiguration(stored),
+    );
     network.heal();
     await clock.advance(2_500);
     expect(handler.configurationHeld?.version).toBe(9);
@@ -349,18 +361,18 @@
     await clock.advance(1_000);
     const oldRecord = upstreamOf({bornAt: 1_000, sequence: 70});
     const newRecord = upstreamOf({bornAt: 2_000, sequence: 1, version: 'v2'});
-    control('c1:1').hearUpstream(oldRecord);
+    control('c1:1').recordHeartbeat(oldRecord);
     await clock.advance(500);
     // The new incarnation registers on one side of a partition; late heartbeats of the old
     // one arrive on the other side.
     network.partition(['c3:1'], ['c1:1', 'c2:1']);
-    control('c1:1').hearUpstream(newRecord);
-    control('c3:1').hearUpstream({...oldRecord, sequence: 71});
-    control('c3:1').removeUpstream('i-1', 1_000);
+    control('c1:1').recordHeartbeat(newRecord);
+    control('c3:1').recordHeartbeat({...oldRecord, sequence: 71});
+    control('c3:1').markUpstreamGone('i-1', 1_000);
     await clock.advance(1_000);
     network.heal();
-    control('c2:1').hearUpstream({...oldRecord, sequence: 72});
-    control('c2:1').removeUpstream('i-1', 1_000);
+    control('c2:1').recordHeartbeat({...oldRecord, sequence: 72});
+    control('c2:1').markUpstreamGone('i-1', 1_000);
     await clock.advance(5_000);
     const edge = new UpstreamTable();
     for (const record of handler.upstreamRecords) {
@@ -379,7 +391,10 @@
     for (const version of [7, 9, 12]) {
       const configuration = configurationOf(version);
       const stored = {configuration, document: String(version)};
-      await advanceUntilSettled(clock, control('c1:1').change(stored));
+      await advanceUntilSettled(
+        clock,
+        control('c1:1').changeConfiguration(stored),
+      );
       await clock.advance(200);
       expect(handler.configurationHeld).toEqual(configuration);
     }
@@ -404,10 +419,13 @@
     for (const [at, box] of CONTROLS.entries()) {
       network.partition(['e1:1'], [box]);
       await clock.advance(3_000);
-      expect(watch.inTouch).toBe(true);
+      expect(watch.isConnected).toBe(true);
       const configuration = configurationOf(20 + at);
       const stored = {configuration, document: 'changed'};
-      await advanceUntilSettled(clock, control(box).change(stored));
+      await advanceUntilSettled(
+        clock,
+        control(box).changeConfiguration(stored),
+      );
       await clock.advance(300);
       expect(handler.configurationHeld?.version).toBe(20 + at);
       network.heal();
@@ -427,7 +445,7 @@
       const [reachable = ''] = others;
       const reply = await advanceUntilSettled(
         clock,
-        control(reachable).change(stored),
+        control(reachable).changeConfiguration(stored),
       );
       expect(reply.accepted).toBe(true);
       await clock.advance(500);
@@ -537,7 +555,10 @@
   test('sends only the version number of a configuration in a brief reply', async () => {
     const {clock, control, network} = await startFleet();
     const stored = {configuration: configurationOf(7), document: 'seven'};
-    await advanceUntilSettled(clock, control('c1:1').change(stored));
+    await advanceUntilSettled(
+      clock,
+      control('c1:1').changeConfiguration(stored),
+    );
     await clock.advance(500);
     const briefRequest: WatchRequest = {
       boxesRevision: -1,
@@ -609,11 +630,11 @@
     }
     const handler = new RecordingHandler();
     new FleetWatch({
-      askedAtOnce: 2,
+      maxPolledControls: 2,
       clock,
       link: network.connect('e1:1'),
       log: new SilentDecisionLog(),
-      news: handler,
+      updateHandler: handler,
       seeds: () => ['c1:1', 'c2:1'],
       self: {box: 'e1:1', hall: 'z', incarnation: '1', role: BOX_ROLE.edge},
     });
--- a/packages/puffinturn-fleet/src/__tests__/unit/LimitReports.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/LimitReports.test.ts
@@ -5,10 +5,10 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import type {LimitsRequest, UpstreamRecord} from '../../index';
+import type {LimitReportsRequest, UpstreamRecord} from '../../index';
 import {FLEET_SERVICE} from '../../index';
 import {upstreamOf} from '../utils/FleetFixture';
-import {CONTROLS, RolloutFleet} from '../utils/RolloutFleet';
+import {CONTROL_BOXES, RolloutFleet} from '../utils/RolloutFleet';
 
 const EDGE = 'x:1';
 
@@ -26,16 +26,19 @@
   }
 
   test('are sent to the edges of every control box, and so is their removal', async () => {
-    const [first = ''] = CONTROLS;
-    fleet.control(first).hearUpstream(upstreamOf());
+    const [first = ''] = CONTROL_BOXES;
+    fleet.getControl(first).recordHeartbeat(upstreamOf());
     await fleet.clock.advance(1_000);
     const added = {perSecond: 1.2, revision: 1};
     const removed = {perSecond: undefined, revision: 2};
     for (const limit of [added, removed]) {
-      const request: LimitsRequest = {box: EDGE, reports: [{id: 'i-1', limit}]};
+      const request: LimitReportsRequest = {
+        box: EDGE,
+        reports: [{id: 'i-1', limit}],
+      };
       await fleet.call(first, FLEET_SERVICE.reportLimits, request);
       await fleet.clock.advance(1_000);
-      for (const control of CONTROLS) {
+      for (const control of CONTROL_BOXES) {
         expect(await limitsAt(control)).toEqual([limit]);
       }
     }
--- a/packages/puffinturn-fleet/src/__tests__/unit/Quarantine.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/Quarantine.test.ts
@@ -6,7 +6,7 @@
  */
 
 import fc from 'fast-check';
-import {NO_QUARANTINE} from 'puffinturn-quarantine';
+import {EMPTY_QUARANTINE} from 'puffinturn-quarantine';
 
 import type {CrashReportRecord} from '../../FleetMachine';
 import {FleetMachine} from '../../FleetMachine';
@@ -43,7 +43,7 @@
       suspects: [],
     });
     restored.restore(empty);
-    expect(restored.quarantine).toEqual(NO_QUARANTINE);
+    expect(restored.quarantine).toEqual(EMPTY_QUARANTINE);
   });
 
   test('calls the listener on changes, with requests that are one crash from quarantine', () => {
--- a/packages/puffinturn-fleet/src/__tests__/unit/QuarantineControl.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/QuarantineControl.test.ts
@@ -5,9 +5,9 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import type {CrashReply, CrashRequest} from '../../index';
+import type {CrashReportReply, CrashReportRequest} from '../../index';
 import {FLEET_SERVICE} from '../../index';
-import {CONTROLS, RolloutFleet} from '../utils/RolloutFleet';
+import {CONTROL_BOXES, RolloutFleet} from '../utils/RolloutFleet';
 
 const MINUTE_MS = 60_000;
 
@@ -22,9 +22,12 @@
     fleet = await RolloutFleet.start();
   });
 
-  function report(control: string, incarnationId: string): Promise<CrashReply> {
+  function report(
+    control: string,
+    incarnationId: string,
+  ): Promise<CrashReportReply> {
     const crashes = [{agoMs: 0, fingerprints: ['f'], life: incarnationId}];
-    const request: CrashRequest = {
+    const request: CrashReportRequest = {
       box: 'x:1',
       report: {answered: [], crashes},
     };
@@ -37,20 +40,20 @@
   }
 
   test('count at whichever box they arrive, and all boxes show the outcome', async () => {
-    for (const [index, control] of CONTROLS.entries()) {
+    for (const [index, control] of CONTROL_BOXES.entries()) {
       expect(await quarantined(control)).toEqual([]);
       expect(await report(control, `incarnation ${index}`)).toEqual({
         taken: true,
       });
       await fleet.clock.advance(1_000);
     }
-    for (const control of CONTROLS) {
+    for (const control of CONTROL_BOXES) {
       expect(await quarantined(control)).toEqual(['f']);
     }
   });
 
   test('are dropped once the quarantine has expired', async () => {
-    for (const [index, control] of CONTROLS.entries()) {
+    for (const [index, control] of CONTROL_BOXES.entries()) {
       await report(control, `incarnation ${index}`);
       await fleet.clock.advance(1_000);
     }
--- a/packages/puffinturn-fleet/src/__tests__/unit/RolloutControl.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/RolloutControl.test.ts
@@ -8,7 +8,7 @@
 import type {WatchReply, WatchRequest} from '../../index';
 import {BOX_ROLE, FLEET_SERVICE, ROLLOUT_STATE} from '../../index';
 import {
-  CONTROLS,
+  CONTROL_BOXES,
   EXPOSURE_BOUND,
   FAILING,
   GOOD,
@@ -180,7 +180,7 @@
   test('continues during an evacuation and the replacement of upstreams', async () => {
     const fleet = await startRollout();
     const evacuation = {evacuated: true, hall: 'y'};
-    await fleet.waitFor(fleet.control().evacuate(evacuation));
+    await fleet.waitFor(fleet.getControl().setEvacuated(evacuation));
     await fleet.run(1_000);
     fleet.removeUpstreams('v1', 2);
     fleet.addUpstreams('v1', 1, {
@@ -209,11 +209,11 @@
 describe('An order', () => {
   test('is accepted by any control box, also if repeated during the rollout', async () => {
     const fleet = await startRollout();
-    for (const box of CONTROLS) {
+    for (const box of CONTROL_BOXES) {
       const reply = await fleet.orderRollout('v2', {}, box);
       expect(reply).toEqual({outcome: 'accepted'});
     }
-    expect(fleet.newestMachine().versionsOf('s')?.rollout?.number).toBe(1);
+    expect(fleet.newestMachine().getVersions('s')?.rollout?.number).toBe(1);
   });
 
   test('for another version is refused with the version in progress', async () => {
@@ -226,7 +226,9 @@
     const fleet = await startRollout();
     const reply = await fleet.orderRollout('v2', {service: 'other'});
     expect(reply).toEqual({outcome: 'unknown-service'});
-    expect(await fleet.waitFor(fleet.control().readRollout('other'))).toEqual({
+    expect(
+      await fleet.waitFor(fleet.getControl().readRollout('other')),
+    ).toEqual({
       current: true,
       versions: undefined,
     });
@@ -248,7 +250,7 @@
     const fleet = await startRollout();
     fleet.getBehaviour = (version) => (version === 'v2' ? FAILING : GOOD);
     await runToOutcome(fleet);
-    for (const box of CONTROLS) {
+    for (const box of CONTROL_BOXES) {
       expect(await fleet.orderRollout('v2', {}, box)).toEqual({
         outcome: 'accepted',
       });
@@ -256,7 +258,7 @@
     expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.rolledBack);
     await fleet.run(DURATION_MS);
     await fleet.orderRollout();
-    expect(fleet.newestMachine().versionsOf('s')?.rollout?.number).toBe(2);
+    expect(fleet.newestMachine().getVersions('s')?.rollout?.number).toBe(2);
   });
 
   test('has no effect if repeated after its outcome and a restart', async () => {
@@ -286,14 +288,14 @@
     await fleet.applyConfiguration();
     fleet.addUpstreams('v1');
     await fleet.clock.advance(5_000);
-    expect(fleet.newestMachine().versionsOf('s')?.stableVersion).toBe('v1');
+    expect(fleet.newestMachine().getVersions('s')?.stableVersion).toBe('v1');
   });
 
   test('does not change as upstreams of another version register', async () => {
     const fleet = await RolloutFleet.start();
     fleet.addUpstreams('v2', 9);
     await fleet.clock.advance(5_000);
-    expect(fleet.newestMachine().versionsOf('s')).toEqual({
+    expect(fleet.newestMachine().getVersions('s')).toEqual({
       rollout: undefined,
       service: 's',
       stableVersion: 'v1',
@@ -365,7 +367,7 @@
     fleet.addUpstreams('v2');
     await fleet.orderRollout('v2', {durationMs: 120_000});
     const first = fleet.leaderBox();
-    const others = CONTROLS.filter((box) => box !== first);
+    const others = CONTROL_BOXES.filter((box) => box !== first);
     await fleet.run(5_000);
     fleet.network.partition([first], others);
     await fleet.run(15_000);
@@ -386,7 +388,9 @@
   test('is rolled back once the quorum returns after its deadline', async () => {
     const fleet = await startRollout();
     await fleet.run(2_000);
-    const [first, second] = CONTROLS.filter((box) => box !== fleet.leaderBox());
+    const [first, second] = CONTROL_BOXES.filter(
+      (box) => box !== fleet.leaderBox(),
+    );
     fleet.crash([first ?? '', second ?? '']);
     await fleet.run(DURATION_MS);
     expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.exposing);
@@ -409,7 +413,7 @@
       expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.shifting);
       fleet.getBehaviour = (version) => (version === 'v2' ? behaviour : GOOD);
       const leader = fleet.leaderBox();
-      fleet.crash(CONTROLS.filter((box) => box !== leader));
+      fleet.crash(CONTROL_BOXES.filter((box) => box !== leader));
       await fleet.run(6_000);
       expect(fleet.rolloutState()).toBe(ROLLOUT_STATE.shifting);
       fleet.crash();
@@ -477,13 +481,13 @@
     async (_, afterMs, downtimeMs, outcome) => {
       const fleet = await startRollout();
       await fleet.run(afterMs, () => isShifting(fleet));
-      const before = fleet.newestMachine().rolloutProgressOf('s');
+      const before = fleet.newestMachine().getRolloutProgress('s');
       fleet.crash();
       await fleet.run(downtimeMs);
       await fleet.startControlBoxes();
       fleet.addUpstreams('v1');
       fleet.addUpstreams('v2');
-      const after = fleet.newestMachine().rolloutProgressOf('s');
+      const after = fleet.newestMachine().getRolloutProgress('s');
       expect(after?.granted).toBeGreaterThanOrEqual(before?.granted ?? 0);
       await fleet.run(DURATION_MS, () => hasOutcome(fleet));
       expect(fleet.rolloutState()).toBe(outcome);
