--- a/packages/puffinturn-fleet/src/__tests__/unit/RolloutRegister.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/RolloutRegistry.test.ts
@@ -8,12 +8,12 @@
 import {Encoder} from 'cbor-x';
 import fc from 'fast-check';
 
-import {FleetMachine, NO_ROLLOUTS, ROLLOUT_STATE} from '../../index';
+import {EMPTY_ROLLOUTS, FleetMachine, ROLLOUT_STATE} from '../../index';
 import type {
   RolloutRecord,
   RolloutRecordOutcome,
   RolloutVerdictRecord,
-} from '../../RolloutRegister';
+} from '../../RolloutRegistry';
 import {configurationOf} from '../utils/FleetFixture';
 
 // Guards against replicas that diverge, rollouts that start twice and outcomes that change.
@@ -72,15 +72,15 @@
 }
 
 function getState(machine: FleetMachine): string | undefined {
-  return machine.versionsOf('s')?.rollout?.state;
+  return machine.getVersions('s')?.rollout?.state;
 }
 
-describe('The rollout register', () => {
+describe('The rollout registry', () => {
   test('keeps the first stable version', () => {
     const machine = createMachine();
     applyRecord(machine, stableVersionRecord('v1'));
     applyRecord(machine, stableVersionRecord('v2'));
-    expect(machine.versionsOf('s')?.stableVersion).toBe('v1');
+    expect(machine.getVersions('s')?.stableVersion).toBe('v1');
     expect(machine.rollouts.revision).toBe(1);
   });
 
@@ -119,13 +119,13 @@
     const machine = createMachine();
     applyRecord(machine, orderRecord('v2'));
     applyRecord(machine, verdictRecord(ROLLOUT_STATE.shifting));
-    expect(machine.versionsOf('s')?.stableVersion).toBe('v1');
+    expect(machine.getVersions('s')?.stableVersion).toBe('v1');
     applyRecord(machine, verdictRecord(ROLLOUT_STATE.completed));
-    expect(machine.versionsOf('s')?.stableVersion).toBe('v2');
+    expect(machine.getVersions('s')?.stableVersion).toBe('v2');
     expect(applyRecord(machine, orderRecord('v2', 1))).toBe('accepted');
-    expect(machine.versionsOf('s')?.rollout?.number).toBe(1);
+    expect(machine.getVersions('s')?.rollout?.number).toBe(1);
     applyRecord(machine, orderRecord('v3', 1));
-    expect(machine.versionsOf('s')?.rollout?.number).toBe(2);
+    expect(machine.getVersions('s')?.rollout?.number).toBe(2);
   });
 
   test('completes a rollout to the version that already serves', () => {
@@ -142,7 +142,7 @@
     applyRecord(machine, verdictRecord(ROLLOUT_STATE.shifting));
     applyRecord(machine, verdictRecord(ROLLOUT_STATE.completed));
     expect(getState(machine)).toBe(ROLLOUT_STATE.rolledBack);
-    expect(machine.versionsOf('s')?.stableVersion).toBe('v1');
+    expect(machine.getVersions('s')?.stableVersion).toBe('v1');
   });
 
   test('does not complete a rollout before its shift', () => {
@@ -160,7 +160,7 @@
     expect(getState(machine)).toBe(ROLLOUT_STATE.rolledBack);
     // With the number of the outcome it is a new order.
     applyRecord(machine, orderRecord('v2', 1));
-    expect(machine.versionsOf('s')?.rollout?.number).toBe(2);
+    expect(machine.getVersions('s')?.rollout?.number).toBe(2);
   });
 
   test('ignores blocks of other orders and smaller blocks', () => {
@@ -169,7 +169,7 @@
     applyRecord(machine, blockRecord(20, 900));
     applyRecord(machine, blockRecord(10, 400));
     applyRecord(machine, blockRecord(90, 900, 2));
-    expect(machine.rolloutProgressOf('s')).toMatchObject({
+    expect(machine.getRolloutProgress('s')).toMatchObject({
       counted: 200,
       elapsedMs: 900,
       granted: 20,
@@ -191,11 +191,11 @@
     const restored = new FleetMachine();
     restored.restore(machine.snapshot());
     expect(restored.rollouts).toEqual(machine.rollouts);
-    expect(restored.rolloutProgressOf('s')).toEqual(
-      machine.rolloutProgressOf('s'),
+    expect(restored.getRolloutProgress('s')).toEqual(
+      machine.getRolloutProgress('s'),
     );
     restored.restore(olderSnapshot);
-    expect(restored.rollouts).toEqual(NO_ROLLOUTS);
+    expect(restored.rollouts).toEqual(EMPTY_ROLLOUTS);
   });
 
   const states = fc.constantFrom(...Object.values(ROLLOUT_STATE));
@@ -222,7 +222,7 @@
         const reference = createMachine();
         let restored = createMachine();
         for (const [index, record] of all.entries()) {
-          const before = reference.versionsOf('s')?.rollout;
+          const before = reference.getVersions('s')?.rollout;
           reference.apply(record);
           restored.apply(record);
           restored.apply(record);
@@ -231,7 +231,7 @@
             restored = new FleetMachine();
             restored.restore(snapshot);
           }
-          const after = reference.versionsOf('s')?.rollout;
+          const after = reference.getVersions('s')?.rollout;
           const hadOutcome =
             before?.state === ROLLOUT_STATE.completed ||
             before?.state === ROLLOUT_STATE.rolledBack;
@@ -243,8 +243,8 @@
           expect([0, 1]).toContain(numberIncrease);
         }
         expect(restored.rollouts).toEqual(reference.rollouts);
-        expect(restored.rolloutProgressOf('s')).toEqual(
-          reference.rolloutProgressOf('s'),
+        expect(restored.getRolloutProgress('s')).toEqual(
+          reference.getRolloutProgress('s'),
         );
       }),
       {numRuns: 300, seed: 11},
--- a/packages/puffinturn-fleet/src/__tests__/unit/UpstreamRefusals.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/UpstreamRefusals.test.ts
@@ -17,7 +17,10 @@
     const log = new KeptDecisionLog();
     await using refusals = new UpstreamRefusals(clock, log);
     for (let index = 0; index < 500; index += 1) {
-      refusals.count('i'.repeat(500), index < 20 ? `cause-${index}` : 'zone');
+      refusals.recordRefusal(
+        'i'.repeat(500),
+        index < 20 ? `cause-${index}` : 'zone',
+      );
     }
     await clock.advance(1_001);
     expect(log.lines).toHaveLength(1);
@@ -32,7 +35,7 @@
     expect(causes.reduce((sum, {count}) => sum + count, 0)).toBe(500);
     await clock.advance(5_000);
     expect(log.lines).toHaveLength(1);
-    refusals.count('i-1', 'born');
+    refusals.recordRefusal('i-1', 'born');
     await clock.advance(1_001);
     expect(log.lines[1]).toMatchObject({
       causes: [{cause: 'born', count: 1}],
--- a/packages/puffinturn-fleet/src/__tests__/unit/Upstreams.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/UpstreamTable.test.ts
@@ -36,10 +36,10 @@
     table.merge(upstreamOf(), 0);
     const {revision} = table;
     const limit = {perSecond: 1.2, revision: 2};
-    expect(table.hearLimit({id: 'i-1'}, limit, 1)).toBe(true);
-    expect(table.hearLimit({id: 'i-1'}, limit, 2)).toBe(false);
+    expect(table.updateLimit({id: 'i-1'}, limit, 1)).toBe(true);
+    expect(table.updateLimit({id: 'i-1'}, limit, 2)).toBe(false);
     const earlier = {perSecond: 0.5, revision: 1};
-    expect(table.hearLimit({id: 'i-1'}, earlier, 3)).toBe(false);
+    expect(table.updateLimit({id: 'i-1'}, earlier, 3)).toBe(false);
     table.merge(upstreamOf({sequence: 2}), 4);
     expect(table.changedSince(revision)).toEqual([
       upstreamOf({limit, sequence: 2}),
@@ -58,8 +58,8 @@
     const table = new UpstreamTable();
     table.merge(upstreamOf({bornAt: 1}), 0);
     const limit = {perSecond: 1.2, revision: 1};
-    expect(table.hearLimit({bornAt: 2, id: 'i-1'}, limit, 1)).toBe(false);
-    expect(table.hearLimit({bornAt: 1, id: 'i-1'}, limit, 1)).toBe(true);
+    expect(table.updateLimit({bornAt: 2, id: 'i-1'}, limit, 1)).toBe(false);
+    expect(table.updateLimit({bornAt: 1, id: 'i-1'}, limit, 1)).toBe(true);
     table.merge(upstreamOf({bornAt: 2}), 2);
     table.merge(upstreamOf({bornAt: 1, limit, sequence: 9}), 3);
     expect(table.get('i-1')).toEqual(upstreamOf({bornAt: 2}));
@@ -67,7 +67,7 @@
 
   test('ignores heartbeats of an upstream that left before its first heartbeat', () => {
     const table = new UpstreamTable();
-    expect(table.remove('i-1', 0)).toBe(true);
+    expect(table.markGone('i-1', 0)).toBe(true);
     expect(table.merge(upstreamOf({sequence: 9}), 1)).toBe(false);
     expect(table.get('i-1')?.state).toBe(UPSTREAM_STATE.gone);
   });
@@ -145,14 +145,14 @@
     const {revision} = table;
     const late = {...previous, sequence: 90, state: draining};
     expect(table.merge(late, 1)).toBe(false);
-    expect(table.remove('i-1', 1, 1_000)).toBe(false);
+    expect(table.markGone('i-1', 1, 1_000)).toBe(false);
     expect(table.get('i-1')).toEqual(next);
     expect(table.changedSince(revision)).toEqual([]);
   });
 
   test('one that is gone does not return, and the next one is ready', () => {
     const table = createTable(previous);
-    expect(table.remove('i-1', 1, 1_000)).toBe(true);
+    expect(table.markGone('i-1', 1, 1_000)).toBe(true);
     expect(table.merge({...previous, sequence: 51}, 2)).toBe(false);
     expect(table.get('i-1')?.state).toBe(gone);
     expect(table.merge(next, 3)).toBe(true);
@@ -161,7 +161,7 @@
 
   test('a leave call without a start time ends the known one', () => {
     const table = createTable(previous, next);
-    expect(table.remove('i-1', 1)).toBe(true);
+    expect(table.markGone('i-1', 1)).toBe(true);
     expect(table.get('i-1')).toMatchObject({bornAt: 2_000, state: gone});
     expect(table.merge({...next, sequence: 2}, 2)).toBe(false);
     expect(table.merge({...next, bornAt: 3_000}, 3)).toBe(true);
@@ -169,7 +169,7 @@
 
   test('a leave call of an unknown later one ends the earlier one too', () => {
     const table = createTable(previous);
-    expect(table.remove('i-1', 1, 2_000)).toBe(true);
+    expect(table.markGone('i-1', 1, 2_000)).toBe(true);
     expect(table.merge({...previous, sequence: 51}, 2)).toBe(false);
     expect(table.merge(next, 2)).toBe(false);
     expect(table.get('i-1')).toMatchObject({bornAt: 2_000, state: gone});
@@ -177,7 +177,7 @@
 
   test('a leave call for an unknown ID without a start time does not end a later one', () => {
     const table = new UpstreamTable();
-    expect(table.remove('i-1', 0)).toBe(true);
+    expect(table.markGone('i-1', 0)).toBe(true);
     expect(table.merge(next, 1)).toBe(true);
     expect(table.get('i-1')?.state).toBe(ready);
   });
@@ -224,7 +224,7 @@
     (id) => {
       const table = new UpstreamTable();
       expect(table.get(id)).toBeUndefined();
-      expect(table.remove(id, 0)).toBe(true);
+      expect(table.markGone(id, 0)).toBe(true);
       expect(table.merge({...next, id}, 0)).toBe(true);
       expect(table.get(id)?.bornAt).toBe(2_000);
     },
@@ -331,7 +331,7 @@
             heartbeats.push({isLeaving: isLeaving && hasStart, record});
             network.tables[step.box]?.merge(record, 0);
             if (isLeaving && hasStart) {
-              network.tables[step.box]?.remove(record.id, 0, record.bornAt);
+              network.tables[step.box]?.markGone(record.id, 0, record.bornAt);
             }
           }
           network.replicateAll();
--- a/packages/puffinturn-fleet/src/__tests__/utils/FleetFixture.ts
+++ b/packages/puffinturn-fleet/src/__tests__/utils/FleetFixture.ts
@@ -11,7 +11,7 @@
   Team,
   UpstreamRecord,
 } from '../../index';
-import {REPETITION, UPSTREAM_STATE} from '../../index';
+import {RETRY_POLICY, UPSTREAM_STATE} from '../../index';
 
 /** Creates a route with default values for the missing fields. */
 export function routeOf(fields: Partial<Route> = {}): Route {
@@ -23,7 +23,7 @@
     objectiveMs: 500,
     pathPrefix: '/a/',
     priority: 0,
-    repetition: REPETITION.repeatable,
+    repetition: RETRY_POLICY.repeatable,
     streams: false,
     targets: [{service: 's', weight: 1}],
     timeoutMs: 1_000,
--- a/packages/puffinturn-fleet/src/__tests__/utils/RolloutFleet.ts
+++ b/packages/puffinturn-fleet/src/__tests__/utils/RolloutFleet.ts
@@ -27,17 +27,17 @@
 } from '../../index';
 import {
   BOX_ROLE,
+  createReplicaLink,
   FLEET_SERVICE,
   FleetControl,
   FleetMachine,
-  linkOfReplicas,
   ROLLOUT_STATE,
   TIME_RATIO_BOUNDS,
 } from '../../index';
 import {configurationOf, upstreamOf} from './FleetFixture';
 
 /** Control boxes of the fleet. */
-export const CONTROLS = ['c1:1', 'c2:1', 'c3:1'] as const;
+export const CONTROL_BOXES = ['c1:1', 'c2:1', 'c3:1'] as const;
 
 /** Exposure bound of the tests. */
 export const EXPOSURE_BOUND: ExposureBound = {
@@ -169,12 +169,12 @@
   /** Applies a configuration that contains the service. */
   async applyConfiguration(): Promise<void> {
     const stored = {configuration: configurationOf(1), document: 'one'};
-    await this.waitFor(this.control().change(stored));
+    await this.waitFor(this.getControl().changeConfiguration(stored));
   }
 
   /** Starts control boxes that are not running, from their disks. */
   async startControlBoxes(
-    boxes: readonly string[] = CONTROLS,
+    boxes: readonly string[] = CONTROL_BOXES,
     settleMs = 3_000,
   ): Promise<void> {
     for (const box of boxes) {
@@ -184,7 +184,7 @@
   }
 
   /** Crashes control boxes; unsynced data is lost. */
-  crash(boxes: readonly string[] = CONTROLS): void {
+  crash(boxes: readonly string[] = CONTROL_BOXES): void {
     for (const box of boxes) {
       this.network.disconnect(box);
       this.disks.get(box)?.crash();
@@ -208,14 +208,14 @@
         version,
         ...fields,
       });
-      this.control().hearUpstream(record);
+      this.getControl().recordHeartbeat(record);
     }
   }
 
   /** Removes upstreams of a version. */
   removeUpstreams(version: string, count = 4): void {
     for (let index = 0; index < count; index += 1) {
-      this.control().removeUpstream(`${version}-${index}`);
+      this.getControl().markUpstreamGone(`${version}-${index}`);
     }
   }
 
@@ -236,7 +236,7 @@
   }
 
   /** Returns the named control box, or any running one. */
-  control(box?: string): FleetControl {
+  getControl(box?: string): FleetControl {
     return this.findControlBox(box).control;
   }
 
@@ -273,17 +273,17 @@
       ...fields,
     };
     this.orderedAt ??= this.clock.now();
-    return this.waitFor(this.control(box).beginRollout(order));
+    return this.waitFor(this.getControl(box).beginRollout(order));
   }
 
   /** Reads the versions of the service at a control box. */
   readVersions(box?: string): Promise<RolloutReadReply> {
-    return this.waitFor(this.control(box).readRollout('s'));
+    return this.waitFor(this.getControl(box).readRollout('s'));
   }
 
   /** Returns the newest state of the rollout. */
   rolloutState(): string | undefined {
-    return this.newestMachine().versionsOf('s')?.rollout?.state;
+    return this.newestMachine().getVersions('s')?.rollout?.state;
   }
 
   /** Requests to the service and to the new version since the order. */
@@ -294,7 +294,7 @@
   /** Grants beyond those recorded in the log; a positive number is an error. */
   get unloggedGrants(): number {
     const loggedGrants = [...this.controls.values()].map(
-      ({machine}) => machine.rolloutProgressOf('s')?.granted ?? 0,
+      ({machine}) => machine.getRolloutProgress('s')?.granted ?? 0,
     );
     const granted = this.edges.reduce((sum, edge) => sum + edge.granted, 0);
     return granted + this.grantedToStoppedEdges - Math.max(...loggedGrants);
@@ -395,13 +395,13 @@
     }
     const {clock, network} = this;
     const link = network.connect(box);
-    const changed = new Condition();
-    const machine = new FleetMachine(() => changed.notify());
+    const onChange = new Condition();
+    const machine = new FleetMachine(() => onChange.notify());
     const disk = this.disks.get(box) ?? new MemoryDisk();
     this.disks.set(box, disk);
     this.incarnationCount += 1;
     const incarnation = String(this.incarnationCount);
-    const {logLink, serve} = linkOfReplicas(link);
+    const {logLink, serve} = createReplicaLink(link);
     const opened = await Replica.open({
       box,
       clock,
@@ -416,18 +416,18 @@
     invariant(opened.isOk(), 'replica did not open');
     const replica = opened.value;
     serve((request: LogRequest) => replica.handle(request));
-    void replica.takePart(() => [...CONTROLS], true);
+    void replica.takePart(() => [...CONTROL_BOXES], true);
     const log = this.logs.get(box) ?? new KeptDecisionLog();
     this.logs.set(box, log);
     const control = new FleetControl({
-      changed,
+      onChange,
       clock,
       exposure: this.isEnabled ? EXPOSURE_BOUND : undefined,
       link,
       log,
       machine,
       replica,
-      seeds: () => [...CONTROLS],
+      seeds: () => [...CONTROL_BOXES],
       self: {box, hall: 'z', incarnation, role: BOX_ROLE.control},
     });
     this.controls.set(box, {control, machine, replica});
@@ -442,7 +442,7 @@
   }
 
   private sendRequests(): void {
-    const rollout = this.getKnownMachine()?.versionsOf('s')?.rollout;
+    const rollout = this.getKnownMachine()?.getVersions('s')?.rollout;
     this.dueRequests +=
       (this.traffic.requestsPerSecond * STEP_INTERVAL_MS) / 1_000;
     while (this.dueRequests >= 1 && this.edges.length > 0) {
@@ -545,7 +545,7 @@
   }
 
   private sendReports(): void {
-    const number = this.getKnownMachine()?.versionsOf('s')?.rollout?.number;
+    const number = this.getKnownMachine()?.getVersions('s')?.rollout?.number;
     if (number === undefined) {
       return;
     }
@@ -571,7 +571,7 @@
     };
     const [controlBox] = [...this.controls.keys()];
     const answer = await edge.link.call(
-      controlBox ?? CONTROLS[0],
+      controlBox ?? CONTROL_BOXES[0],
       FLEET_SERVICE.exposure,
       {box: edge.box, life: edge.incarnationId, reports: [report]},
       2_000,
--- a/packages/puffinturn-fleet/src/index.ts
+++ b/packages/puffinturn-fleet/src/index.ts
@@ -11,30 +11,30 @@
   AllowanceGrant,
   AllowanceOutcome,
 } from './AllowanceLedger';
-export {tallyKey} from './AnswerTotals';
-export type {BoxChanges} from './Boxes';
-export {BoxList, BoxTable} from './Boxes';
+export {createTallyKey} from './AnswerTotals';
+export type {BoxChanges} from './BoxList';
+export {BoxList, BoxTable} from './BoxList';
 export type {
   CallerLimits,
   ColdStart,
   ConfigurationFailure,
   EngineProfile,
   FleetConfiguration,
-  Repetition,
+  RetryPolicy,
   Route,
   RouteTarget,
   Service,
   Team,
 } from './Configuration';
-export {checkConfiguration, REPETITION, routePlace} from './Configuration';
+export {checkConfiguration, RETRY_POLICY, routeKey} from './Configuration';
 export type {ConfigurationChange} from './ConfigurationChange';
-export {applyChange, changeBetween} from './ConfigurationChange';
+export {applyChange, diffConfigurations} from './ConfigurationChange';
 export {ConfigurationHistory} from './ConfigurationHistory';
 export type {
   ConfigurationOutcome,
   StoredConfiguration,
-} from './ConfigurationRegister';
-export type {EvacuationOutcome} from './EvacuationRegister';
+} from './ConfigurationRegistry';
+export type {EvacuationOutcome} from './EvacuationRegistry';
 export type {Evacuations} from './Evacuations';
 export {NO_EVACUATIONS} from './Evacuations';
 export type {FleetControlParts} from './FleetControl';
@@ -48,29 +48,34 @@
   BorrowRequest,
   BoxRecord,
   BoxRole,
-  ChangeReply,
-  CrashReply,
-  CrashRequest,
+  ConfigurationChangeReply,
+  ConfigurationReadReply,
+  CrashReportReply,
+  CrashReportRequest,
+  EdgeState,
   EvacuateReply,
   EvacuateRequest,
   Gift,
   GiveReply,
   GiveRequest,
-  GreetReply,
-  HandOver,
   LimitReport,
-  LimitsRequest,
+  LimitReportsRequest,
   LoanOutcome,
-  ReadReply,
-  StepAsideReply,
+  StateNeededReply,
   WatchReply,
   WatchRequest,
+  WithdrawalReply,
+} from './FleetMessages';
+export {
+  BOX_ROLE,
+  FLEET_SERVICE,
+  incarnationIdOf,
+  LOAN_OUTCOME,
 } from './FleetMessages';
-export {BOX_ROLE, FLEET_SERVICE, lifeOf, LOAN} from './FleetMessages';
 export type {FleetWatchParts} from './FleetWatch';
-export {FleetNews, FleetWatch} from './FleetWatch';
-export {Regions, regionsInBoth} from './Regions';
-export {linkOfReplicas} from './ReplicaLink';
+export {FleetUpdateHandler, FleetWatch} from './FleetWatch';
+export {intersectRegions, Regions} from './Regions';
+export {createReplicaLink} from './ReplicaLink';
 export type {
   ExposureBound,
   ExposureGrant,
@@ -88,14 +93,22 @@
   VersionTally,
 } from './Rollouts';
 export {
-  NO_ROLLOUTS,
-  ROLLOUT_ORDER,
+  EMPTY_ROLLOUTS,
+  ROLLOUT_ORDER_OUTCOME,
   ROLLOUT_STATE,
   TIME_RATIO_BOUNDS,
 } from './Rollouts';
-export {UNNAMED_VERSION} from './ServiceUpstreams';
+export {UNKNOWN_VERSION} from './ServiceUpstreams';
+export type {SuspensionRecoveryParts} from './SuspensionRecovery';
+export {recoverFromSuspension} from './SuspensionRecovery';
 export {UpstreamRefusals} from './UpstreamRefusals';
-export type {UpstreamLife, UpstreamRecord, UpstreamState} from './Upstreams';
-export {compareLives, UPSTREAM_STATE, UpstreamTable} from './Upstreams';
-export type {WakeUpParts} from './WakeUp';
-export {wakeUp} from './WakeUp';
+export type {
+  UpstreamIncarnation,
+  UpstreamRecord,
+  UpstreamState,
+} from './UpstreamTable';
+export {
+  compareIncarnations,
+  UPSTREAM_STATE,
+  UpstreamTable,
+} from './UpstreamTable';
--- a/packages/puffinturn-fuzz/src/CallerRequests.ts
+++ b/packages/puffinturn-fuzz/src/CallerRequests.ts
@@ -7,7 +7,7 @@
 
 /** Requests of the fuzzed team, as the HTTP side would hand them on. */
 import type {CallerRequest} from 'puffinturn-gateway';
-import {checkCompletion} from 'puffinturn-gateway';
+import {validateCompletion} from 'puffinturn-gateway';
 import type {BoxMember} from 'puffinturn-membership';
 
 import {MODEL, SERVICE, TEAM_KEY} from './FuzzDeclarations';
@@ -39,7 +39,7 @@
         stream: true,
       }
     : {order: name};
-  const completion = streams ? checkCompletion(json, 'chat') : undefined;
+  const completion = streams ? validateCompletion(json, 'chat') : undefined;
   return {
     body: Buffer.from(JSON.stringify(json)),
     completion: completion?.unwrapOr(undefined as never),
--- a/packages/puffinturn-fuzz/src/FuzzFleet.ts
+++ b/packages/puffinturn-fuzz/src/FuzzFleet.ts
@@ -11,7 +11,7 @@
 import type {BoxBreakage, FleetPlace} from 'puffinturn-daemon';
 import {Box, OperatorApi} from 'puffinturn-daemon';
 import {GatewayMetrics} from 'puffinturn-gateway';
-import type {Ledger, SplitSide} from 'puffinturn-ledger';
+import type {Ledger, RegionSupply} from 'puffinturn-ledger';
 import type {DiskFailure} from 'puffinturn-log';
 import {MemoryDisk} from 'puffinturn-log';
 import type {Declaration, FleetBox} from 'puffinturn-settings';
@@ -53,9 +53,12 @@
 export interface FleetOptions {
   readonly breakage?: BoxBreakage & {readonly skipSync?: boolean};
   /** How budgets are split between regions. */
-  readonly split?: (home: SplitSide, other: SplitSide) => number;
+  readonly computeGrantTarget?: (
+    home: RegionSupply,
+    other: RegionSupply,
+  ) => number;
   /** Refuses at once near the end of a budget. */
-  readonly neverWait?: boolean;
+  readonly disableAdmissionQueue?: boolean;
 }
 
 /** One life of one box. */
@@ -156,22 +159,26 @@
       boxes: this.boxes,
       primaryRegion: this.boxes[0]?.region ?? '',
     };
-    const {breakage = {}, neverWait, split} = this.options;
+    const {
+      breakage = {},
+      disableAdmissionQueue,
+      computeGrantTarget,
+    } = this.options;
     const started = await Box.start({
       breakage,
       client,
       clock,
       disk,
-      keepAnswerMs: KEEP_MS,
-      keepMarkedMs: KEEP_MS,
+      responseRetentionMs: KEEP_MS,
+      atMostOnceRetentionMs: KEEP_MS,
       link,
       metrics: new GatewayMetrics(),
       newName: () => this.newName(),
       place,
       random: new Random(this.random.integer(0, 1_000_000)),
       snapshotEvery: SNAPSHOT_EVERY,
-      ...(neverWait === undefined ? {} : {neverWait}),
-      ...(split === undefined ? {} : {split}),
+      ...(disableAdmissionQueue === undefined ? {} : {disableAdmissionQueue}),
+      ...(computeGrantTarget === undefined ? {} : {computeGrantTarget}),
     });
     invariant(started.isOk(), `${name} must start`);
     const box = started.value;
--- a/packages/puffinturn-fuzz/src/FuzzRun.ts
+++ b/packages/puffinturn-fuzz/src/FuzzRun.ts
@@ -9,7 +9,7 @@
 import type {BoxBreakage} from 'puffinturn-daemon';
 import type {CallerRequest, Gateway} from 'puffinturn-gateway';
 import type {DeclareReply} from 'puffinturn-ledger';
-import {allotted, grantedOut} from 'puffinturn-ledger';
+import {allocatedUnits, outstandingGrants} from 'puffinturn-ledger';
 import type {Declaration} from 'puffinturn-settings';
 import type {TimelineEvent} from 'puffinturn-timeline';
 import {invariant} from 'shared';
@@ -224,8 +224,8 @@
       one.code = handled.error.kind;
       return;
     }
-    const {answer} = handled.value;
-    const reader = answer.read();
+    const {response} = handled.value;
+    const reader = response.createReader();
     if (step.leavesAfterMs !== null) {
       void this.fleet.clock
         .sleep(step.leavesAfterMs)
@@ -234,7 +234,7 @@
     }
     const parts: Uint8Array[] = [];
     for (;;) {
-      const chunks = await reader.chunks();
+      const chunks = await reader.readAvailable();
       if (chunks.length === 0) {
         break;
       }
@@ -244,7 +244,7 @@
     if (!this.isAlive(step.box, gateway)) {
       return;
     }
-    const {end, head} = answer;
+    const {end, head} = response;
     one.whole = end?.kind === 'whole';
     one.outcome =
       end?.kind === 'failed'
@@ -348,8 +348,8 @@
     for (const region of REGIONS) {
       const state = this.fleet.newestLedger(region)?.budgets.get(BUDGET);
       spent += state === undefined ? 0 : state.settled + state.reserved;
-      if (state !== undefined && allotted(state) < 0) {
-        const detail = `${region} has granted ${grantedOut(state)}`;
+      if (state !== undefined && allocatedUnits(state) < 0) {
+        const detail = `${region} has granted ${outstandingGrants(state)}`;
         this.breaches.push({detail, promise: 'never over budget'});
       }
     }
--- a/packages/puffinturn-fuzz/src/UpstreamWorld.ts
+++ b/packages/puffinturn-fuzz/src/UpstreamWorld.ts
@@ -9,13 +9,13 @@
 import type {ResultAsync} from 'neverthrow';
 import {err, ok, ResultAsync as Async} from 'neverthrow';
 import type {
-  UpstreamAnswer,
   UpstreamFailure,
   UpstreamRequest,
+  UpstreamResponse,
 } from 'puffinturn-gateway';
 import {UpstreamClient} from 'puffinturn-gateway';
 import type {ListenerState} from 'puffinturn-quarantine';
-import {LISTENER} from 'puffinturn-quarantine';
+import {LISTENER_STATE} from 'puffinturn-quarantine';
 import type {Clock} from 'shared';
 
 import {FASTEST_CLOCK} from './ClockRates';
@@ -171,22 +171,22 @@
 
   override send(
     request: UpstreamRequest,
-  ): ResultAsync<UpstreamAnswer, UpstreamFailure> {
+  ): ResultAsync<UpstreamResponse, UpstreamFailure> {
     return new Async(this.exchange(request));
   }
 
   override async probe(url: string): Promise<ListenerState> {
     await this.gate();
     return this.world.modeOf(url) === MODE.refuse
-      ? LISTENER.refused
-      : LISTENER.listens;
+      ? LISTENER_STATE.refused
+      : LISTENER_STATE.listening;
   }
 
   override async [Symbol.asyncDispose](): Promise<void> {
     this.ended.abort();
   }
 
-  private turnAway(url: string): UpstreamAnswer {
+  private turnAway(url: string): UpstreamResponse {
     const now = this.world.clock.now();
     const passedMs = now - (this.askedForRestAt.get(url) ?? -Infinity);
     if (passedMs > CROSSING_MS && passedMs < SHORTEST_REST_MS) {
@@ -204,11 +204,11 @@
     const {clock} = this.world;
     await this.gate();
     if (this.ended.signal.aborted) {
-      return err<UpstreamAnswer, UpstreamFailure>(failure('not-sent'));
+      return err<UpstreamResponse, UpstreamFailure>(failure('not-sent'));
     }
     const mode = this.world.modeOf(request.url);
     if (mode === MODE.refuse) {
-      return err<UpstreamAnswer, UpstreamFailure>(failure('not-sent'));
+      return err<UpstreamResponse, UpstreamFailure>(failure('not-sent'));
     }
     await clock.sleep(LATENCY_MS / 2);
     if (mode === MODE.leaving) {
@@ -216,14 +216,14 @@
         'puffinturn-leaving': 'true',
         'puffinturn-not-run': 'true',
       };
-      return ok<UpstreamAnswer, UpstreamFailure>({
+      return ok<UpstreamResponse, UpstreamFailure>({
         body: bodyOf([]),
         headers,
         status: 503,
       });
     }
     if (mode === MODE.resting) {
-      return ok<UpstreamAnswer, UpstreamFailure>(this.turnAway(request.url));
+      return ok<UpstreamResponse, UpstreamFailure>(this.turnAway(request.url));
     }
     if (mode === MODE.limited) {
       const heardAt = this.heardLimitAt.get(request.url);
@@ -237,12 +237,12 @@
     }
     if (mode === MODE.crash) {
       this.world.crash(request.url);
-      return err<UpstreamAnswer, UpstreamFailure>(failure('broken'));
+      return err<UpstreamResponse, UpstreamFailure>(failure('broken'));
     }
     if (mode === MODE.breakBefore || request.signal.aborted) {
-      return err<UpstreamAnswer, UpstreamFailure>(failure('broken'));
+      return err<UpstreamResponse, UpstreamFailure>(failure('broken'));
     }
-    return ok<UpstreamAnswer, UpstreamFailure>({
+    return ok<UpstreamResponse, UpstreamFailure>({
       body: this.answerBody(body, mode),
       headers: {
         'content-type': 'application/json',
--- a/packages/puffinturn-gateway/src/Admission.ts
+++ b/packages/puffinturn-gateway/src/Admission.ts
@@ -111,7 +111,9 @@
   private otherHomeRegion({decision}: RequestPlan): string | undefined {
     const {member, region} = this.parts;
     const homeRegion = member.config.budgetHome(decision.budget);
-    return decision.marked && homeRegion !== region ? homeRegion : undefined;
+    return decision.runsAtMostOnce && homeRegion !== region
+      ? homeRegion
+      : undefined;
   }
 
   private async tryAdmit(plan: RequestPlan, startedAt: number): Promise<Step> {
@@ -187,10 +189,10 @@
       digest,
       generatedKey: isKeyGenerated,
       incarnation: member.incarnation,
-      keepMs: retentionMs(decision.marked),
+      keepMs: retentionMs(decision.runsAtMostOnce),
       key,
       kind: 'admit',
-      marked: decision.marked,
+      marked: decision.runsAtMostOnce,
       reserve,
       serial,
       team: request.team.name,
--- a/packages/puffinturn-gateway/src/AttemptRunner.ts
+++ b/packages/puffinturn-gateway/src/AttemptRunner.ts
@@ -11,9 +11,9 @@
  * closes the attempt.
  */
 import type {ControlClient} from 'puffinturn-ledger';
-import {MAX_KEPT_ANSWER_BYTES} from 'puffinturn-ledger';
-import type {Place} from 'puffinturn-routing';
-import {backoffMs, prefixBlocks} from 'puffinturn-routing';
+import {MAX_STORED_RESPONSE_BYTES} from 'puffinturn-ledger';
+import type {UpstreamSlot} from 'puffinturn-routing';
+import {backoffDelayMs, hashPromptBlocks} from 'puffinturn-routing';
 import type {Timeline} from 'puffinturn-timeline';
 import {EVENT_KIND} from 'puffinturn-timeline';
 import type {Clock, Random} from 'shared';
@@ -25,7 +25,6 @@
 import {formatContinuationBody, formatUpstreamBody} from './CompletionBody';
 import type {Usage} from './CompletionStreamParser';
 import {CompletionStreamParser} from './CompletionStreamParser';
-import type {CrashingRequests} from './CrashingRequests';
 import {
   ADMIT_TIMEOUT_MS,
   MAX_PERMIT_REFUSALS,
@@ -36,7 +35,8 @@
 import type {GatewayFailure} from './GatewayFailure';
 import {createFailure, OUTCOME} from './GatewayFailure';
 import type {GatewayMetrics} from './GatewayMetrics';
-import type {Pool, Pools} from './Pools';
+import type {Pool, PoolRegistry} from './PoolRegistry';
+import type {RequestQuarantine} from './RequestQuarantine';
 import type {
   CallParts,
   CallRequest,
@@ -58,10 +58,10 @@
   readonly client: UpstreamClient;
   readonly clock: Clock;
   readonly control: ControlClient;
-  readonly crashing: CrashingRequests;
+  readonly requestQuarantine: RequestQuarantine;
   readonly metrics: GatewayMetrics;
   readonly permits: UpstreamPermits;
-  readonly pools: Pools;
+  readonly pools: PoolRegistry;
   readonly random: Random;
   readonly settler: AttemptSettler;
   readonly timeline: Timeline;
@@ -71,8 +71,8 @@
 const EVENT_STREAM_CONTENT_TYPE = 'text/event-stream';
 const encoder = new TextEncoder();
 
-interface NoPlace {
-  readonly kind: 'no-place';
+interface NoSlot {
+  readonly kind: 'no-slot';
   readonly failure: GatewayFailure;
 }
 
@@ -81,7 +81,7 @@
   readonly kind: 'dispatch-not-committed';
 }
 
-type CallOutcome = UpstreamCall | NoPlace | DispatchNotCommitted;
+type CallOutcome = UpstreamCall | NoSlot | DispatchNotCommitted;
 
 /** Runs one attempt and writes its response. */
 export class AttemptRunner {
@@ -108,7 +108,7 @@
         parts.pools.recordLeaving(pool, upstream);
       },
       onRateLimitChange: (upstream) => {
-        const {perSecond} = upstream.limits.limit;
+        const {perSecond} = upstream.rateLimit.limit;
         const detail =
           perSecond === undefined ? 'no limit' : `${perSecond} a second`;
         const {name} = upstream;
@@ -128,7 +128,7 @@
   /** Runs until the response has ended and the attempt is closed. */
   async run(): Promise<void> {
     const {decision} = this.attempt.plan;
-    this.pool.retryBudget.earn();
+    this.pool.retryBudget.recordRequest();
     for (let tryIndex = 0; ; tryIndex += 1) {
       const call = await this.tryUpstream(tryIndex);
       if (call.kind === 'started') {
@@ -146,7 +146,7 @@
       }
       this.parts.metrics.retries.inc({pool: decision.pool});
       this.recordEvent(EVENT_KIND.retried, {detail: `try ${tryIndex + 2}`});
-      await this.parts.clock.sleep(backoffMs(tryIndex, this.parts.random));
+      await this.parts.clock.sleep(backoffDelayMs(tryIndex, this.parts.random));
     }
   }
 
@@ -154,32 +154,32 @@
     const {request} = this.attempt.plan;
     return (
       tryIndex + 1 < MAX_UPSTREAM_TRIES &&
-      this.parts.crashing.canRetry(request) &&
-      this.pool.retryBudget.spend()
+      this.parts.requestQuarantine.canRetry(request) &&
+      this.pool.retryBudget.tryConsume()
     );
   }
 
   private async tryUpstream(tryIndex: number): Promise<CallOutcome> {
-    const place = await this.acquirePermittedPlace();
-    if ('kind' in place) {
-      return place;
+    const slot = await this.acquirePermittedSlot();
+    if ('kind' in slot) {
+      return slot;
     }
-    if (place.isLeaving) {
+    if (slot.isDraining) {
       // The upstream started to leave during the commit; nothing was sent.
-      place[Symbol.dispose]();
+      slot[Symbol.dispose]();
       const message = 'the upstream is shutting down';
       return {
         isConnectionLost: false,
         kind: 'failed',
         mayHaveRun: false,
         message,
-        place,
+        slot,
       };
     }
-    this.recordEvent(EVENT_KIND.dispatched, {upstream: place.upstream.name});
-    const call = await this.sendHedged(place, tryIndex);
+    this.recordEvent(EVENT_KIND.dispatched, {upstream: slot.upstream.name});
+    const call = await this.sendHedged(slot, tryIndex);
     if (call.kind === 'failed') {
-      call.place[Symbol.dispose]();
+      call.slot[Symbol.dispose]();
     }
     return call;
   }
@@ -188,37 +188,37 @@
    * Acquires a slot and a permit to send a request. The permit comes last
    * because it must be used immediately.
    */
-  private async acquirePermittedPlace(): Promise<
-    Place | NoPlace | DispatchNotCommitted
+  private async acquirePermittedSlot(): Promise<
+    UpstreamSlot | NoSlot | DispatchNotCommitted
   > {
     const isLeastUrgent = this.attempt.plan.decision.priority > 0;
     for (let refusals = 0; refusals < MAX_PERMIT_REFUSALS; refusals += 1) {
-      const place = await this.acquirePlace();
-      if ('kind' in place) {
-        return place;
+      const slot = await this.acquireSlot();
+      if ('kind' in slot) {
+        return slot;
       }
-      if (!(await this.commitDispatch(place))) {
-        place.giveBack();
+      if (!(await this.commitDispatch(slot))) {
+        slot.cancel();
         return {kind: 'dispatch-not-committed'};
       }
-      if (await this.parts.permits.tryAcquire(place, isLeastUrgent)) {
-        return place;
+      if (await this.parts.permits.tryAcquire(slot, isLeastUrgent)) {
+        return slot;
       }
-      place.giveBack();
+      slot.cancel();
     }
     const message = 'the upstreams have reached their rate limits';
     const failure = createFailure('overloaded', message, 1_000);
-    return {failure, kind: 'no-place'};
+    return {failure, kind: 'no-slot'};
   }
 
-  private async acquirePlace(): Promise<Place | NoPlace> {
+  private async acquireSlot(): Promise<UpstreamSlot | NoSlot> {
     const {response, attempt, avoidedUpstreams} = this;
     const {decision, maxTokens, promptTokens, request} = attempt.plan;
     const result = await this.pool.router.acquire({
-      avoid: avoidedUpstreams,
+      triedUpstreams: avoidedUpstreams,
       cost: promptTokens + maxTokens + 1,
       deadline: attempt.deadline,
-      prefix: prefixBlocks(request.completion?.prompt ?? ''),
+      blockHashes: hashPromptBlocks(request.completion?.prompt ?? ''),
       priority: decision.priority,
       signal: response.abortController.signal,
       team: request.team.name,
@@ -231,16 +231,16 @@
     const code = error.kind === 'caller-gone' ? 'caller_gone' : 'overloaded';
     const retryAfterMs = 'retryAfterMs' in error ? error.retryAfterMs : 2_000;
     const failure = createFailure(code, error.message, retryAfterMs);
-    return {failure, kind: 'no-place'};
+    return {failure, kind: 'no-slot'};
   }
 
   /**
    * Commits the dispatch of an at-most-once request to the ledger. The request
    * must not be sent if the outcome of the commit is unknown.
    */
-  private async commitDispatch({upstream}: Place): Promise<boolean> {
+  private async commitDispatch({upstream}: UpstreamSlot): Promise<boolean> {
     const {attempt} = this;
-    if (!attempt.plan.decision.marked || this.isDispatchCommitted) {
+    if (!attempt.plan.decision.runsAtMostOnce || this.isDispatchCommitted) {
       return true;
     }
     const record = {
@@ -256,38 +256,38 @@
   }
 
   private async sendHedged(
-    place: Place,
+    slot: UpstreamSlot,
     tryIndex: number,
   ): Promise<UpstreamCall> {
     const {decision} = this.attempt.plan;
     const request = this.createCallRequest();
     const {signal} = this.response.abortController;
-    const first = callUpstream(this.callParts, place, request, signal);
-    if (!decision.hedge || decision.marked || tryIndex > 0) {
+    const first = callUpstream(this.callParts, slot, request, signal);
+    if (!decision.allowsHedging || decision.runsAtMostOnce || tryIndex > 0) {
       return first;
     }
     const timer = new AbortController();
     const isSlow = await Promise.race([
       first.then(() => false),
       this.parts.clock
-        .sleep(Math.min(this.pool.hedge.afterMs, 1e9), timer.signal)
+        .sleep(Math.min(this.pool.hedge.delayMs, 1e9), timer.signal)
         .then(() => true),
     ]);
     timer.abort();
-    if (!isSlow || !this.pool.hedge.spend()) {
+    if (!isSlow || !this.pool.hedge.tryConsume()) {
       return first;
     }
-    return this.sendSecond(first, place, request);
+    return this.sendSecond(first, slot, request);
   }
 
   /** Sends the request to a second upstream and returns the first response. */
   private async sendSecond(
     first: Promise<UpstreamCall>,
-    firstPlace: Place,
+    firstSlot: UpstreamSlot,
     request: CallRequest,
   ): Promise<UpstreamCall> {
-    this.avoidedUpstreams.add(firstPlace.upstream.name);
-    const second = await this.acquirePermittedPlace();
+    this.avoidedUpstreams.add(firstSlot.upstream.name);
+    const second = await this.acquirePermittedSlot();
     if ('kind' in second) {
       return first;
     }
@@ -311,8 +311,8 @@
       const body = request.body.length > 0 ? request.body : undefined;
       return {
         body,
-        rejectsServerErrors: !decision.marked,
-        fresh: decision.marked,
+        rejectsServerErrors: !decision.runsAtMostOnce,
+        useNewConnection: decision.runsAtMostOnce,
         headers,
         method,
         path,
@@ -332,7 +332,7 @@
     return {
       body,
       rejectsServerErrors: true,
-      fresh: decision.marked,
+      useNewConnection: decision.runsAtMostOnce,
       headers: {...headers, 'content-type': JSON_CONTENT_TYPE},
       method,
       path,
@@ -344,14 +344,17 @@
    * may continue it.
    */
   private async deliver(call: StartedCall): Promise<boolean> {
-    using _place = call.place;
+    using _slot = call.slot;
     this.mayHaveRun = true;
     const {request} = this.attempt.plan;
     const {completion} = request;
-    this.pool.hedge.observe(call.firstByteMs);
+    this.pool.hedge.recordFirstToken(call.firstByteMs);
     if (completion !== undefined) {
-      const {name} = call.place.upstream;
-      this.pool.prefixes.learn(name, prefixBlocks(completion.prompt));
+      const {name} = call.slot.upstream;
+      this.pool.prefixes.recordPrompt(
+        name,
+        hashPromptBlocks(completion.prompt),
+      );
       this.parts.metrics.firstTokenSeconds.observe(
         {pool: this.attempt.plan.decision.pool},
         call.firstByteMs / 1_000,
@@ -370,10 +373,13 @@
       await this.closeAbandoned();
       return false;
     }
-    call.place.failed();
-    this.parts.crashing.recordLostConnection(call.place.upstream, request);
-    this.avoidedUpstreams.add(call.place.upstream.name);
-    if (this.attempt.plan.decision.marked) {
+    call.slot.recordFailure();
+    this.parts.requestQuarantine.recordLostConnection(
+      call.slot.upstream,
+      request,
+    );
+    this.avoidedUpstreams.add(call.slot.upstream.name);
+    if (this.attempt.plan.decision.runsAtMostOnce) {
       await this.closeUnknown();
       return false;
     }
@@ -400,7 +406,7 @@
     const {status} = call.response;
     const contentType =
       call.response.headers['content-type'] ?? JSON_CONTENT_TYPE;
-    const isRetained = body.length <= MAX_KEPT_ANSWER_BYTES;
+    const isRetained = body.length <= MAX_STORED_RESPONSE_BYTES;
     const billed = await this.parts.settler.settle(
       this.attempt,
       'settled',
@@ -449,7 +455,7 @@
 
   private recordSuccess({response}: StartedCall): void {
     if (response.status < MIN_SERVER_ERROR_STATUS) {
-      this.parts.crashing.recordSuccess(this.attempt.plan.request);
+      this.parts.requestQuarantine.recordSuccess(this.attempt.plan.request);
     }
   }
 
@@ -486,12 +492,15 @@
     this.mayHaveRun ||= call.mayHaveRun;
     if (call.isConnectionLost) {
       const {request} = this.attempt.plan;
-      this.parts.crashing.recordLostConnection(call.place.upstream, request);
+      this.parts.requestQuarantine.recordLostConnection(
+        call.slot.upstream,
+        request,
+      );
     }
-    this.avoidedUpstreams.add(call.place.upstream.name);
+    this.avoidedUpstreams.add(call.slot.upstream.name);
     const isCallerGone = this.response.abortController.signal.aborted;
-    const {marked} = this.attempt.plan.decision;
-    return !isCallerGone && !(marked && call.mayHaveRun);
+    const {runsAtMostOnce} = this.attempt.plan.decision;
+    return !isCallerGone && !(runsAtMostOnce && call.mayHaveRun);
   }
 
   private async closeFailed(call: FailedCall | undefined): Promise<void> {
@@ -499,7 +508,7 @@
     if (this.response.abortController.signal.aborted) {
       return this.closeAbandoned();
     }
-    if (decision.marked && this.mayHaveRun) {
+    if (decision.runsAtMostOnce && this.mayHaveRun) {
       return this.closeUnknown();
     }
     const message = call?.message ?? 'no upstream returned a complete response';
@@ -596,7 +605,7 @@
   if (call.kind === 'started') {
     call.abort();
   }
-  call.place[Symbol.dispose]();
+  call.slot[Symbol.dispose]();
 }
 
 function formatUsageChunk(model: string, usage: Usage): string {
--- a/packages/puffinturn-gateway/src/AttemptSettler.ts
+++ b/packages/puffinturn-gateway/src/AttemptSettler.ts
@@ -10,8 +10,8 @@
   AttemptId,
   AttemptOutcome,
   ControlClient,
-  KeptAnswer,
   LedgerRecord,
+  StoredResponse,
 } from 'puffinturn-ledger';
 import type {Timeline} from 'puffinturn-timeline';
 import {EVENT_KIND} from 'puffinturn-timeline';
@@ -57,7 +57,7 @@
     attempt: AdmittedAttempt,
     outcome: 'settled' | 'unknown',
     charge: number,
-    answer?: KeptAnswer,
+    answer?: StoredResponse,
   ): Promise<number | undefined> {
     const at = this.parts.clock.wallTime();
     const id = toAttemptId(attempt);
--- a/packages/puffinturn-gateway/src/BufferedResponse.ts
+++ b/packages/puffinturn-gateway/src/BufferedResponse.ts
@@ -95,7 +95,7 @@
    * Creates a reader. When the last reader is disposed of, a response that is
    * not retained is aborted.
    */
-  read(position = 0): ResponseReader {
+  createReader(position = 0): ResponseReader {
     const reader = new ResponseReader(this, position, () =>
       this.removeReader(reader),
     );
@@ -161,7 +161,7 @@
   }
 
   /** Waits for at least one chunk and returns all available ones. */
-  async chunks(): Promise<Uint8Array[]> {
+  async readAvailable(): Promise<Uint8Array[]> {
     const {response} = this;
     while (this.position >= response.chunkCount && response.end === undefined) {
       await response.waitForChange();
--- a/packages/puffinturn-gateway/src/CallerHttp.ts
+++ b/packages/puffinturn-gateway/src/CallerHttp.ts
@@ -18,7 +18,7 @@
   ResponseHead,
   ResponseReader,
 } from './BufferedResponse';
-import {checkCompletion} from './CompletionBody';
+import {validateCompletion} from './CompletionBody';
 import type {CallerResponse, Gateway} from './Gateway';
 import {MAX_KEY_LENGTH} from './GatewayConstants';
 import type {GatewayFailure} from './GatewayFailure';
@@ -34,7 +34,7 @@
   readonly member: BoxMember;
   readonly metrics: GatewayMetrics;
   /** Maximum size of a request body, bytes. */
-  readonly bodyBytes: number;
+  readonly maxBodyBytes: number;
   /** Whether the load balancer should send requests to this box. */
   readonly isHealthy: () => boolean;
 }
@@ -65,7 +65,7 @@
 const JSON_CONTENT_TYPE = 'application/json';
 
 /** Creates the Hono application. */
-export function callerHttp(
+export function createCallerApp(
   parts: CallerHttpParts,
 ): Hono<{Bindings: HttpBindings}> {
   const app = new Hono<{Bindings: HttpBindings}>();
@@ -243,10 +243,10 @@
   if (team.isErr()) {
     return createErrorResponse(team.error);
   }
-  const body = await readBody(context, parts.bodyBytes);
+  const body = await readBody(context, parts.maxBodyBytes);
   const request = body.andThen((bytes) =>
     parseBody(bytes).andThen((json) =>
-      checkCompletion(json, kind).andThen((checked) =>
+      validateCompletion(json, kind).andThen((checked) =>
         readIdempotencyKey(context).map((key): CallerRequest => ({
           body: bytes,
           completion: checked,
@@ -275,7 +275,7 @@
     return createErrorResponse(team.error);
   }
   const name = context.req.param('service') ?? '';
-  const body = await readBody(context, parts.bodyBytes);
+  const body = await readBody(context, parts.maxBodyBytes);
   const request = body.andThen((bytes) =>
     readIdempotencyKey(context).map((key): CallerRequest => {
       const isJson = context.req
@@ -316,10 +316,10 @@
 }
 
 async function toHttpResponse(
-  {answer: response, requestId}: CallerResponse,
+  {response, requestId}: CallerResponse,
   context: HttpContext,
 ): Promise<Response> {
-  const reader = response.read();
+  const reader = response.createReader();
   const closeReader = (): void => reader[Symbol.dispose]();
   context.env.outgoing.once('close', closeReader);
   const head = await reader.waitForHead();
@@ -333,7 +333,7 @@
   }
   const headers = responseHeaders(head, requestId);
   if (response.end?.kind === 'whole') {
-    const body = Buffer.concat(await reader.chunks());
+    const body = Buffer.concat(await reader.readAvailable());
     closeReader();
     return new Response(responseBody(head, body), {
       headers,
@@ -371,7 +371,7 @@
   return new ReadableStream({
     cancel: () => reader[Symbol.dispose](),
     async pull(controller) {
-      const chunks = await reader.chunks();
+      const chunks = await reader.readAvailable();
       if (chunks.length > 0) {
         controller.enqueue(Buffer.concat(chunks));
         return;
--- a/packages/puffinturn-gateway/src/CompletionBody.ts
+++ b/packages/puffinturn-gateway/src/CompletionBody.ts
@@ -55,7 +55,7 @@
 }
 
 /** Validates a parsed body. */
-export function checkCompletion(
+export function validateCompletion(
   value: unknown,
   kind: 'chat' | 'text',
 ): Result<CompletionBody, GatewayFailure> {
--- a/packages/puffinturn-gateway/src/Gateway.ts
+++ b/packages/puffinturn-gateway/src/Gateway.ts
@@ -23,15 +23,15 @@
 import {AttemptRunner} from './AttemptRunner';
 import {AttemptSettler} from './AttemptSettler';
 import {BufferedResponse} from './BufferedResponse';
-import type {CrashingRequests} from './CrashingRequests';
 import {POLL_INTERVAL_MS} from './GatewayConstants';
 import type {GatewayFailure} from './GatewayFailure';
 import {createFailure, OUTCOME} from './GatewayFailure';
 import type {GatewayMetrics} from './GatewayMetrics';
-import type {Pools} from './Pools';
+import type {PoolRegistry} from './PoolRegistry';
 import {RequestForwarder} from './RequestForwarder';
 import type {CallerRequest, RequestPlanParts} from './RequestPlan';
 import {planRequest} from './RequestPlan';
+import type {RequestQuarantine} from './RequestQuarantine';
 import {ResponseExchange} from './ResponseExchange';
 import {ResponseStore} from './ResponseStore';
 import type {UpstreamClient} from './UpstreamClient';
@@ -44,28 +44,28 @@
   readonly client: UpstreamClient;
   readonly clock: Clock;
   readonly control: ControlClient;
-  readonly crashing: CrashingRequests;
+  readonly requestQuarantine: RequestQuarantine;
   readonly link: Link;
   /** Boxes of a region that accept forwarded requests. */
-  readonly boxesOf: (region: string) => readonly string[];
+  readonly boxesInRegion: (region: string) => readonly string[];
   readonly member: BoxMember;
   readonly metrics: GatewayMetrics;
-  readonly newKey: () => string;
+  readonly generateKey: () => string;
   readonly permits: UpstreamPermits;
-  readonly pools: Pools;
+  readonly pools: PoolRegistry;
   readonly random: Random;
   readonly timeline: Timeline;
   /** How long completed responses are kept for retries, ms. */
-  readonly keepAnswerMs: number;
+  readonly responseRetentionMs: number;
   /** How long the keys of at-most-once requests are kept, ms. */
-  readonly keepMarkedMs: number;
+  readonly atMostOnceRetentionMs: number;
 }
 
 /** A response that may still be in progress. */
 export interface CallerResponse {
   /** Identifies the request in logs and on the time line. */
   readonly requestId: string;
-  readonly answer: BufferedResponse;
+  readonly response: BufferedResponse;
 }
 
 /**
@@ -86,8 +86,9 @@
   private isStopping = false;
 
   constructor(private readonly parts: GatewayParts) {
-    const {box, clock, control, link, member, newKey, pools, timeline} = parts;
-    this.responses = new ResponseStore(clock, parts.keepAnswerMs);
+    const {box, clock, control, link, member, generateKey, pools, timeline} =
+      parts;
+    this.responses = new ResponseStore(clock, parts.responseRetentionMs);
     this.responseExchange = new ResponseExchange({
       clock,
       link,
@@ -100,7 +101,7 @@
       clock,
       control,
       retentionMs: (isAtMostOnce) =>
-        isAtMostOnce ? parts.keepMarkedMs : parts.keepAnswerMs,
+        isAtMostOnce ? parts.atMostOnceRetentionMs : parts.responseRetentionMs,
       member,
       region: parts.region,
       onBudgetAvailable: (budget, available) =>
@@ -109,12 +110,12 @@
     this.planParts = {
       budgets: this.budgets,
       member,
-      newKey,
+      generateKey,
       pools,
       wallTime: () => clock.wallTime(),
     };
     this.forwarder = new RequestForwarder({
-      boxesOf: parts.boxesOf,
+      boxesInRegion: parts.boxesInRegion,
       clock,
       responseExchange: this.responseExchange,
       handle: (request) => this.handle(request),
@@ -127,7 +128,7 @@
   }
 
   /** Number of requests in flight plus settlements without an outcome. */
-  get busy(): number {
+  get inFlightCount(): number {
     return this.responses.activeCount + this.settler.pendingCount;
   }
 
@@ -137,7 +138,7 @@
   }
 
   /** Rejects new requests from now on; requests in flight continue. */
-  refuseNew(): void {
+  rejectNewRequests(): void {
     this.isStopping = true;
   }
 
@@ -163,14 +164,14 @@
       const message = 'this box is stopping; retry on another box';
       return err(createFailure('stopping', message, 1_000));
     }
-    const {clock, crashing, member, metrics} = this.parts;
-    if (crashing.isQuarantined(request)) {
+    const {clock, requestQuarantine, member, metrics} = this.parts;
+    if (requestQuarantine.isQuarantined(request)) {
       const message =
         'this request is quarantined because it crashed upstreams';
       return err(createFailure('quarantined', message));
     }
     const startedAt = clock.now();
-    this.parts.pools.adopt(member.config);
+    this.parts.pools.applyConfig(member.config);
     for (;;) {
       const admission = await this.admission.admit(
         () => this.createPlan(request),
@@ -211,8 +212,8 @@
     metrics.configIndex.set(member.config.index);
     metrics.ready.set(this.isReady ? 1 : 0);
     for (const target of member.config.allTargets()) {
-      const {waiting} = pools.getPool(target).router;
-      metrics.waitingRequests.set({pool: target.name}, waiting);
+      const {queuedCount} = pools.getPool(target).router;
+      metrics.waitingRequests.set({pool: target.name}, queuedCount);
     }
   }
 
@@ -225,7 +226,7 @@
   }
 
   private createPlan(request: CallerRequest) {
-    this.parts.pools.adopt(this.parts.member.config);
+    this.parts.pools.applyConfig(this.parts.member.config);
     return planRequest(this.planParts, request);
   }
 
@@ -252,7 +253,7 @@
       this.responses.finish(id, response);
       this.recordMetrics(attempt, response);
     });
-    return {answer: response, requestId: key};
+    return {response, requestId: key};
   }
 
   private recordMetrics(
@@ -280,7 +281,7 @@
     const {plan, view} = known;
     const requestId = plan.key;
     if (view.answer !== undefined) {
-      return ok({answer: createStoredResponse(view), requestId});
+      return ok({requestId, response: createStoredResponse(view)});
     }
     const mayHaveRun =
       view.state === REQUEST_STATE.unknown ||
@@ -297,7 +298,7 @@
         request: requestId,
         team: plan.request.team.name,
       });
-      return ok({answer: response, requestId});
+      return ok({requestId, response});
     }
     if (view.state === REQUEST_STATE.settled) {
       const message =
--- a/packages/puffinturn-gateway/src/GatewayMetrics.ts
+++ b/packages/puffinturn-gateway/src/GatewayMetrics.ts
@@ -104,7 +104,7 @@
   });
 
   /** Adds the default metrics of the process. */
-  collectProcess(): void {
+  collectProcessMetrics(): void {
     collectDefaultMetrics({register: this.registry});
   }
 }
--- a/packages/puffinturn-gateway/src/HttpUpstreamClient.ts
+++ b/packages/puffinturn-gateway/src/HttpUpstreamClient.ts
@@ -16,9 +16,9 @@
 
 import {CONNECT_TIMEOUT_MS, IDLE_TIMEOUT_MS} from './GatewayConstants';
 import type {
-  UpstreamAnswer,
   UpstreamFailure,
   UpstreamRequest,
+  UpstreamResponse,
 } from './UpstreamClient';
 import {UpstreamClient} from './UpstreamClient';
 
@@ -71,9 +71,10 @@
 
   override send(
     request: UpstreamRequest,
-  ): ResultAsync<UpstreamAnswer, UpstreamFailure> {
-    const {body, fresh, headers, method, path, signal, url} = request;
-    const agent = fresh ? this.singleUseAgent : this.pooledAgent;
+  ): ResultAsync<UpstreamResponse, UpstreamFailure> {
+    const {body, useNewConnection, headers, method, path, signal, url} =
+      request;
+    const agent = useNewConnection ? this.singleUseAgent : this.pooledAgent;
     const responsePromise = agent.request({
       body: body ?? null,
       headers,
--- a/packages/puffinturn-gateway/src/Pools.ts
+++ b/packages/puffinturn-gateway/src/PoolRegistry.ts
@@ -14,13 +14,13 @@
 } from 'puffinturn-membership';
 import type {Upstream} from 'puffinturn-routing';
 import {
-  AdaptiveLimit,
-  ExpectedTimeChoice,
+  AdaptiveConcurrencyLimit,
+  ExpectedLatencyBalancer,
   FairQueue,
-  Hedge,
+  HedgePolicy,
   PrefixIndex,
+  RatioRetryBudget,
   Router,
-  ShareRetryBudget,
 } from 'puffinturn-routing';
 import type {Clock, Random} from 'shared';
 
@@ -39,14 +39,14 @@
 /** State of one pool or service on this box. */
 export interface Pool {
   readonly router: Router;
-  readonly retryBudget: ShareRetryBudget;
-  readonly hedge: Hedge;
+  readonly retryBudget: RatioRetryBudget;
+  readonly hedge: HedgePolicy;
   readonly prefixes: PrefixIndex;
   readonly promptTokenBound: PromptTokenBound;
 }
 
 /** Creates pools on demand and updates them with configuration and heartbeats. */
-export class Pools {
+export class PoolRegistry {
   private readonly pools = new Map<string, Pool>();
   private config: FleetConfig | undefined;
   private liveBoxes = 1;
@@ -68,7 +68,7 @@
     }
     const pool = this.createPool(target);
     this.pools.set(target.name, pool);
-    pool.router.declare(target.spec.upstreams);
+    pool.router.setUpstreams(target.spec.upstreams);
     this.updateLeaving();
     return pool;
   }
@@ -87,7 +87,7 @@
   }
 
   /** Number of requests of this box in flight, by upstream. */
-  inFlight(): UpstreamCount[] {
+  inFlightCounts(): UpstreamCount[] {
     const counts: UpstreamCount[] = [];
     for (const {router} of this.pools.values()) {
       for (const {inFlight: count, name: upstream, pool} of router.upstreams) {
@@ -100,7 +100,7 @@
   }
 
   /** IDs of the upstreams that announced to this box that they are leaving. */
-  leaving(): string[] {
+  leavingUpstreamIds(): string[] {
     const now = this.clock.now();
     for (const [id, until] of this.leavingUntil) {
       if (until <= now) {
@@ -118,13 +118,13 @@
   }
 
   /** Sets the names of the upstreams that the platform lists as leaving. */
-  noteListed(leaving: ReadonlySet<string>): void {
+  setPlatformLeaving(leaving: ReadonlySet<string>): void {
     this.leavingInPlatform = leaving;
     this.updateLeaving();
   }
 
   /** Applies a configuration. */
-  adopt(config: FleetConfig): void {
+  applyConfig(config: FleetConfig): void {
     if (config === this.config) {
       return;
     }
@@ -133,13 +133,13 @@
       config.allTargets().map((target) => [target.name, target]),
     );
     for (const [name, {router}] of this.pools) {
-      router.declare(targets.get(name)?.spec.upstreams ?? []);
+      router.setUpstreams(targets.get(name)?.spec.upstreams ?? []);
     }
     this.updateLeaving();
   }
 
   /** Applies the state of the other boxes from a heartbeat reply. */
-  adoptNews(reply: HeartbeatReply): void {
+  applyHeartbeatReply(reply: HeartbeatReply): void {
     this.liveBoxes = Math.max(1, reply.boxes.length);
     this.leavingInFleet = new Set(reply.leaving);
     const counts = new Map(
@@ -151,7 +151,7 @@
     for (const {router} of this.pools.values()) {
       for (const upstream of router.upstreams) {
         const id = upstreamId(upstream.pool, upstream.name);
-        upstream.othersInFlight = counts.get(id) ?? 0;
+        upstream.otherBoxesInFlight = counts.get(id) ?? 0;
       }
     }
     this.updateLeaving();
@@ -159,7 +159,7 @@
 
   private updateLeaving(): void {
     for (const [pool, {router}] of this.pools) {
-      router.markLeaving((name) => {
+      router.markDraining((name) => {
         const id = upstreamId(pool, name);
         return (
           this.config?.isUpstreamDrained(pool, name) === true ||
@@ -178,14 +178,17 @@
         ? target.spec.target.firstTokenMs
         : SERVICE_LATENCY_TARGET_MS;
     return {
-      hedge: new Hedge(),
+      hedge: new HedgePolicy(),
       prefixes,
       promptTokenBound: new PromptTokenBound(),
-      retryBudget: new ShareRetryBudget(),
+      retryBudget: new RatioRetryBudget(),
       router: new Router({
-        choice: new ExpectedTimeChoice(this.random, prefixes),
+        loadBalancer: new ExpectedLatencyBalancer(this.random, prefixes),
         clock: this.clock,
-        limit: new AdaptiveLimit(() => this.liveBoxes, this.clock),
+        concurrencyLimit: new AdaptiveConcurrencyLimit(
+          () => this.liveBoxes,
+          this.clock,
+        ),
         pool: target.name,
         queue: new FairQueue(this.clock),
         targetMs,
--- a/packages/puffinturn-gateway/src/RequestForwarder.ts
+++ b/packages/puffinturn-gateway/src/RequestForwarder.ts
@@ -44,7 +44,7 @@
 
 /** Dependencies of a RequestForwarder. */
 export interface RequestForwarderParts {
-  readonly boxesOf: (region: string) => readonly string[];
+  readonly boxesInRegion: (region: string) => readonly string[];
   readonly clock: Clock;
   readonly responseExchange: ResponseExchange;
   readonly handle: (
@@ -75,13 +75,13 @@
     region: string,
     plan: RequestPlan,
   ): Promise<Result<CallerResponse, GatewayFailure>> {
-    const {boxesOf, clock, link, random} = this.parts;
+    const {boxesInRegion, clock, link, random} = this.parts;
     const {team, ...request} = plan.request;
     const body: ForwardRequest = {request, team: team.name};
     const deadline = clock.now() + plan.decision.deadlineMs;
     let mayHaveArrived = false;
     while (clock.now() < deadline) {
-      const box = random.pick(boxesOf(region)) ?? '';
+      const box = random.pick(boxesInRegion(region)) ?? '';
       const timeoutMs = Math.min(FORWARD_TIMEOUT_MS, deadline - clock.now());
       const result = await link.call(box, FORWARD_SERVICE, body, timeoutMs);
       const reply = result.isOk() ? (result.value as ForwardReply) : undefined;
@@ -112,7 +112,7 @@
   ): Promise<CallerResponse | undefined> {
     const id = {key, team};
     const response = await this.parts.responseExchange.attach(box, id, attempt);
-    return response && {answer: response, requestId: key};
+    return response && {response, requestId: key};
   }
 
   private async handleForward(body: ForwardRequest): Promise<ForwardReply> {
@@ -127,7 +127,7 @@
     if (result.isErr()) {
       return {failure: result.error, kind: 'refused'};
     }
-    const {answer: response, requestId: key} = result.value;
+    const {response, requestId: key} = result.value;
     responses.retain({key, team: team.name}, response);
     return {attempt: response.attempt, key, kind: 'taken'};
   }
--- a/packages/puffinturn-gateway/src/RequestPlan.ts
+++ b/packages/puffinturn-gateway/src/RequestPlan.ts
@@ -15,7 +15,7 @@
 import type {CompletionBody} from './CompletionBody';
 import type {GatewayFailure} from './GatewayFailure';
 import {createFailure} from './GatewayFailure';
-import type {Pools} from './Pools';
+import type {PoolRegistry} from './PoolRegistry';
 
 /** A request of an authenticated caller. */
 export interface CallerRequest {
@@ -56,11 +56,11 @@
 /** Dependencies of planning. */
 export interface RequestPlanParts {
   readonly member: BoxMember;
-  readonly pools: Pools;
+  readonly pools: PoolRegistry;
   /** Last known number of available units by budget. */
   readonly budgets: ReadonlyMap<string, bigint>;
   readonly wallTime: () => number;
-  readonly newKey: () => string;
+  readonly generateKey: () => string;
 }
 
 /** Plans a request with the current configuration. */
@@ -138,12 +138,12 @@
   if (request.key !== '') {
     return ok({isKeyGenerated: false, key: `caller ${request.key}`});
   }
-  if (decision.marked) {
+  if (decision.runsAtMostOnce) {
     const message =
       'a request that must not be repeated requires an Idempotency-Key';
     return err(createFailure('key_required', message));
   }
-  return ok({isKeyGenerated: true, key: `box ${parts.newKey()}`});
+  return ok({isKeyGenerated: true, key: `box ${parts.generateKey()}`});
 }
 
 interface PricingInput {
--- a/packages/puffinturn-gateway/src/CrashingRequests.ts
+++ b/packages/puffinturn-gateway/src/RequestQuarantine.ts
@@ -11,18 +11,22 @@
  */
 import type {CrashTelling} from 'puffinturn-membership';
 import type {Crash, ListenerState, Quarantine} from 'puffinturn-quarantine';
-import {CrashEvidence, CrashWatch, fingerprintOf} from 'puffinturn-quarantine';
+import {
+  CrashDetector,
+  fingerprintOf,
+  LocalQuarantine,
+} from 'puffinturn-quarantine';
 import type {Upstream} from 'puffinturn-routing';
 import type {Timeline} from 'puffinturn-timeline';
 import {EVENT_KIND} from 'puffinturn-timeline';
 import type {Clock} from 'shared';
 
-import {upstreamId} from './Pools';
+import {upstreamId} from './PoolRegistry';
 import type {CallerRequest} from './RequestPlan';
 import type {UpstreamClient} from './UpstreamClient';
 
 /** Dependencies of CrashingRequests. */
-export interface CrashingRequestsParts {
+export interface RequestQuarantineParts {
   readonly box: string;
   readonly client: UpstreamClient;
   readonly clock: Clock;
@@ -30,7 +34,7 @@
 }
 
 /** Adapts an upstream to the crash detector. */
-class Watched {
+class MonitoredUpstream {
   /** These upstreams do not report incarnations. */
   readonly isSuperseded = false;
   readonly incarnationId: string;
@@ -40,44 +44,47 @@
   }
 
   get isLeaving(): boolean {
-    return this.upstream.leaving;
+    return this.upstream.isDraining;
   }
 }
 
 /** Records crashes and decides which requests may run. */
-export class CrashingRequests implements AsyncDisposable {
-  private readonly evidence: CrashEvidence;
-  private readonly crashDetector: CrashWatch<Watched>;
+export class RequestQuarantine implements AsyncDisposable {
+  private readonly evidence: LocalQuarantine;
+  private readonly crashDetector: CrashDetector<MonitoredUpstream>;
   /** Cached because hashing a long body is expensive. */
   private readonly fingerprints = new WeakMap<CallerRequest, string>();
   /** Number of crashes seen, used in their identifiers. */
   private crashCount = 0;
 
-  constructor(private readonly parts: CrashingRequestsParts) {
+  constructor(private readonly parts: RequestQuarantineParts) {
     const {client, clock} = parts;
-    this.evidence = new CrashEvidence(clock);
-    this.crashDetector = new CrashWatch({
+    this.evidence = new LocalQuarantine(clock);
+    this.crashDetector = new CrashDetector({
       clock,
-      crashed: (crash) => this.recordCrash(crash),
+      onCrash: (crash) => this.recordCrash(crash),
       probe: ({upstream}): Promise<ListenerState> =>
         client.probe(upstream.spec.url),
     });
   }
 
   /** The quarantine and pending crash report for the next heartbeat. */
-  telling(): CrashTelling {
+  nextHeartbeatReport(): CrashTelling {
     const {evidence} = this;
-    const {fingerprints: quarantined, untold} = evidence;
-    if (untold === undefined) {
+    const {quarantinedElsewhere: quarantined, pendingReport} = evidence;
+    if (pendingReport === undefined) {
       return {news: {quarantined, report: undefined}, taken: () => undefined};
     }
-    const report = evidence.reportOf(untold);
-    return {news: {quarantined, report}, taken: () => evidence.told(untold)};
+    const report = evidence.buildReport(pendingReport);
+    return {
+      news: {quarantined, report},
+      taken: () => evidence.confirmReported(pendingReport),
+    };
   }
 
   /** Applies the quarantine of all boxes. */
-  adopt(quarantine: Quarantine): void {
-    this.evidence.adopt(quarantine);
+  applyQuarantine(quarantine: Quarantine): void {
+    this.evidence.setRemoteQuarantine(quarantine);
   }
 
   /** Whether a request is quarantined and must not run. */
@@ -96,21 +103,21 @@
     }
     const fingerprint = this.getFingerprint(request);
     return (
-      !evidence.isQuarantined(fingerprint) && !evidence.isLastTry(fingerprint)
+      !evidence.isQuarantined(fingerprint) && !evidence.isSuspect(fingerprint)
     );
   }
 
   /** Records that the connection of a request to an upstream was lost. */
   recordLostConnection(upstream: Upstream, request: CallerRequest): void {
-    this.crashDetector.broke(
-      new Watched(upstream),
+    this.crashDetector.recordFailure(
+      new MonitoredUpstream(upstream),
       this.getFingerprint(request),
     );
   }
 
   /** Records that a request got a complete response. */
   recordSuccess(request: CallerRequest): void {
-    this.evidence.served(this.getFingerprint(request));
+    this.evidence.recordSuccess(this.getFingerprint(request));
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -124,7 +131,7 @@
     timeline.note(EVENT_KIND.upstreamCrashed, {detail, upstream: life});
     // Upstreams do not report incarnations, so each crash gets its own identifier.
     const crashId = `${life} ${box} ${this.crashCount}`;
-    this.evidence.crashed({fingerprints, life: crashId});
+    this.evidence.recordCrash({fingerprints, life: crashId});
   }
 
   private getFingerprint(request: CallerRequest): string {
--- a/packages/puffinturn-gateway/src/UpstreamCall.ts
+++ b/packages/puffinturn-gateway/src/UpstreamCall.ts
@@ -6,7 +6,7 @@
  */
 
 /** Sends a request to one upstream and waits for the first bytes. */
-import type {Place, Upstream} from 'puffinturn-routing';
+import type {Upstream, UpstreamSlot} from 'puffinturn-routing';
 import type {Clock} from 'shared';
 import {restMsOf} from 'shared';
 
@@ -15,13 +15,13 @@
   NOT_RUN_HEADER,
   RATE_LIMIT_HEADER,
 } from './GatewayConstants';
-import type {UpstreamAnswer, UpstreamClient} from './UpstreamClient';
+import type {UpstreamClient, UpstreamResponse} from './UpstreamClient';
 
 /** A response whose first bytes have arrived. */
 export interface StartedCall {
   readonly kind: 'started';
-  readonly place: Place;
-  readonly response: UpstreamAnswer;
+  readonly slot: UpstreamSlot;
+  readonly response: UpstreamResponse;
   readonly firstChunk: IteratorResult<Uint8Array>;
   readonly remainingChunks: AsyncIterator<Uint8Array>;
   readonly firstByteMs: number;
@@ -32,7 +32,7 @@
 /** A call without a usable response. */
 export interface FailedCall {
   readonly kind: 'failed';
-  readonly place: Place;
+  readonly slot: UpstreamSlot;
   /** False only if the upstream certainly did not run the request. */
   readonly mayHaveRun: boolean;
   /** Whether the connection was lost after the request was sent. */
@@ -49,7 +49,7 @@
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string | Uint8Array | undefined;
-  readonly fresh: boolean;
+  readonly useNewConnection: boolean;
   /** Whether a response with status 500 or higher counts as a failure. */
   readonly rejectsServerErrors: boolean;
 }
@@ -70,7 +70,7 @@
 /** Sends a request to the upstream of a slot. */
 export async function callUpstream(
   parts: CallParts,
-  place: Place,
+  slot: UpstreamSlot,
   request: CallRequest,
   signal: AbortSignal,
 ): Promise<UpstreamCall> {
@@ -81,32 +81,32 @@
   const result = await client.send({
     ...upstreamRequest,
     signal: AbortSignal.any([signal, abortController.signal]),
-    url: place.upstream.spec.url,
+    url: slot.upstream.spec.url,
   });
   if (result.isErr()) {
     const {kind, message} = result.error;
     if (!signal.aborted) {
-      place.failed();
+      slot.recordFailure();
     }
     const mayHaveRun = kind === 'broken';
     const isConnectionLost = mayHaveRun && !signal.aborted;
-    return {...createFailedCall(place, mayHaveRun, message), isConnectionLost};
+    return {...createFailedCall(slot, mayHaveRun, message), isConnectionLost};
   }
   const response = result.value;
-  processHeaders(parts, place, response, sentAt);
+  processHeaders(parts, slot, response, sentAt);
   if (response.headers[NOT_RUN_HEADER] === 'true') {
     abortController.abort();
     return createFailedCall(
-      place,
+      slot,
       false,
       'the upstream did not run the request',
     );
   }
   if (rejectsServerErrors && response.status >= MIN_SERVER_ERROR_STATUS) {
     abortController.abort();
-    place.failed();
+    slot.recordFailure();
     return createFailedCall(
-      place,
+      slot,
       true,
       `the upstream responded with status ${response.status}`,
     );
@@ -114,10 +114,10 @@
   const iterator = response.body[Symbol.asyncIterator]();
   const firstChunk = await iterator.next().catch(() => undefined);
   if (firstChunk === undefined) {
-    place.failed();
+    slot.recordFailure();
     return {
       ...createFailedCall(
-        place,
+        slot,
         true,
         'the connection to the upstream was lost',
       ),
@@ -125,30 +125,30 @@
     };
   }
   const firstByteMs = clock.now() - sentAt;
-  place.answered(firstByteMs);
+  slot.recordFirstToken(firstByteMs);
   return {
     abort: () => abortController.abort(),
     response,
     firstChunk,
     firstByteMs,
     kind: 'started',
-    place,
+    slot,
     remainingChunks: iterator,
   };
 }
 
 function createFailedCall(
-  place: Place,
+  slot: UpstreamSlot,
   mayHaveRun: boolean,
   message: string,
 ): FailedCall {
-  return {isConnectionLost: false, kind: 'failed', mayHaveRun, message, place};
+  return {isConnectionLost: false, kind: 'failed', mayHaveRun, message, slot};
 }
 
 function processHeaders(
   {clock, onLeaving, onRateLimitChange, onRetryAfter}: CallParts,
-  {upstream}: Place,
-  {headers, status}: UpstreamAnswer,
+  {upstream}: UpstreamSlot,
+  {headers, status}: UpstreamResponse,
   sentAt: number,
 ): void {
   if (headers[LEAVING_HEADER] === 'true') {
@@ -156,17 +156,19 @@
   }
   const retryAfterMs = restMsOf(status, headers['retry-after']);
   if (retryAfterMs !== undefined) {
-    upstream.restsAtLeastUntil(clock.now() + retryAfterMs);
+    upstream.pauseUntil(clock.now() + retryAfterMs);
     onRetryAfter(upstream.name, retryAfterMs);
   }
   const rateLimit = headers[RATE_LIMIT_HEADER];
-  if (upstream.limits.hearAnswer({named: rateLimit, sentAt, status})) {
+  if (
+    upstream.rateLimit.recordResponse({headerValue: rateLimit, sentAt, status})
+  ) {
     onRateLimitChange(upstream);
   }
   const running = Number(headers['puffinturn-running']);
   const waiting = Number(headers['puffinturn-waiting']);
   if (Number.isSafeInteger(running) && Number.isSafeInteger(waiting)) {
-    upstream.reportLoad({at: clock.now(), running, waiting});
+    upstream.recordLoadReport({receivedAt: clock.now(), running, waiting});
   }
 }
 
--- a/packages/puffinturn-gateway/src/UpstreamClient.ts
+++ b/packages/puffinturn-gateway/src/UpstreamClient.ts
@@ -18,12 +18,12 @@
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string | Uint8Array | undefined;
   /** Whether to use a new connection: a stale one would make the outcome unclear. */
-  readonly fresh: boolean;
+  readonly useNewConnection: boolean;
   readonly signal: AbortSignal;
 }
 
 /** A response whose body is read as a stream. */
-export interface UpstreamAnswer {
+export interface UpstreamResponse {
   readonly status: number;
   /** Header names are in lower case. */
   readonly headers: Readonly<Record<string, string>>;
@@ -42,7 +42,7 @@
 export abstract class UpstreamClient implements AsyncDisposable {
   abstract send(
     request: UpstreamRequest,
-  ): ResultAsync<UpstreamAnswer, UpstreamFailure>;
+  ): ResultAsync<UpstreamResponse, UpstreamFailure>;
 
   /** Checks whether a process listens at the address of a URL. */
   abstract probe(url: string): Promise<ListenerState>;
--- a/packages/puffinturn-gateway/src/UpstreamPermits.ts
+++ b/packages/puffinturn-gateway/src/UpstreamPermits.ts
@@ -8,42 +8,42 @@
 /**
  * Requests permits for upstreams that announce a rate limit for all boxes together.
  */
-import type {GrantingBox, PermitQuestion} from 'puffinturn-permits';
-import {NO_LIMIT, Permits, rateOf} from 'puffinturn-permits';
-import type {Place, Upstream} from 'puffinturn-routing';
+import type {GranterCandidate, PermitQuery} from 'puffinturn-permits';
+import {maxRequestsPerSecond, NO_LIMIT, PermitClient} from 'puffinturn-permits';
+import type {Upstream, UpstreamSlot} from 'puffinturn-routing';
 import type {Link} from 'puffinturn-wire';
 import type {Clock} from 'shared';
 
-import type {Pools} from './Pools';
-import {upstreamId} from './Pools';
+import type {PoolRegistry} from './PoolRegistry';
+import {upstreamId} from './PoolRegistry';
 
 /** Dependencies of UpstreamPermits. */
 export interface UpstreamPermitsParts {
-  readonly self: GrantingBox;
+  readonly self: GranterCandidate;
   /** The other boxes of the fleet. */
-  readonly peers: readonly GrantingBox[];
+  readonly peers: readonly GranterCandidate[];
   /** Whether two halls are in one region. */
-  readonly areTogether: (hall: string, other: string) => boolean;
+  readonly areInSameRegion: (hall: string, other: string) => boolean;
   readonly clock: Clock;
   readonly link: Link;
-  readonly pools: Pools;
+  readonly pools: PoolRegistry;
 }
 
-/** Required by Permits but unused: this package does not limit warm-up. */
+/** Required by PermitClient but unused: this package does not limit warm-up. */
 const NO_WARM_UP_TOLERANCE = {extra: 0, overage: 1};
 
 /** Enforces the rate limits of upstreams across boxes. */
 export class UpstreamPermits implements Disposable {
-  private readonly permits: Permits;
+  private readonly permits: PermitClient;
 
   constructor(private readonly parts: UpstreamPermitsParts) {
     const {pools} = parts;
-    this.permits = new Permits({
+    this.permits = new PermitClient({
       ...parts,
       coldTolerance: NO_WARM_UP_TOLERANCE,
-      learnLimit: (id, limit) =>
-        void pools.findUpstream(id)?.limits.learn(limit),
-      limitOf: (id) => pools.findUpstream(id)?.limits.limit ?? NO_LIMIT,
+      mergeLimit: (id, limit) =>
+        void pools.findUpstream(id)?.rateLimit.merge(limit),
+      limitOf: (id) => pools.findUpstream(id)?.rateLimit.limit ?? NO_LIMIT,
       peers: () => parts.peers,
     });
   }
@@ -53,25 +53,25 @@
    * requests until one may be available.
    */
   async tryAcquire(
-    {upstream}: Place,
+    {upstream}: UpstreamSlot,
     isLeastUrgent: boolean,
   ): Promise<boolean> {
-    if (rateOf(upstream.limits.limit) === Infinity) {
+    if (maxRequestsPerSecond(upstream.rateLimit.limit) === Infinity) {
       return true;
     }
     const query = createPermitQuery(upstream, isLeastUrgent);
-    const isGranted = await this.permits.take(query);
+    const isGranted = await this.permits.acquire(query);
     if (!isGranted) {
       const {id} = query.upstream;
       const waitMs = this.permits.waitMs(id, isLeastUrgent);
-      upstream.restsAtLeastUntil(this.parts.clock.now() + waitMs);
+      upstream.pauseUntil(this.parts.clock.now() + waitMs);
     }
     return isGranted;
   }
 
   /** Reports the rate limit of an upstream to the box that grants its permits. */
   reportLimit(upstream: Upstream): void {
-    void this.permits.tell(createPermitQuery(upstream, false));
+    void this.permits.reportLimit(createPermitQuery(upstream, false));
   }
 
   [Symbol.dispose](): void {
@@ -80,13 +80,13 @@
 }
 
 function createPermitQuery(
-  {limits, name, pool, spec}: Upstream,
+  {rateLimit, name, pool, spec}: Upstream,
   isLeastUrgent: boolean,
-): PermitQuestion {
+): PermitQuery {
   const id = upstreamId(pool, name);
   return {
     isLeastUrgent,
-    limit: limits.limit,
+    limit: rateLimit.limit,
     upstream: {hall: spec.hall, id},
   };
 }
--- a/packages/puffinturn-gateway/src/__tests__/unit/RetryAfter.test.ts
+++ b/packages/puffinturn-gateway/src/__tests__/unit/RetryAfter.test.ts
@@ -10,26 +10,26 @@
  * router kept sending requests to an overloaded upstream.
  */
 import {okAsync} from 'neverthrow';
-import type {PlaceRequest} from 'puffinturn-routing';
+import type {AcquireRequest} from 'puffinturn-routing';
 import {
-  AdaptiveLimit,
+  AdaptiveConcurrencyLimit,
   FairQueue,
-  LeastInFlightChoice,
+  LeastInFlightBalancer,
   Router,
 } from 'puffinturn-routing';
 import {ManualClock, Random} from 'shared';
 
 import {callUpstream} from '../../UpstreamCall';
-import type {UpstreamAnswer} from '../../UpstreamClient';
+import type {UpstreamResponse} from '../../UpstreamClient';
 import {UpstreamClient} from '../../UpstreamClient';
 
 const RETRY_AFTER_S = 3;
 
-const PLACE_REQUEST: PlaceRequest = {
-  avoid: new Set(),
+const ACQUIRE_REQUEST: AcquireRequest = {
+  triedUpstreams: new Set(),
   cost: 1,
   deadline: 60_000,
-  prefix: [],
+  blockHashes: [],
   priority: 0,
   team: 't',
   weight: 1,
@@ -38,7 +38,7 @@
 const CALL_REQUEST = {
   body: undefined,
   rejectsServerErrors: true,
-  fresh: false,
+  useNewConnection: false,
   headers: {},
   method: 'GET',
   path: '/',
@@ -50,7 +50,7 @@
 
   override send({url}: {readonly url: string}) {
     this.urls.push(url);
-    return okAsync<UpstreamAnswer, never>({
+    return okAsync<UpstreamResponse, never>({
       body: emptyBody(),
       headers: {
         'puffinturn-not-run': 'true',
@@ -73,22 +73,22 @@
   const clock = new ManualClock();
   const client = new OverloadedClient();
   const router = new Router({
-    choice: new LeastInFlightChoice(new Random(1)),
+    loadBalancer: new LeastInFlightBalancer(new Random(1)),
     clock,
-    limit: new AdaptiveLimit(() => 1, clock),
+    concurrencyLimit: new AdaptiveConcurrencyLimit(() => 1, clock),
     pool: 'p',
     queue: new FairQueue(clock),
     targetMs: 1_000,
   });
-  router.declare([{hall: 'h', name: 'u', slots: 9, url: 'http://u'}]);
+  router.setUpstreams([{hall: 'h', name: 'u', slots: 9, url: 'http://u'}]);
 
   /** Sends a request; returns the kind of the call or of the routing error. */
   async function send(): Promise<string> {
-    const placed = await router.acquire(PLACE_REQUEST);
-    if (placed.isErr()) {
-      return placed.error.kind;
+    const acquired = await router.acquire(ACQUIRE_REQUEST);
+    if (acquired.isErr()) {
+      return acquired.error.kind;
     }
-    using place = placed.value;
+    using slot = acquired.value;
     const noop = () => undefined;
     const parts = {
       client,
@@ -98,7 +98,7 @@
       onRetryAfter: noop,
     };
     const {signal} = new AbortController();
-    return (await callUpstream(parts, place, CALL_REQUEST, signal)).kind;
+    return (await callUpstream(parts, slot, CALL_REQUEST, signal)).kind;
   }
 
   test('gets no requests until the delay has passed', async () => {
--- a/packages/puffinturn-gateway/src/index.ts
+++ b/packages/puffinturn-gateway/src/index.ts
@@ -9,11 +9,9 @@
 export type {ResponseEnd, ResponseHead} from './BufferedResponse';
 export {BufferedResponse} from './BufferedResponse';
 export type {CallerHttpParts} from './CallerHttp';
-export {callerHttp} from './CallerHttp';
+export {createCallerApp} from './CallerHttp';
 export type {CompletionBody} from './CompletionBody';
-export {checkCompletion} from './CompletionBody';
-export type {CrashingRequestsParts} from './CrashingRequests';
-export {CrashingRequests} from './CrashingRequests';
+export {validateCompletion} from './CompletionBody';
 export type {CallerResponse, GatewayParts} from './Gateway';
 export {Gateway} from './Gateway';
 export {CALLER_TIMEOUT_MS} from './GatewayConstants';
@@ -21,12 +19,14 @@
 export {FAILURE, OUTCOME} from './GatewayFailure';
 export {GatewayMetrics} from './GatewayMetrics';
 export {HttpUpstreamClient} from './HttpUpstreamClient';
-export {Pools} from './Pools';
+export {PoolRegistry} from './PoolRegistry';
 export type {CallerRequest} from './RequestPlan';
+export type {RequestQuarantineParts} from './RequestQuarantine';
+export {RequestQuarantine} from './RequestQuarantine';
 export type {
-  UpstreamAnswer,
   UpstreamFailure,
   UpstreamRequest,
+  UpstreamResponse,
 } from './UpstreamClient';
 export {UpstreamClient} from './UpstreamClient';
 export type {UpstreamPermitsParts} from './UpstreamPermits';
--- a/packages/puffinturn-ledger/src/BoxTable.ts
+++ b/packages/puffinturn-ledger/src/BoxTable.ts
@@ -29,7 +29,7 @@
   private readonly fenced = new Map<string, FencedEntry>();
 
   /** Returns the box if `incarnation` is its current one, else undefined. */
-  current(box: string, incarnation: string): BoxEntry | undefined {
+  findIncarnation(box: string, incarnation: string): BoxEntry | undefined {
     const entry = this.boxes.get(box);
     return entry?.incarnation === incarnation ? entry : undefined;
   }
--- a/packages/puffinturn-ledger/src/BudgetAccount.ts
+++ b/packages/puffinturn-ledger/src/BudgetAccount.ts
@@ -64,7 +64,7 @@
 }
 
 /** Returns the units granted to other regions and not returned. */
-export function grantedOut(budget: BudgetState): number {
+export function outstandingGrants(budget: BudgetState): number {
   return Object.values(budget.regions).reduce(
     (sum, {granted, returned}) => sum + granted - returned,
     0,
@@ -72,20 +72,20 @@
 }
 
 /** Returns the units that this region may spend, including those already spent. */
-export function allotted(budget: BudgetState): number {
+export function allocatedUnits(budget: BudgetState): number {
   return budget.home
-    ? budget.limit - grantedOut(budget)
+    ? budget.limit - outstandingGrants(budget)
     : budget.received - budget.returned;
 }
 
 /** Returns the units that are neither spent nor reserved in this region. */
 export function availableUnits(budget: BudgetState): number {
-  return allotted(budget) - budget.settled - budget.reserved;
+  return allocatedUnits(budget) - budget.settled - budget.reserved;
 }
 
 /** Returns the units that are spent, reserved or granted to other regions. */
 export function committedUnits(budget: BudgetState): number {
-  return budget.settled + budget.reserved + grantedOut(budget);
+  return budget.settled + budget.reserved + outstandingGrants(budget);
 }
 
 /** Reserves units for a request; returns false if too few are available. */
--- a/packages/puffinturn-ledger/src/ControlClient.ts
+++ b/packages/puffinturn-ledger/src/ControlClient.ts
@@ -82,7 +82,7 @@
   }
 
   /** Calls the leader until it replies or the timeout expires. */
-  ask(
+  call(
     request: ControlRequest,
     timeoutMs: number,
     callTimeoutMs = CONTROL_CALL_TIMEOUT_MS,
@@ -109,7 +109,7 @@
       const maxWaitMs = isFirstCall ? 0 : MAX_WAIT_PER_CALL_MS;
       const callWaitMs = Math.max(0, Math.min(waitMs - waitedMs, maxWaitMs));
       isFirstCall = false;
-      const reply = await this.ask(
+      const reply = await this.call(
         {
           kind: 'submit',
           priority,
--- a/packages/puffinturn-ledger/src/ControlService.ts
+++ b/packages/puffinturn-ledger/src/ControlService.ts
@@ -22,7 +22,7 @@
 
 import {AdmissionQueue} from './AdmissionQueue';
 import type {BudgetState} from './BudgetAccount';
-import {availableUnits, grantedOut} from './BudgetAccount';
+import {availableUnits, outstandingGrants} from './BudgetAccount';
 import type {
   BudgetReport,
   ControlReply,
@@ -33,7 +33,7 @@
 } from './ControlMessages';
 import {CONTROL_SERVICE} from './ControlMessages';
 import {DemandForecast} from './DemandForecast';
-import type {SplitSide} from './GrantSplit';
+import type {RegionSupply} from './GrantSplit';
 import type {Ledger} from './Ledger';
 import {
   CONFIRM_TIMEOUT_MS,
@@ -61,9 +61,12 @@
   /** Control boxes of each other region. */
   readonly otherRegions: ReadonlyMap<string, readonly string[]>;
   /** Replaces `computeGrantTarget` as the way to split a budget; for benchmarks. */
-  readonly split?: (home: SplitSide, other: SplitSide) => number;
+  readonly computeGrantTarget?: (
+    home: RegionSupply,
+    other: RegionSupply,
+  ) => number;
   /** Refuses admissions instead of queueing them; for benchmarks. */
-  readonly neverWait?: boolean;
+  readonly disableAdmissionQueue?: boolean;
 }
 
 /** Service of a control box. */
@@ -78,7 +81,7 @@
   private readonly leadersByRegion = new Map<string, string>();
 
   constructor(private readonly parts: ControlServiceParts) {
-    const {clock, ledger, link, primaryRegion, split} = parts;
+    const {clock, ledger, link, primaryRegion, computeGrantTarget} = parts;
     this.forecast = new DemandForecast(clock);
     this.queue = new AdmissionQueue({
       availableUnits: (name) => this.readBudget(name, availableUnits),
@@ -101,7 +104,9 @@
       ledger,
       primaryRegion,
       queuedUnits: (budget) => this.queue.queuedUnits(budget),
-      ...(split === undefined ? {} : {split}),
+      ...(computeGrantTarget === undefined
+        ? {}
+        : {computeTarget: computeGrantTarget}),
     });
     this.registrations.add(
       ledger.subscribe((record, outcome) => this.onApplied(record, outcome)),
@@ -140,7 +145,7 @@
         return barrier.isErr()
           ? this.failureReply(barrier.error)
           : {
-              entries: declarations.since(request.since),
+              entries: declarations.changesSince(request.since),
               index: declarations.configIndex,
               kind: 'config',
             };
@@ -163,12 +168,12 @@
   }
 
   private async submit(request: SubmitRequest): Promise<ControlReply> {
-    const {clock, neverWait, replica} = this.parts;
+    const {clock, disableAdmissionQueue, replica} = this.parts;
     const {priority, record, region, waitedMs} = request;
     if (region !== this.parts.ledger.region) {
       return {kind: 'failed', reason: `a record for region ${region}`};
     }
-    const waitMs = neverWait ? 0 : request.waitMs;
+    const waitMs = disableAdmissionQueue ? 0 : request.waitMs;
     const result =
       record.kind === 'admit'
         ? await this.queue.admit(record, {priority, waitedMs, waitMs})
@@ -246,7 +251,7 @@
     const team = declared?.kind === 'budget' ? declared.spec?.team : undefined;
     return {
       available: availableUnits(budget),
-      granted: grantedOut(budget),
+      granted: outstandingGrants(budget),
       home: budget.homeRegion,
       limit: budget.limit,
       name: budget.name,
--- a/packages/puffinturn-ledger/src/DeclarationTable.ts
+++ b/packages/puffinturn-ledger/src/DeclarationTable.ts
@@ -87,7 +87,7 @@
   }
 
   /** Returns the changes after a log index, oldest first. */
-  since(index: number): DeclarationEntry[] {
+  changesSince(index: number): DeclarationEntry[] {
     return this.all()
       .filter((entry) => entry.index > index)
       .sort((a, b) => a.index - b.index);
--- a/packages/puffinturn-ledger/src/GrantSplit.ts
+++ b/packages/puffinturn-ledger/src/GrantSplit.ts
@@ -9,7 +9,7 @@
 import {DEFAULT_GRANT_SHARE, GRANT_HORIZON_MS} from './LedgerConstants';
 
 /** Units and spending rate of one region. */
-export interface SplitSide {
+export interface RegionSupply {
   /** Units available in the region. */
   readonly available: number;
   /** Spending rate, units per ms. */
@@ -21,7 +21,10 @@
  * up their units at the same time. A budget that lasts longer than the horizon is
  * split mainly by fixed shares: current rates do not predict that far ahead.
  */
-export function computeGrantTarget(home: SplitSide, other: SplitSide): number {
+export function computeGrantTarget(
+  home: RegionSupply,
+  other: RegionSupply,
+): number {
   const total = home.available + other.available;
   const baseRate = total / GRANT_HORIZON_MS;
   const homeWeight = home.rate + baseRate * (1 - DEFAULT_GRANT_SHARE);
--- a/packages/puffinturn-ledger/src/LedgerConstants.ts
+++ b/packages/puffinturn-ledger/src/LedgerConstants.ts
@@ -11,7 +11,7 @@
 export const ORPHAN_TIMEOUT_MS = 60_000;
 
 /** Largest stored response of an at-most-once request, bytes. */
-export const MAX_KEPT_ANSWER_BYTES = 64 * 1024;
+export const MAX_STORED_RESPONSE_BYTES = 64 * 1024;
 
 /** Interval between sweeps of expired and orphaned requests, ms. */
 export const SWEEP_INTERVAL_MS = 5_000;
--- a/packages/puffinturn-ledger/src/LedgerOutcomes.ts
+++ b/packages/puffinturn-ledger/src/LedgerOutcomes.ts
@@ -6,7 +6,7 @@
  */
 
 /** Outcomes of applying records. */
-import type {KeptAnswer, RequestState} from './LedgerRecords';
+import type {RequestState, StoredResponse} from './LedgerRecords';
 
 /** State of a request, as returned to a retry. */
 export interface RequestView {
@@ -19,7 +19,7 @@
   /** True for an at-most-once request. */
   readonly marked: boolean;
   readonly charge: number;
-  readonly answer?: KeptAnswer | undefined;
+  readonly answer?: StoredResponse | undefined;
 }
 
 /** Outcome of an admission. */
--- a/packages/puffinturn-ledger/src/LedgerRecords.ts
+++ b/packages/puffinturn-ledger/src/LedgerRecords.ts
@@ -29,7 +29,7 @@
 export type RequestState = (typeof REQUEST_STATE)[keyof typeof REQUEST_STATE];
 
 /** A response that is stored to answer retries of the request. */
-export interface KeptAnswer {
+export interface StoredResponse {
   readonly status: number;
   readonly contentType: string;
   readonly body: Uint8Array;
@@ -124,7 +124,7 @@
   readonly outcome: 'settled' | 'unknown';
   /** Cost, budget units; limited to the reservation. */
   readonly charge: number;
-  readonly answer?: KeptAnswer | undefined;
+  readonly answer?: StoredResponse | undefined;
   readonly at: number;
 }
 
--- a/packages/puffinturn-ledger/src/RegionExchange.ts
+++ b/packages/puffinturn-ledger/src/RegionExchange.ts
@@ -25,7 +25,7 @@
   GrantRequest,
 } from './ControlMessages';
 import type {DemandForecast} from './DemandForecast';
-import type {SplitSide} from './GrantSplit';
+import type {RegionSupply} from './GrantSplit';
 import {computeGrantTarget} from './GrantSplit';
 import type {Ledger} from './Ledger';
 import {
@@ -48,7 +48,7 @@
   /** Commits a record; undefined if the commit failed. */
   readonly commit: (record: LedgerRecord) => Promise<LedgerOutcome | undefined>;
   /** Replaces `computeGrantTarget` as the way to split a budget. */
-  readonly split?: (home: SplitSide, other: SplitSide) => number;
+  readonly computeTarget?: (home: RegionSupply, other: RegionSupply) => number;
 }
 
 interface ReceivedGrantRequest {
@@ -338,9 +338,9 @@
   }
 
   private computeTarget(budget: BudgetState, request: GrantRequest): number {
-    const split = this.parts.split ?? computeGrantTarget;
+    const computeTarget = this.parts.computeTarget ?? computeGrantTarget;
     const rate = this.parts.forecast.ratePerMs(budget.name);
-    return split({available: availableUnits(budget), rate}, request);
+    return computeTarget({available: availableUnits(budget), rate}, request);
   }
 
   private computeGrantAmount(
--- a/packages/puffinturn-ledger/src/RequestLedger.ts
+++ b/packages/puffinturn-ledger/src/RequestLedger.ts
@@ -66,7 +66,10 @@
     ) {
       return {configIndex, kind: 'stale-config'};
     }
-    const box = this.parts.boxes.current(record.box, record.incarnation);
+    const box = this.parts.boxes.findIncarnation(
+      record.box,
+      record.incarnation,
+    );
     if (box === undefined || record.serial < box.floor) {
       return {kind: 'fenced'};
     }
@@ -283,11 +286,14 @@
    */
   raiseFloor(record: FloorRecord): LedgerOutcome {
     const {at, incarnation, serial} = record;
-    const box = this.parts.boxes.current(record.box, incarnation);
+    const box = this.parts.boxes.findIncarnation(record.box, incarnation);
     if (box !== undefined) {
       box.floor = Math.max(box.floor, serial);
     }
-    for (const entry of this.parts.requests.openOf(record.box, incarnation)) {
+    for (const entry of this.parts.requests.openRequestsOf(
+      record.box,
+      incarnation,
+    )) {
       if (entry.serial < serial) {
         this.closeRequest(entry, REQUEST_STATE.void, 0, at);
       }
@@ -301,7 +307,10 @@
     for (const {box, incarnation} of this.parts.boxes.fencedBefore(
       at - ORPHAN_TIMEOUT_MS,
     )) {
-      for (const entry of this.parts.requests.openOf(box, incarnation)) {
+      for (const entry of this.parts.requests.openRequestsOf(
+        box,
+        incarnation,
+      )) {
         this.closeOrphan(entry, at);
       }
     }
--- a/packages/puffinturn-ledger/src/RequestTable.ts
+++ b/packages/puffinturn-ledger/src/RequestTable.ts
@@ -7,7 +7,7 @@
 
 /** The requests that a region knows, by team and key. */
 import {EXPIRY_BUCKET_MS} from './LedgerConstants';
-import type {KeptAnswer, RequestState} from './LedgerRecords';
+import type {RequestState, StoredResponse} from './LedgerRecords';
 import {REQUEST_STATE} from './LedgerRecords';
 
 /** Stored state of a request. */
@@ -29,7 +29,7 @@
   keepMs: number;
   /** Time at which a closed request expires; 0 while open. */
   expiresAt: number;
-  answer?: KeptAnswer | undefined;
+  answer?: StoredResponse | undefined;
   /** The other region that bills this request, if any. */
   claimedBy?: string | undefined;
   /** True if the request was billed here and not yet reported to the home region. */
@@ -98,7 +98,7 @@
   }
 
   /** Returns the open requests of an incarnation in the order of admission. */
-  openOf(box: string, incarnation: string): RequestEntry[] {
+  openRequestsOf(box: string, incarnation: string): RequestEntry[] {
     const owned = this.openByOwner.get(ownerId(box, incarnation));
     return owned === undefined ? [] : [...owned.values()];
   }
--- a/packages/puffinturn-ledger/src/index.ts
+++ b/packages/puffinturn-ledger/src/index.ts
@@ -9,10 +9,10 @@
 export type {BoxEntry} from './BoxTable';
 export type {BudgetState} from './BudgetAccount';
 export {
-  allotted,
+  allocatedUnits,
   availableUnits,
   committedUnits,
-  grantedOut,
+  outstandingGrants,
 } from './BudgetAccount';
 export type {ControlClientParts, SubmitOptions} from './ControlClient';
 export {ControlClient} from './ControlClient';
@@ -29,11 +29,11 @@
 export type {ControlServiceParts} from './ControlService';
 export {ControlService} from './ControlService';
 export type {DeclarationEntry} from './DeclarationTable';
-export type {SplitSide} from './GrantSplit';
+export type {RegionSupply} from './GrantSplit';
 export {computeGrantTarget} from './GrantSplit';
 export {Ledger} from './Ledger';
 export type {LedgerBreakage} from './LedgerBreakage';
-export {MAX_KEPT_ANSWER_BYTES, ORPHAN_TIMEOUT_MS} from './LedgerConstants';
+export {MAX_STORED_RESPONSE_BYTES, ORPHAN_TIMEOUT_MS} from './LedgerConstants';
 export type {
   AdmitOutcome,
   AttemptOutcome,
@@ -46,9 +46,9 @@
 export type {
   AdmitRecord,
   AttemptId,
-  KeptAnswer,
   LedgerRecord,
   RequestState,
+  StoredResponse,
 } from './LedgerRecords';
 export {REQUEST_STATE} from './LedgerRecords';
 export type {RequestEntry} from './RequestTable';
--- a/packages/puffinturn-membership/src/HeartbeatMonitor.ts
+++ b/packages/puffinturn-membership/src/HeartbeatMonitor.ts
@@ -11,7 +11,7 @@
  */
 import type {Ledger, LedgerRecord} from 'puffinturn-ledger';
 import type {Replica} from 'puffinturn-log';
-import {CrashRegister, NO_REPORT} from 'puffinturn-quarantine';
+import {CrashRegistry, EMPTY_CRASH_REPORT} from 'puffinturn-quarantine';
 import type {Timeline} from 'puffinturn-timeline';
 import {EVENT_KIND} from 'puffinturn-timeline';
 import type {Link} from 'puffinturn-wire';
@@ -51,7 +51,7 @@
   private readonly registration: Disposable;
   private ledTerm = -1;
   /** Requests that crash upstreams, as told in this term. */
-  private crashes = new CrashRegister();
+  private crashes = new CrashRegistry();
   /** Boxes that have told which requests they refuse. */
   private readonly toldQuarantine = new Set<string>();
 
@@ -77,7 +77,7 @@
     this.followTerm();
     this.hearCrashes(heartbeat);
     const {box, incarnation} = heartbeat;
-    const known = ledger.boxes.current(box, incarnation) !== undefined;
+    const known = ledger.boxes.findIncarnation(box, incarnation) !== undefined;
     if (known) {
       this.note(heartbeat);
     }
@@ -96,10 +96,10 @@
       return;
     }
     const at = this.parts.clock.wallTime();
-    this.crashes.report(crashNews.report ?? NO_REPORT, at);
+    this.crashes.applyReport(crashNews.report ?? EMPTY_CRASH_REPORT, at);
     if (!this.toldQuarantine.has(box)) {
       this.toldQuarantine.add(box);
-      this.crashes.hold(crashNews.quarantined, at);
+      this.crashes.addQuarantined(crashNews.quarantined, at);
     }
   }
 
@@ -114,7 +114,10 @@
 
   /** Releases admissions that their own process has given up. */
   private releaseBelow(box: string, incarnation: string, floor: number): void {
-    const [oldest] = this.parts.ledger.requests.openOf(box, incarnation);
+    const [oldest] = this.parts.ledger.requests.openRequestsOf(
+      box,
+      incarnation,
+    );
     if (oldest !== undefined && oldest.serial < floor) {
       const at = this.parts.clock.wallTime();
       this.propose({at, box, incarnation, kind: 'floor', serial: floor});
@@ -142,7 +145,7 @@
       configIndex: ledger.declarations.configIndex,
       entries:
         heartbeat.configIndex < ledger.declarations.configIndex
-          ? ledger.declarations.since(heartbeat.configIndex)
+          ? ledger.declarations.changesSince(heartbeat.configIndex)
           : [],
       fenced,
       inFlight: this.othersInFlight(heartbeat.box),
@@ -190,7 +193,7 @@
     if (term !== this.ledTerm) {
       this.ledTerm = term;
       this.watched.clear();
-      this.crashes = new CrashRegister();
+      this.crashes = new CrashRegistry();
       this.toldQuarantine.clear();
     }
   }
--- a/packages/puffinturn-permits/src/Granters.ts
+++ b/packages/puffinturn-permits/src/GranterSelector.ts
@@ -16,21 +16,21 @@
 import type {RateLimitedUpstream} from './PermitMessages';
 
 /** A box that may grant permits. */
-export interface GrantingBox {
+export interface GranterCandidate {
   readonly box: string;
   readonly hall: string;
 }
 
 /** Dependencies of a GranterSelector. */
 export interface GranterSelectorParts {
-  readonly self: GrantingBox;
+  readonly self: GranterCandidate;
   /** Returns the other boxes; a new array after each change of the list. */
-  readonly peers: () => readonly GrantingBox[];
+  readonly peers: () => readonly GranterCandidate[];
   /** Whether two halls are in the same region. */
-  readonly areTogether: (hall: string, other: string) => boolean;
+  readonly areInSameRegion: (hall: string, other: string) => boolean;
 }
 
-interface RankedBox extends GrantingBox {
+interface RankedBox extends GranterCandidate {
   readonly hash: number;
 }
 
@@ -42,7 +42,7 @@
   private readonly cache = new LRUCache<string, readonly string[]>({
     max: MAX_TRACKED_UPSTREAMS,
   });
-  private peers: readonly GrantingBox[] | undefined;
+  private peers: readonly GranterCandidate[] | undefined;
   private boxes: readonly RankedBox[] = [];
 
   constructor(private readonly parts: GranterSelectorParts) {}
@@ -58,8 +58,10 @@
     if (cachedBoxes !== undefined) {
       return cachedBoxes;
     }
-    const {areTogether} = this.parts;
-    const sameRegion = this.boxes.filter((box) => areTogether(box.hall, hall));
+    const {areInSameRegion} = this.parts;
+    const sameRegion = this.boxes.filter((box) =>
+      areInSameRegion(box.hall, hall),
+    );
     const selected = selectByWeight(
       id,
       sameRegion.length > 0 ? sameRegion : this.boxes,
--- a/packages/puffinturn-permits/src/Permits.ts
+++ b/packages/puffinturn-permits/src/PermitClient.ts
@@ -14,8 +14,8 @@
 import type {Link} from 'puffinturn-wire';
 import type {Clock} from 'shared';
 
-import type {GrantingBox} from './Granters';
-import {GranterSelector} from './Granters';
+import type {GranterCandidate} from './GranterSelector';
+import {GranterSelector} from './GranterSelector';
 import {
   MAX_TRACKED_UPSTREAMS,
   NO_GRANTER_WAIT_MS,
@@ -26,35 +26,35 @@
 import {PermitGranter} from './PermitGranter';
 import type {PermitReply, PermitRequest} from './PermitMessages';
 import {PERMIT_SERVICE} from './PermitMessages';
-import type {UpstreamLimit} from './UpstreamLimit';
+import type {UpstreamRateLimit} from './UpstreamRateLimit';
 
-/** Dependencies of Permits. */
+/** Dependencies of PermitClient. */
 export interface PermitsParts {
-  readonly self: GrantingBox;
+  readonly self: GranterCandidate;
   /** Returns the other boxes; a new array after each change of the list. */
-  readonly peers: () => readonly GrantingBox[];
+  readonly peers: () => readonly GranterCandidate[];
   /** Whether two halls are in the same region. */
-  readonly areTogether: (hall: string, other: string) => boolean;
+  readonly areInSameRegion: (hall: string, other: string) => boolean;
   readonly clock: Clock;
   readonly link: Link;
   readonly coldTolerance: ColdTolerance;
   /** Returns the limit of an upstream as known to this box. */
-  readonly limitOf: (id: string) => UpstreamLimit;
+  readonly limitOf: (id: string) => UpstreamRateLimit;
   /** Merges the limit of an upstream as known to another box. */
-  readonly learnLimit: (
+  readonly mergeLimit: (
     id: string,
-    limit: UpstreamLimit,
+    limit: UpstreamRateLimit,
     source: string,
   ) => void;
   /** Called periodically with the permits that this box granted to all boxes. */
-  readonly onCount?: (counts: GrantCounts) => void;
+  readonly onCounts?: (counts: GrantCounts) => void;
 }
 
 /** The contents of a permit request for a single permit. */
-export type PermitQuestion = Omit<PermitRequest, 'wanted'>;
+export type PermitQuery = Omit<PermitRequest, 'wanted'>;
 
 interface Waiter {
-  readonly query: PermitQuestion;
+  readonly query: PermitQuery;
   readonly resolve: (isGranted: boolean) => void;
 }
 
@@ -68,7 +68,7 @@
 }
 
 /** Requests permits from granters and grants permits to other boxes. */
-export class Permits implements Disposable {
+export class PermitClient implements Disposable {
   private readonly queues = new LRUCache<string, WaitQueue>({
     max: MAX_TRACKED_UPSTREAMS,
   });
@@ -79,19 +79,19 @@
   private readonly registration: Disposable;
 
   constructor(private readonly parts: PermitsParts) {
-    const {clock, coldTolerance, learnLimit, limitOf, link, self} = parts;
+    const {clock, coldTolerance, mergeLimit, limitOf, link, self} = parts;
     this.selector = new GranterSelector(parts);
     this.localGranter = new PermitGranter({
       box: self.box,
       clock,
       coldTolerance,
       limitOf,
-      onCounts: parts.onCount ?? (() => undefined),
+      onCounts: parts.onCounts ?? (() => undefined),
       selector: this.selector,
     });
     this.registration = link.register(PERMIT_SERVICE, async (body, from) => {
       const request = body as PermitRequest;
-      learnLimit(request.upstream.id, request.limit, from);
+      mergeLimit(request.upstream.id, request.limit, from);
       return this.localGranter.grant(request);
     });
   }
@@ -106,7 +106,7 @@
    * Requests a permit for one request. Resolves to false if none is available now. A
    * granted permit must be used immediately.
    */
-  take(query: PermitQuestion): Promise<boolean> {
+  acquire(query: PermitQuery): Promise<boolean> {
     const {isLeastUrgent, upstream} = query;
     const queue = this.getQueue(queueKey(upstream.id, isLeastUrgent));
     return new Promise((resolve) => {
@@ -118,7 +118,7 @@
   }
 
   /** Reports the limit of an upstream to its granter without requesting a permit. */
-  async tell(query: PermitQuestion): Promise<void> {
+  async reportLimit(query: PermitQuery): Promise<void> {
     await this.requestPermits({...query, wanted: 0});
   }
 
@@ -170,14 +170,14 @@
 
   /** Calls the granters of an upstream in order until one replies. */
   private async requestPermits(request: PermitRequest): Promise<PermitReply> {
-    const {learnLimit, self} = this.parts;
+    const {mergeLimit, self} = this.parts;
     for (const granterBox of this.selector.select(request.upstream)) {
       if (granterBox === self.box) {
         return this.localGranter.grant(request);
       }
       const reply = await this.callGranter(granterBox, request);
       if (reply !== undefined) {
-        learnLimit(request.upstream.id, reply.limit, granterBox);
+        mergeLimit(request.upstream.id, reply.limit, granterBox);
         return reply;
       }
     }
--- a/packages/puffinturn-permits/src/PermitGranter.ts
+++ b/packages/puffinturn-permits/src/PermitGranter.ts
@@ -14,7 +14,7 @@
 import {LRUCache} from 'lru-cache';
 import type {Clock} from 'shared';
 
-import type {GranterSelector} from './Granters';
+import type {GranterSelector} from './GranterSelector';
 import type {PermitRate} from './PermitBucket';
 import {PermitBucket} from './PermitBucket';
 import {
@@ -28,8 +28,8 @@
   SECONDARY_RATE_FRACTION,
 } from './PermitConstants';
 import type {PermitReply, PermitRequest} from './PermitMessages';
-import type {UpstreamLimit} from './UpstreamLimit';
-import {newerLimit, rateOf} from './UpstreamLimit';
+import type {UpstreamRateLimit} from './UpstreamRateLimit';
+import {maxRequestsPerSecond, newerLimit} from './UpstreamRateLimit';
 
 /** The most requests in any second of a warm-up: `rate * overage + extra`. */
 export interface ColdTolerance {
@@ -54,7 +54,7 @@
   readonly selector: GranterSelector;
   readonly coldTolerance: ColdTolerance;
   /** Returns the limit of an upstream as known to this box. */
-  readonly limitOf: (id: string) => UpstreamLimit;
+  readonly limitOf: (id: string) => UpstreamRateLimit;
   /** Called periodically with the permits granted for an upstream. */
   readonly onCounts: (counts: GrantCounts) => void;
 }
@@ -85,7 +85,7 @@
     const {box, limitOf, selector} = this.parts;
     const limit = newerLimit(limitOf(upstream.id), request.limit);
     const rank = selector.select(upstream).indexOf(box);
-    const perSecond = boundOf(limit, request.coldPerSecond);
+    const perSecond = effectiveLimit(limit, request.coldPerSecond);
     if (perSecond === Infinity) {
       return {granted: wanted, limit, waitMs: 0};
     }
@@ -176,10 +176,13 @@
 }
 
 /** Requests per second currently allowed to an upstream; Infinity if unlimited. */
-export function boundOf(
-  limit: UpstreamLimit,
+export function effectiveLimit(
+  limit: UpstreamRateLimit,
   coldPerSecond: number | undefined,
 ): number {
-  const limitPerSecond = Math.max(MIN_REQUESTS_PER_SECOND, rateOf(limit));
+  const limitPerSecond = Math.max(
+    MIN_REQUESTS_PER_SECOND,
+    maxRequestsPerSecond(limit),
+  );
   return Math.min(limitPerSecond, coldPerSecond ?? Infinity);
 }
--- a/packages/puffinturn-permits/src/PermitMessages.ts
+++ b/packages/puffinturn-permits/src/PermitMessages.ts
@@ -6,7 +6,7 @@
  */
 
 /** Messages that boxes exchange to request permits. */
-import type {UpstreamLimit} from './UpstreamLimit';
+import type {UpstreamRateLimit} from './UpstreamRateLimit';
 
 /** Service name of permit requests on the link between boxes. */
 export const PERMIT_SERVICE = 'permits';
@@ -21,7 +21,7 @@
 export interface PermitRequest {
   readonly upstream: RateLimitedUpstream;
   /** The limit of the upstream as known to the requesting box. */
-  readonly limit: UpstreamLimit;
+  readonly limit: UpstreamRateLimit;
   /** Requests per second allowed during warm-up; undefined after it. */
   readonly coldPerSecond?: number | undefined;
   /** Number of permits requested; 0 only reports the limit. */
@@ -36,5 +36,5 @@
   /** How long to wait before the next request, ms; 0 if all permits were granted. */
   readonly waitMs: number;
   /** The limit of the upstream as known to the granter. */
-  readonly limit: UpstreamLimit;
+  readonly limit: UpstreamRateLimit;
 }
--- a/packages/puffinturn-permits/src/LimitStatements.ts
+++ b/packages/puffinturn-permits/src/RateLimitTracker.ts
@@ -9,8 +9,12 @@
 import type {Clock} from 'shared';
 import {decimalOf} from 'shared';
 
-import type {UpstreamLimit} from './UpstreamLimit';
-import {isLaterLimit, NO_LIMIT, rateOf} from './UpstreamLimit';
+import type {UpstreamRateLimit} from './UpstreamRateLimit';
+import {
+  isNewerLimit,
+  maxRequestsPerSecond,
+  NO_LIMIT,
+} from './UpstreamRateLimit';
 
 /** Lowest HTTP status code of an error response. */
 const MIN_ERROR_STATUS = 400;
@@ -19,13 +23,13 @@
 export interface LimitResponse {
   readonly status: number;
   /** Value of the rate limit header; undefined if the response has none. */
-  readonly named: string | undefined;
+  readonly headerValue: string | undefined;
   /** When the request was sent, monotonic ms. */
   readonly sentAt: number;
 }
 
 /** The current limit of an upstream, updated from its responses and by other boxes. */
-export class LimitStatements {
+export class RateLimitTracker {
   private current = NO_LIMIT;
   /** When the current limit was last received, monotonic ms. */
   private confirmedAt = -Infinity;
@@ -33,7 +37,7 @@
   constructor(private readonly clock: Clock) {}
 
   /** The current limit. */
-  get limit(): UpstreamLimit {
+  get limit(): UpstreamRateLimit {
     return this.current;
   }
 
@@ -41,13 +45,13 @@
    * Records the limit in a response. Returns whether the limit changed. A missing header
    * removes the limit only if the response is not an error. An invalid header is ignored.
    */
-  hearAnswer({named, sentAt, status}: LimitResponse): boolean {
-    const perSecond = decimalOf(named);
+  recordResponse({headerValue, sentAt, status}: LimitResponse): boolean {
+    const perSecond = decimalOf(headerValue);
     const isInconclusive =
-      named === undefined
+      headerValue === undefined
         ? status >= MIN_ERROR_STATUS
         : perSecond === undefined;
-    return !isInconclusive && this.hear(perSecond, sentAt);
+    return !isInconclusive && this.recordLimit(perSecond, sentAt);
   }
 
   /**
@@ -56,8 +60,8 @@
    * the request was sent after the current limit was last received: otherwise a delayed
    * response could restore an outdated limit.
    */
-  hear(perSecond: number | undefined, sentAt: number): boolean {
-    const currentRate = rateOf(this.current);
+  recordLimit(perSecond: number | undefined, sentAt: number): boolean {
+    const currentRate = maxRequestsPerSecond(this.current);
     const newRate = perSecond ?? Infinity;
     if (newRate > currentRate && sentAt <= this.confirmedAt) {
       return false;
@@ -73,8 +77,8 @@
   }
 
   /** Merges the limit known to another box. Returns whether the limit changed. */
-  learn(received: UpstreamLimit): boolean {
-    if (!isLaterLimit(received, this.current)) {
+  merge(received: UpstreamRateLimit): boolean {
+    if (!isNewerLimit(received, this.current)) {
       return false;
     }
     this.current = received;
@@ -86,7 +90,7 @@
    * Copies the limit of the previous incarnation. Its revision is reset, so that any limit
    * of the new incarnation replaces it.
    */
-  goOnWith({limit}: LimitStatements): void {
+  copyFrom({limit}: RateLimitTracker): void {
     this.current = {...limit, revision: 0};
     this.confirmedAt = this.clock.now();
   }
--- a/packages/puffinturn-permits/src/UpstreamLimit.ts
+++ b/packages/puffinturn-permits/src/UpstreamRateLimit.ts
@@ -11,7 +11,7 @@
  */
 
 /** The latest limit that an upstream declared. */
-export interface UpstreamLimit {
+export interface UpstreamRateLimit {
   /** Requests per second; undefined if there is no limit. */
   readonly perSecond?: number | undefined;
   /** Increases with each change; 0 before the first one of an incarnation. */
@@ -19,27 +19,30 @@
 }
 
 /** The limit of an upstream that has never declared one. */
-export const NO_LIMIT: UpstreamLimit = {perSecond: undefined, revision: 0};
+export const NO_LIMIT: UpstreamRateLimit = {perSecond: undefined, revision: 0};
 
 /**
  * Whether a limit replaces the current one. If two boxes recorded different limits
  * under the same revision, the lower one is used because it is safe for the upstream.
  */
-export function isLaterLimit(
-  candidate: UpstreamLimit,
-  current: UpstreamLimit,
+export function isNewerLimit(
+  candidate: UpstreamRateLimit,
+  current: UpstreamRateLimit,
 ): boolean {
   return candidate.revision === current.revision
-    ? rateOf(candidate) < rateOf(current)
+    ? maxRequestsPerSecond(candidate) < maxRequestsPerSecond(current)
     : candidate.revision > current.revision;
 }
 
 /** Returns the newer of two limits. */
-export function newerLimit(a: UpstreamLimit, b: UpstreamLimit): UpstreamLimit {
-  return isLaterLimit(b, a) ? b : a;
+export function newerLimit(
+  a: UpstreamRateLimit,
+  b: UpstreamRateLimit,
+): UpstreamRateLimit {
+  return isNewerLimit(b, a) ? b : a;
 }
 
 /** Requests per second that a limit allows; Infinity if there is no limit. */
-export function rateOf({perSecond}: UpstreamLimit): number {
+export function maxRequestsPerSecond({perSecond}: UpstreamRateLimit): number {
   return perSecond ?? Infinity;
 }
--- a/packages/puffinturn-permits/src/__tests__/unit/PermitGranter.test.ts
+++ b/packages/puffinturn-permits/src/__tests__/unit/PermitGranter.test.ts
@@ -8,11 +8,11 @@
 import fc from 'fast-check';
 import {ManualClock} from 'shared';
 
-import {GranterSelector} from '../../Granters';
+import {GranterSelector} from '../../GranterSelector';
 import {PermitGranter} from '../../PermitGranter';
 import type {PermitRequest} from '../../PermitMessages';
-import type {UpstreamLimit} from '../../UpstreamLimit';
-import {NO_LIMIT} from '../../UpstreamLimit';
+import type {UpstreamRateLimit} from '../../UpstreamRateLimit';
+import {NO_LIMIT} from '../../UpstreamRateLimit';
 
 const UPSTREAM = {hall: 'h', id: 'i-1'};
 const LIMIT_WINDOW_MS = 4_000;
@@ -30,8 +30,12 @@
     return {box: `b${index}`, hall: 'h'};
   });
   const self = {box: 'self', hall: 'h'};
-  const areTogether = () => true;
-  const selector = new GranterSelector({areTogether, peers: () => peers, self});
+  const areInSameRegion = () => true;
+  const selector = new GranterSelector({
+    areInSameRegion,
+    peers: () => peers,
+    self,
+  });
   const granter = new PermitGranter({
     box: self.box,
     clock,
@@ -43,7 +47,7 @@
   return {clock, granter, selector};
 }
 
-function createLimit(perSecond: number): UpstreamLimit {
+function createLimit(perSecond: number): UpstreamRateLimit {
   return {perSecond, revision: 1};
 }
 
@@ -195,7 +199,7 @@
 
   test('grants all requested permits if an upstream has no limit', () => {
     const {granter} = createGranter();
-    const limit: UpstreamLimit = {perSecond: undefined, revision: 2};
+    const limit: UpstreamRateLimit = {perSecond: undefined, revision: 2};
     expect(granter.grant(createRequest({limit, wanted: 7})).granted).toBe(7);
   });
 
@@ -219,7 +223,7 @@
   test('selects boxes in the region of the upstream if there are any', () => {
     const regionOf = (hall: string) => hall.slice(0, 1);
     const selector = new GranterSelector({
-      areTogether: (a, b) => regionOf(a) === regionOf(b),
+      areInSameRegion: (a, b) => regionOf(a) === regionOf(b),
       peers: () => [
         {box: 'w', hall: 'w1'},
         {box: 'x', hall: 'w2'},
--- a/packages/puffinturn-permits/src/__tests__/unit/LimitStatements.test.ts
+++ b/packages/puffinturn-permits/src/__tests__/unit/RateLimitTracker.test.ts
@@ -7,46 +7,46 @@
 
 import {ManualClock} from 'shared';
 
-import {LimitStatements} from '../../LimitStatements';
+import {RateLimitTracker} from '../../RateLimitTracker';
 
 /**
  * Guards against delayed responses and other boxes restoring an outdated rate limit, and
  * against a limit that is never lifted.
  */
-describe('LimitStatements', () => {
+describe('RateLimitTracker', () => {
   let clock: ManualClock;
-  let tracker: LimitStatements;
+  let tracker: RateLimitTracker;
 
   beforeEach(async () => {
     clock = new ManualClock();
-    tracker = new LimitStatements(clock);
+    tracker = new RateLimitTracker(clock);
     await clock.advance(1_000);
   });
 
   test('keeps a limit until a response to a later request removes it', async () => {
-    expect(tracker.hear(2, 900)).toBe(true);
+    expect(tracker.recordLimit(2, 900)).toBe(true);
     expect(tracker.limit.perSecond).toBe(2);
     await clock.advance(100);
-    expect(tracker.hear(undefined, 999)).toBe(false);
+    expect(tracker.recordLimit(undefined, 999)).toBe(false);
     expect(tracker.limit.perSecond).toBe(2);
-    expect(tracker.hear(undefined, 1_001)).toBe(true);
+    expect(tracker.recordLimit(undefined, 1_001)).toBe(true);
     expect(tracker.limit.perSecond).toBeUndefined();
   });
 
   test('lowers a limit immediately but raises it only for later requests', () => {
-    tracker.hear(2, 900);
-    expect(tracker.hear(3, 950)).toBe(false);
-    expect(tracker.hear(1, 950)).toBe(true);
-    expect(tracker.hear(3, 1_001)).toBe(true);
+    tracker.recordLimit(2, 900);
+    expect(tracker.recordLimit(3, 950)).toBe(false);
+    expect(tracker.recordLimit(1, 950)).toBe(true);
+    expect(tracker.recordLimit(3, 1_001)).toBe(true);
     expect(tracker.limit.perSecond).toBe(3);
   });
 
   test('ignores delayed responses after the same limit is received again', async () => {
-    tracker.hear(2, 900);
+    tracker.recordLimit(2, 900);
     await clock.advance(100);
-    expect(tracker.hear(2, 1_050)).toBe(false);
-    expect(tracker.hear(undefined, 1_090)).toBe(false);
-    expect(tracker.hear(undefined, 1_101)).toBe(true);
+    expect(tracker.recordLimit(2, 1_050)).toBe(false);
+    expect(tracker.recordLimit(undefined, 1_090)).toBe(false);
+    expect(tracker.recordLimit(undefined, 1_101)).toBe(true);
   });
 
   test('merges limits from other boxes to the same result in any order', () => {
@@ -56,18 +56,18 @@
       {perSecond: undefined, revision: 2},
     ];
     for (const order of [received, [...received].reverse()]) {
-      const merged = new LimitStatements(clock);
-      order.forEach((limit) => merged.learn(limit));
+      const merged = new RateLimitTracker(clock);
+      order.forEach((limit) => merged.merge(limit));
       expect(merged.limit).toEqual({perSecond: 2, revision: 2});
     }
   });
 
   test('replaces the limit of the previous incarnation by any newer one', () => {
-    const predecessor = new LimitStatements(clock);
-    predecessor.learn({perSecond: 2, revision: 9});
-    tracker.goOnWith(predecessor);
+    const predecessor = new RateLimitTracker(clock);
+    predecessor.merge({perSecond: 2, revision: 9});
+    tracker.copyFrom(predecessor);
     expect(tracker.limit.perSecond).toBe(2);
-    tracker.learn({perSecond: undefined, revision: 1});
+    tracker.merge({perSecond: undefined, revision: 1});
     expect(tracker.limit.perSecond).toBeUndefined();
   });
 });
--- a/packages/puffinturn-permits/src/index.ts
+++ b/packages/puffinturn-permits/src/index.ts
@@ -6,11 +6,15 @@
  */
 
 /** Permits that enforce the request rate limit of an upstream across all boxes. */
-export type {GrantingBox} from './Granters';
-export {LimitStatements} from './LimitStatements';
+export type {GranterCandidate} from './GranterSelector';
+export type {PermitQuery} from './PermitClient';
+export {PermitClient} from './PermitClient';
 export type {ColdTolerance} from './PermitGranter';
-export {boundOf} from './PermitGranter';
-export type {PermitQuestion} from './Permits';
-export {Permits} from './Permits';
-export type {UpstreamLimit} from './UpstreamLimit';
-export {isLaterLimit, NO_LIMIT, rateOf} from './UpstreamLimit';
+export {effectiveLimit} from './PermitGranter';
+export {RateLimitTracker} from './RateLimitTracker';
+export type {UpstreamRateLimit} from './UpstreamRateLimit';
+export {
+  isNewerLimit,
+  maxRequestsPerSecond,
+  NO_LIMIT,
+} from './UpstreamRateLimit';
--- a/packages/puffinturn-policy/src/PolicySet.ts
+++ b/packages/puffinturn-policy/src/PolicySet.ts
@@ -37,11 +37,11 @@
   readonly priority: number;
   readonly deadlineMs: number;
   /** Whether the request must run at most once. */
-  readonly marked: boolean;
+  readonly runsAtMostOnce: boolean;
   /** Business key that the rule derives from the request. */
   readonly key: string | undefined;
   readonly maxTokens: number | undefined;
-  readonly hedge: boolean;
+  readonly allowsHedging: boolean;
 }
 
 /** Why a request is not allowed. */
@@ -213,14 +213,14 @@
     );
   }
   return ok({
+    allowsHedging: rule.hedge,
     budget: budgetName.value,
     deadlineMs: rule.deadlineMs,
-    hedge: rule.hedge,
     key: derivedKey,
-    marked: rule.repeat === 'never',
     maxTokens: rule.maxTokens,
     pool: rule.pool,
     priority: rule.priority,
     rule: name,
+    runsAtMostOnce: rule.repeat === 'never',
   });
 }
--- a/packages/puffinturn-policy/src/__tests__/unit/PolicySet.test.ts
+++ b/packages/puffinturn-policy/src/__tests__/unit/PolicySet.test.ts
@@ -78,7 +78,7 @@
     const decision = decide([
       policy([{...ALLOW, key: 'request.body.order', repeat: 'never', when}]),
     ])._unsafeUnwrap();
-    expect(decision).toMatchObject({key: 'A-1', marked: true});
+    expect(decision).toMatchObject({key: 'A-1', runsAtMostOnce: true});
   });
 
   test('refuses a request that matches no rule', () => {
--- a/packages/puffinturn-quarantine/src/CrashWatch.ts
+++ b/packages/puffinturn-quarantine/src/CrashDetector.ts
@@ -14,9 +14,9 @@
 import type {Clock} from 'shared';
 import {TaskGroup} from 'shared';
 
-import type {Crash} from './CrashRegister';
+import type {Crash} from './CrashRegistry';
 import type {ListenerState} from './ListenerProbe';
-import {LISTENER} from './ListenerProbe';
+import {LISTENER_STATE} from './ListenerProbe';
 
 /**
  * Delay from the first failed request to the probe, ms. The connections of a crashed
@@ -35,26 +35,26 @@
 }
 
 /** Dependencies of a CrashWatch. */
-export interface CrashWatchParts<Upstream extends WatchedUpstream> {
+export interface CrashDetectorParts<Upstream extends WatchedUpstream> {
   readonly clock: Clock;
   /** Called for each detected crash. */
-  readonly crashed: (crash: Crash, upstream: Upstream) => void;
+  readonly onCrash: (crash: Crash, upstream: Upstream) => void;
   /** Probes whether a process is listening on the address of an upstream. */
   readonly probe: (upstream: Upstream) => Promise<ListenerState>;
 }
 
 /** Detects crashes by probing upstreams after failed requests. */
-export class CrashWatch<
+export class CrashDetector<
   Upstream extends WatchedUpstream,
 > implements AsyncDisposable {
   /** Requests that failed since the last probe, by incarnation. */
   private readonly interrupted = new Map<string, Set<string>>();
   private readonly tasks = new TaskGroup();
 
-  constructor(private readonly parts: CrashWatchParts<Upstream>) {}
+  constructor(private readonly parts: CrashDetectorParts<Upstream>) {}
 
   /** Records a request whose connection broke and schedules a probe. */
-  broke(upstream: Upstream, fingerprint: string): void {
+  recordFailure(upstream: Upstream, fingerprint: string): void {
     const existing = this.interrupted.get(upstream.incarnationId);
     if (existing !== undefined) {
       existing.add(fingerprint);
@@ -73,15 +73,15 @@
     upstream: Upstream,
     signal: AbortSignal,
   ): Promise<void> {
-    const {clock, crashed, probe} = this.parts;
+    const {clock, onCrash, probe} = this.parts;
     const {incarnationId: incarnation} = upstream;
     await clock.sleep(PROBE_DELAY_MS, signal);
     const state = await probe(upstream);
     const fingerprints = [...(this.interrupted.get(incarnation) ?? [])];
     this.interrupted.delete(incarnation);
-    const hasStopped = state === LISTENER.refused && !upstream.isLeaving;
+    const hasStopped = state === LISTENER_STATE.refused && !upstream.isLeaving;
     if (hasStopped || upstream.isSuperseded) {
-      crashed({fingerprints, life: incarnation}, upstream);
+      onCrash({fingerprints, life: incarnation}, upstream);
     }
   }
 }
--- a/packages/puffinturn-quarantine/src/CrashRegister.ts
+++ b/packages/puffinturn-quarantine/src/CrashRegistry.ts
@@ -47,7 +47,7 @@
 }
 
 /** An empty report. */
-export const NO_REPORT: CrashReport = {answered: [], crashes: []};
+export const EMPTY_CRASH_REPORT: CrashReport = {answered: [], crashes: []};
 
 /** One revision of the quarantined requests and the suspects. */
 export interface Quarantine {
@@ -60,7 +60,7 @@
 }
 
 /** The quarantine before the first change. */
-export const NO_QUARANTINE: Quarantine = {
+export const EMPTY_QUARANTINE: Quarantine = {
   fingerprints: [],
   revision: 0,
   suspects: [],
@@ -81,27 +81,27 @@
 }
 
 /** The state as stored in a snapshot. */
-export interface CrashImage {
+export interface CrashSnapshot {
   readonly revision: number;
   readonly suspects: readonly Suspect[];
   readonly quarantined: readonly QuarantinedRequest[];
 }
 
 /** The state before the first report, and that of snapshots without one. */
-export const NO_CRASHES: CrashImage = {
+export const EMPTY_CRASH_SNAPSHOT: CrashSnapshot = {
   quarantined: [],
   revision: 0,
   suspects: [],
 };
 
 /** Suspects and quarantined requests, updated by crash reports. */
-export class CrashRegister {
+export class CrashRegistry {
   /** Suspects by fingerprint, the most recently reported last. */
   private readonly suspects = new Map<string, Suspect>();
   /** Start of the quarantine by fingerprint, Unix ms; the oldest first. */
   private readonly quarantined = new Map<string, number>();
   /** The current revision for other boxes. */
-  private published = NO_QUARANTINE;
+  private published = EMPTY_QUARANTINE;
 
   /** The quarantined requests and the suspects. */
   get quarantine(): Quarantine {
@@ -128,14 +128,14 @@
    * the quarantine changed.
    */
   expire(at: number): boolean {
-    return this.hasExpired(at) && this.report(NO_REPORT, at);
+    return this.hasExpired(at) && this.applyReport(EMPTY_CRASH_REPORT, at);
   }
 
   /**
    * Applies a report that arrived at the given time, Unix ms. Returns whether the
    * quarantine changed.
    */
-  report({answered, crashes}: CrashReport, at: number): boolean {
+  applyReport({answered, crashes}: CrashReport, at: number): boolean {
     this.removeExpired(at);
     for (const fingerprint of answered) {
       this.suspects.delete(fingerprint);
@@ -148,8 +148,8 @@
     return this.publishChanges();
   }
 
-  /** Quarantines requests that are quarantined in another register. */
-  hold(fingerprints: readonly string[], at: number): void {
+  /** Quarantines requests that are quarantined in another registry. */
+  addQuarantined(fingerprints: readonly string[], at: number): void {
     for (const fingerprint of fingerprints) {
       if (!this.quarantined.has(fingerprint)) {
         this.addToQuarantine(fingerprint, at);
@@ -172,7 +172,7 @@
   }
 
   /** Returns the state for a snapshot. */
-  image(): CrashImage {
+  snapshot(): CrashSnapshot {
     return {
       quarantined: [...this.quarantined].map(([fingerprint, since]) => ({
         fingerprint,
@@ -184,7 +184,7 @@
   }
 
   /** Replaces the state by that of a snapshot. */
-  restore({quarantined, revision, suspects}: CrashImage): void {
+  restore({quarantined, revision, suspects}: CrashSnapshot): void {
     this.suspects.clear();
     this.quarantined.clear();
     for (const suspect of suspects) {
--- a/packages/puffinturn-quarantine/src/ListenerProbe.ts
+++ b/packages/puffinturn-quarantine/src/ListenerProbe.ts
@@ -9,17 +9,18 @@
 import {connect} from 'node:net';
 
 /** Results of a probe. */
-export const LISTENER = {
+export const LISTENER_STATE = {
   /** The connection was established. */
-  listens: 'listens',
+  listening: 'listens',
   /** The connection was refused, so no process is listening. */
   refused: 'refused',
   /** The connection timed out or failed with another error. */
   unknown: 'unknown',
 } as const;
 
-/** A value of LISTENER. */
-export type ListenerState = (typeof LISTENER)[keyof typeof LISTENER];
+/** A value of LISTENER_STATE. */
+export type ListenerState =
+  (typeof LISTENER_STATE)[keyof typeof LISTENER_STATE];
 
 /** Connection timeout, ms; several round trips between regions. */
 const PROBE_TIMEOUT_MS = 500;
@@ -35,10 +36,14 @@
       socket.destroy();
       resolve(state);
     };
-    socket.setTimeout(PROBE_TIMEOUT_MS, () => finish(LISTENER.unknown));
-    socket.once('connect', () => finish(LISTENER.listens));
+    socket.setTimeout(PROBE_TIMEOUT_MS, () => finish(LISTENER_STATE.unknown));
+    socket.once('connect', () => finish(LISTENER_STATE.listening));
     socket.once('error', ({code}: NodeJS.ErrnoException) =>
-      finish(code === 'ECONNREFUSED' ? LISTENER.refused : LISTENER.unknown),
+      finish(
+        code === 'ECONNREFUSED'
+          ? LISTENER_STATE.refused
+          : LISTENER_STATE.unknown,
+      ),
     );
   });
 }
--- a/packages/puffinturn-quarantine/src/CrashEvidence.ts
+++ b/packages/puffinturn-quarantine/src/LocalQuarantine.ts
@@ -14,8 +14,8 @@
 import {LRUCache} from 'lru-cache';
 import type {Clock} from 'shared';
 
-import type {Crash, CrashReport, Quarantine} from './CrashRegister';
-import {CrashRegister} from './CrashRegister';
+import type {Crash, CrashReport, Quarantine} from './CrashRegistry';
+import {CrashRegistry} from './CrashRegistry';
 import {
   CRASHES_TO_QUARANTINE,
   LOOKUP_AFTER_CRASH_MS,
@@ -37,9 +37,9 @@
 }
 
 /** The requests that this box must not run, and the observations to report. */
-export class CrashEvidence {
+export class LocalQuarantine {
   /** Crashes observed by this box; a complete response clears a request. */
-  private readonly localCrashes = new CrashRegister();
+  private readonly localCrashes = new CrashRegistry();
   /**
    * When requests last got a complete response, monotonic ms, by fingerprint. They are not
    * suspected for some time, even if they are in flight at a crash.
@@ -73,12 +73,12 @@
   }
 
   /** The requests quarantined by other boxes. */
-  get fingerprints(): readonly string[] {
+  get quarantinedElsewhere(): readonly string[] {
     return [...this.remoteQuarantine];
   }
 
   /** The unreported observations; undefined if there are none. */
-  get untold(): PendingReport | undefined {
+  get pendingReport(): PendingReport | undefined {
     const {answered, crashes} = this;
     const isEmpty = answered.length === 0 && crashes.length === 0;
     return isEmpty ? undefined : {answered, crashes};
@@ -94,7 +94,7 @@
   }
 
   /** Whether one more crash would quarantine a request. */
-  isLastTry(fingerprint: string): boolean {
+  isSuspect(fingerprint: string): boolean {
     return (
       this.remoteSuspects.has(fingerprint) ||
       this.localCrashes.crashCount(fingerprint) >= CRASHES_TO_QUARANTINE - 1
@@ -102,7 +102,10 @@
   }
 
   /** Replaces the requests that other boxes have quarantined or suspect. */
-  adopt({fingerprints, suspects}: Omit<Quarantine, 'revision'>): void {
+  setRemoteQuarantine({
+    fingerprints,
+    suspects,
+  }: Omit<Quarantine, 'revision'>): void {
     const previous = this.remoteQuarantine;
     this.remoteQuarantine = new Set(fingerprints);
     this.remoteSuspects = new Set(suspects);
@@ -114,7 +117,7 @@
   }
 
   /** Records a crash and the requests of this box that were in flight. */
-  crashed({fingerprints, life}: Crash): void {
+  recordCrash({fingerprints, life}: Crash): void {
     const {clock} = this;
     const crash: Crash = {
       fingerprints: fingerprints.filter(
@@ -127,7 +130,7 @@
     }
     this.lookupUntil = clock.now() + LOOKUP_AFTER_CRASH_MS;
     const report = {answered: [], crashes: [{...crash, agoMs: 0}]};
-    this.localCrashes.report(report, clock.wallTime());
+    this.localCrashes.applyReport(report, clock.wallTime());
     const observed = {at: clock.now(), crash};
     this.crashes = [...this.crashes, observed].slice(-MAX_UNREPORTED);
   }
@@ -136,7 +139,7 @@
    * Records that a request got a complete response and clears it. Returns whether this
    * must be reported to other boxes.
    */
-  served(fingerprint: string): boolean {
+  recordSuccess(fingerprint: string): boolean {
     this.succeededAt.set(fingerprint, this.clock.now());
     const isTrackedLocally = this.localCrashes.isTracked(fingerprint);
     const isRemoteSuspect = this.remoteSuspects.delete(fingerprint);
@@ -164,7 +167,7 @@
   }
 
   /** Builds the report of unreported observations. */
-  reportOf({answered, crashes}: PendingReport): CrashReport {
+  buildReport({answered, crashes}: PendingReport): CrashReport {
     const now = this.clock.now();
     return {
       answered,
@@ -173,7 +176,7 @@
   }
 
   /** Removes observations that have been reported. */
-  told({answered, crashes}: PendingReport): void {
+  confirmReported({answered, crashes}: PendingReport): void {
     this.crashes = this.crashes.filter(
       (observed) => !crashes.includes(observed),
     );
--- a/packages/puffinturn-quarantine/src/__tests__/unit/CrashEvidence.test.ts
+++ b/packages/puffinturn-quarantine/src/__tests__/unit/LocalQuarantine.test.ts
@@ -7,7 +7,7 @@
 
 import {ManualClock} from 'shared';
 
-import {CrashEvidence} from '../../CrashEvidence';
+import {LocalQuarantine} from '../../LocalQuarantine';
 import {
   LOOKUP_AFTER_CRASH_MS,
   QUARANTINE_DURATION_MS,
@@ -19,17 +19,17 @@
  * Guards against running a harmful request again and against quarantining a request that
  * succeeds.
  */
-describe('CrashEvidence', () => {
+describe('LocalQuarantine', () => {
   let clock: ManualClock;
-  let evidence: CrashEvidence;
+  let evidence: LocalQuarantine;
 
   beforeEach(() => {
     clock = new ManualClock();
-    evidence = new CrashEvidence(clock);
+    evidence = new LocalQuarantine(clock);
   });
 
   async function recordCrash(incarnation: string): Promise<void> {
-    evidence.crashed({fingerprints: ['f'], life: incarnation});
+    evidence.recordCrash({fingerprints: ['f'], life: incarnation});
     await clock.advance(SECOND_MS);
   }
 
@@ -42,29 +42,29 @@
   });
 
   test('clears a request that is suspected only by other boxes', () => {
-    evidence.adopt({fingerprints: [], suspects: ['f']});
+    evidence.setRemoteQuarantine({fingerprints: [], suspects: ['f']});
     expect(evidence.isEmpty).toBe(false);
-    expect(evidence.isLastTry('f')).toBe(true);
-    expect(evidence.served('f')).toBe(true);
-    expect(evidence.untold?.answered).toEqual(['f']);
-    expect(evidence.served('f')).toBe(false);
-    expect(evidence.served('g')).toBe(false);
+    expect(evidence.isSuspect('f')).toBe(true);
+    expect(evidence.recordSuccess('f')).toBe(true);
+    expect(evidence.pendingReport?.answered).toEqual(['f']);
+    expect(evidence.recordSuccess('f')).toBe(false);
+    expect(evidence.recordSuccess('g')).toBe(false);
   });
 
   test('does not suspect a request that succeeded on this box before several crashes', async () => {
-    evidence.served('f');
+    evidence.recordSuccess('f');
     for (const incarnation of ['a', 'b', 'c', 'd']) {
       await recordCrash(incarnation);
     }
-    expect(evidence.untold).toBeUndefined();
+    expect(evidence.pendingReport).toBeUndefined();
     expect(evidence.isQuarantined('f')).toBe(false);
   });
 
   test('removes a successful request from unreported crashes', async () => {
     await recordCrash('a');
     await recordCrash('b');
-    evidence.served('f');
-    const pendingReport = evidence.untold;
+    evidence.recordSuccess('f');
+    const pendingReport = evidence.pendingReport;
     const crashes = pendingReport?.crashes.flatMap(
       ({crash}) => crash.fingerprints,
     );
--- a/packages/puffinturn-quarantine/src/index.ts
+++ b/packages/puffinturn-quarantine/src/index.ts
@@ -5,24 +5,24 @@
  * LICENSE file in the root directory of this source tree.
  */
 /** Quarantine of requests that crash upstreams. */
-export type {PendingReport as Untold} from './CrashEvidence';
-export {CrashEvidence} from './CrashEvidence';
+export type {CrashDetectorParts, WatchedUpstream} from './CrashDetector';
+export {CrashDetector} from './CrashDetector';
 export type {
   Crash,
-  CrashImage,
   CrashReport,
+  CrashSnapshot,
   Quarantine,
   ReportedCrash,
-} from './CrashRegister';
+} from './CrashRegistry';
 export {
-  CrashRegister,
-  NO_CRASHES,
-  NO_QUARANTINE,
-  NO_REPORT,
-} from './CrashRegister';
-export type {CrashWatchParts, WatchedUpstream} from './CrashWatch';
-export {CrashWatch} from './CrashWatch';
+  CrashRegistry,
+  EMPTY_CRASH_REPORT,
+  EMPTY_CRASH_SNAPSHOT,
+  EMPTY_QUARANTINE,
+} from './CrashRegistry';
 export type {RequestContent} from './Fingerprint';
 export {fingerprintOf} from './Fingerprint';
 export type {ListenerState} from './ListenerProbe';
-export {LISTENER, probeListener} from './ListenerProbe';
+export {LISTENER_STATE, probeListener} from './ListenerProbe';
+export type {PendingReport} from './LocalQuarantine';
+export {LocalQuarantine} from './LocalQuarantine';
--- a/packages/puffinturn-routing/src/Limit.ts
+++ b/packages/puffinturn-routing/src/ConcurrencyLimit.ts
@@ -21,7 +21,7 @@
 export type BoxCount = () => number;
 
 /** Limits the concurrent requests of this box per upstream. */
-export abstract class Limit {
+export abstract class ConcurrencyLimit {
   /** Maximum number of requests that this box may have in flight on an upstream. */
   abstract maxInFlight(upstream: Upstream): number;
 
@@ -34,7 +34,7 @@
 }
 
 /** Baseline: an equal share of the slots for every box. */
-export class StaticLimit extends Limit {
+export class StaticConcurrencyLimit extends ConcurrencyLimit {
   constructor(private readonly boxCount: BoxCount) {
     super();
   }
@@ -51,7 +51,7 @@
  * It decreases when first tokens are late. Every box keeps a minimum share, so that
  * a new box is not starved.
  */
-export class AdaptiveLimit extends Limit {
+export class AdaptiveConcurrencyLimit extends ConcurrencyLimit {
   private readonly fleetLimits = new Map<Upstream, number>();
   private readonly decreasedAt = new Map<Upstream, number>();
 
@@ -65,7 +65,7 @@
   override maxInFlight(upstream: Upstream): number {
     const limit = this.fleetLimit(upstream);
     const ownShare = Math.max(1, Math.floor(limit / (2 * this.boxCount())));
-    return Math.max(ownShare, Math.floor(limit - upstream.othersInFlight));
+    return Math.max(ownShare, Math.floor(limit - upstream.otherBoxesInFlight));
   }
 
   override recordFirstToken(
--- a/packages/puffinturn-routing/src/Hedge.ts
+++ b/packages/puffinturn-routing/src/HedgePolicy.ts
@@ -9,7 +9,7 @@
 import type {Histogram} from 'hdr-histogram-js';
 import {build} from 'hdr-histogram-js';
 
-import {ShareRetryBudget} from './RetryBudget';
+import {RatioRetryBudget} from './RetryBudget';
 import {HEDGE_RATIO} from './RoutingConstants';
 
 const MIN_OBSERVATIONS = 50;
@@ -26,18 +26,18 @@
 }
 
 /** Hedging policy of a pool: delays hedges to a high percentile and bounds their number. */
-export class Hedge {
+export class HedgePolicy {
   private current = newHistogram();
   private previous: Histogram | undefined;
-  private readonly budget: ShareRetryBudget;
+  private readonly budget: RatioRetryBudget;
 
   constructor(ratio = HEDGE_RATIO) {
-    this.budget = new ShareRetryBudget(ratio, 1);
+    this.budget = new RatioRetryBudget(ratio, 1);
   }
 
   /** Records a time to first token and adds the request to the hedge budget. */
-  observe(firstTokenMs: number): void {
-    this.budget.earn();
+  recordFirstToken(firstTokenMs: number): void {
+    this.budget.recordRequest();
     const value = Math.min(MAX_TRACKED_MS, Math.max(1, firstTokenMs));
     this.current.recordValue(Math.round(value));
     if (this.current.totalCount >= WINDOW_OBSERVATIONS) {
@@ -47,7 +47,7 @@
   }
 
   /** Delay before a request is hedged, ms; `Infinity` until enough responses are recorded. */
-  get afterMs(): number {
+  get delayMs(): number {
     const histogram = this.previous ?? this.current;
     return histogram.totalCount < MIN_OBSERVATIONS
       ? Infinity
@@ -55,7 +55,7 @@
   }
 
   /** Takes one hedge from the budget; false if it is exhausted. */
-  spend(): boolean {
-    return this.budget.spend();
+  tryConsume(): boolean {
+    return this.budget.tryConsume();
   }
 }
--- a/packages/puffinturn-routing/src/Choice.ts
+++ b/packages/puffinturn-routing/src/LoadBalancer.ts
@@ -21,7 +21,7 @@
 }
 
 /** Selects one of the candidates; there is at least one. */
-export abstract class Choice {
+export abstract class LoadBalancer {
   abstract select(
     candidates: readonly Upstream[],
     context: SelectionContext,
@@ -29,7 +29,7 @@
 }
 
 /** Baseline: a random upstream. */
-export class RandomChoice extends Choice {
+export class RandomBalancer extends LoadBalancer {
   constructor(private readonly random: Random) {
     super();
   }
@@ -40,7 +40,7 @@
 }
 
 /** Baseline: the upstreams in turn. */
-export class RoundRobinChoice extends Choice {
+export class RoundRobinBalancer extends LoadBalancer {
   private position = 0;
 
   override select(candidates: readonly Upstream[]): Upstream | undefined {
@@ -50,7 +50,7 @@
 }
 
 /** Baseline: the upstream with the fewest in-flight requests of this box. */
-export class LeastInFlightChoice extends Choice {
+export class LeastInFlightBalancer extends LoadBalancer {
   constructor(private readonly random: Random) {
     super();
   }
@@ -69,7 +69,7 @@
  * upstreams that have the prompt cached, so that boxes with the same stale load reports
  * select different upstreams.
  */
-export class ExpectedTimeChoice extends Choice {
+export class ExpectedLatencyBalancer extends LoadBalancer {
   constructor(
     private readonly random: Random,
     private readonly prefixIndex: PrefixIndex,
--- a/packages/puffinturn-routing/src/PrefixIndex.ts
+++ b/packages/puffinturn-routing/src/PrefixIndex.ts
@@ -24,7 +24,7 @@
 const {h64ToString} = await xxhash();
 
 /** Hashes of the blocks of a prompt; each also covers the blocks before it. */
-export function prefixBlocks(prompt: string): string[] {
+export function hashPromptBlocks(prompt: string): string[] {
   const blocks: string[] = [];
   let previousHash = '';
   const blockCount = Math.floor(prompt.length / PREFIX_BLOCK_LENGTH);
@@ -97,7 +97,7 @@
   }
 
   /** Records that an upstream has processed a prompt. */
-  learn(upstream: string, blockHashes: readonly string[]): void {
+  recordPrompt(upstream: string, blockHashes: readonly string[]): void {
     for (const block of blockHashes) {
       const names = this.holdersByBlock.get(block) ?? new Set();
       this.holdersByBlock.set(block, names.add(upstream));
--- a/packages/puffinturn-routing/src/RetryBudget.ts
+++ b/packages/puffinturn-routing/src/RetryBudget.ts
@@ -18,14 +18,14 @@
 /** Limits the number of retries. */
 export abstract class RetryBudget {
   /** Adds the first attempt of a request to the budget. */
-  abstract earn(): void;
+  abstract recordRequest(): void;
 
   /** Takes one retry from the budget; false if it is exhausted. */
-  abstract spend(): boolean;
+  abstract tryConsume(): boolean;
 }
 
 /** A token bucket that each request fills by a fraction of a retry. */
-export class ShareRetryBudget extends RetryBudget {
+export class RatioRetryBudget extends RetryBudget {
   private tokens: number;
 
   constructor(
@@ -36,11 +36,11 @@
     this.tokens = burst;
   }
 
-  override earn(): void {
+  override recordRequest(): void {
     this.tokens = Math.min(this.burst, this.tokens + this.ratio);
   }
 
-  override spend(): boolean {
+  override tryConsume(): boolean {
     if (this.tokens < 1) {
       return false;
     }
@@ -51,15 +51,15 @@
 
 /** Baseline: allows every retry. */
 export class UnlimitedRetryBudget extends RetryBudget {
-  override earn(): void {}
+  override recordRequest(): void {}
 
-  override spend(): boolean {
+  override tryConsume(): boolean {
     return true;
   }
 }
 
 /** Delay before a retry, ms: exponential back-off with full jitter. */
-export function backoffMs(attempt: number, random: Random): number {
+export function backoffDelayMs(attempt: number, random: Random): number {
   const maxDelayMs = Math.min(
     MAX_BACKOFF_MS,
     INITIAL_BACKOFF_MS * 2 ** attempt,
--- a/packages/puffinturn-routing/src/Router.ts
+++ b/packages/puffinturn-routing/src/Router.ts
@@ -14,9 +14,9 @@
 import type {UpstreamSpec} from 'puffinturn-settings';
 import type {Clock, Failure} from 'shared';
 
-import type {Choice} from './Choice';
 import {CircuitBreaker} from './CircuitBreaker';
-import type {Limit} from './Limit';
+import type {ConcurrencyLimit} from './ConcurrencyLimit';
+import type {LoadBalancer} from './LoadBalancer';
 import type {QueuedRequest, RequestQueue} from './RequestQueue';
 import {
   MAX_EJECTED_SHARE,
@@ -27,11 +27,11 @@
 import {Upstream} from './Upstream';
 
 /** A request for a slot on an upstream. */
-export interface PlaceRequest extends Omit<QueuedRequest, 'enqueuedAt'> {
+export interface AcquireRequest extends Omit<QueuedRequest, 'enqueuedAt'> {
   /** Hashes of the blocks of the prompt; each also covers the blocks before it. */
-  readonly prefix: readonly string[];
+  readonly blockHashes: readonly string[];
   /** Names of the upstreams that this request has already tried. */
-  readonly avoid: ReadonlySet<string>;
+  readonly triedUpstreams: ReadonlySet<string>;
   /** Aborted when the caller disconnects. */
   readonly signal?: AbortSignal | undefined;
 }
@@ -46,19 +46,19 @@
 export interface RouterParts {
   readonly pool: string;
   readonly clock: Clock;
-  readonly choice: Choice;
-  readonly limit: Limit;
+  readonly loadBalancer: LoadBalancer;
+  readonly concurrencyLimit: ConcurrencyLimit;
   readonly queue: RequestQueue<Waiter>;
   /** Target of the time to first token, ms. */
   readonly targetMs: number;
   /** Whether a request that cannot meet its deadline is rejected early; true by default. */
-  readonly refusesEarly?: boolean;
+  readonly rejectsEarly?: boolean;
 }
 
 /** A queued request and the callback that settles its promise. */
 interface Waiter extends QueuedRequest {
-  readonly request: PlaceRequest;
-  readonly settle: (result: Result<Place, AcquireFailure>) => void;
+  readonly request: AcquireRequest;
+  readonly settle: (result: Result<UpstreamSlot, AcquireFailure>) => void;
 }
 
 interface UpstreamEntry {
@@ -69,13 +69,13 @@
 const RELEASE_INTERVAL_EWMA_WEIGHT = 0.05;
 
 /** A slot on an upstream for one request; disposal releases it. */
-export class Place implements Disposable {
+export class UpstreamSlot implements Disposable {
   private isReleased = false;
 
   constructor(
     readonly upstream: Upstream,
     private readonly circuitBreaker: CircuitBreaker,
-    private readonly limit: Limit,
+    private readonly concurrencyLimit: ConcurrencyLimit,
     private readonly targetMs: number,
     private readonly onRelease: () => void,
   ) {
@@ -85,24 +85,28 @@
   }
 
   /** Whether the upstream is draining. */
-  get isLeaving(): boolean {
-    return this.upstream.leaving;
+  get isDraining(): boolean {
+    return this.upstream.isDraining;
   }
 
   /** Records the time to the first token or response. */
-  answered(firstTokenMs: number): void {
+  recordFirstToken(firstTokenMs: number): void {
     this.circuitBreaker.recordSuccess();
     this.upstream.recordFirstToken(firstTokenMs);
-    this.limit.recordFirstToken(this.upstream, firstTokenMs, this.targetMs);
+    this.concurrencyLimit.recordFirstToken(
+      this.upstream,
+      firstTokenMs,
+      this.targetMs,
+    );
   }
 
   /** Records a failure of the upstream. */
-  failed(): void {
+  recordFailure(): void {
     this.circuitBreaker.recordFailure();
   }
 
   /** Releases the slot without a request, which leaves the release interval unchanged. */
-  giveBack(): void {
+  cancel(): void {
     if (!this.isReleased) {
       this.isReleased = true;
       this.upstream.inFlight -= 1;
@@ -137,12 +141,12 @@
   }
 
   /** Number of queued requests. */
-  get waiting(): number {
+  get queuedCount(): number {
     return this.parts.queue.size;
   }
 
   /** Sets the upstreams of the pool; those that remain keep their state. */
-  declare(specs: readonly UpstreamSpec[]): void {
+  setUpstreams(specs: readonly UpstreamSpec[]): void {
     const names = new Set(specs.map(({name}) => name));
     for (const name of this.entries.keys()) {
       if (!names.has(name)) {
@@ -159,19 +163,21 @@
       const circuitBreaker = new CircuitBreaker(this.parts.clock);
       this.entries.set(spec.name, {circuitBreaker, upstream});
     }
-    this.serveWaiting();
+    this.dispatchQueued();
   }
 
   /** Sets which upstreams are draining. */
-  markLeaving(isDraining: (name: string) => boolean): void {
+  markDraining(isDraining: (name: string) => boolean): void {
     for (const {upstream} of this.entries.values()) {
-      upstream.leaving = isDraining(upstream.name);
+      upstream.isDraining = isDraining(upstream.name);
     }
-    this.serveWaiting();
+    this.dispatchQueued();
   }
 
   /** Resolves with a slot at once or after queueing, or with the reason of the rejection. */
-  acquire(request: PlaceRequest): Promise<Result<Place, AcquireFailure>> {
+  acquire(
+    request: AcquireRequest,
+  ): Promise<Result<UpstreamSlot, AcquireFailure>> {
     const available = this.getAvailableEntries();
     if (available.length === 0) {
       return Promise.resolve(err(this.unavailableFailure()));
@@ -188,7 +194,7 @@
   }
 
   /** Assigns free slots to queued requests; rejects them all if all upstreams are paused. */
-  serveWaiting(): void {
+  dispatchQueued(): void {
     const {queue} = this.parts;
     if (queue.size > 0 && this.remainingPauseMs !== undefined) {
       this.rejectQueued(this.unavailableFailure());
@@ -234,13 +240,13 @@
   }
 
   private enqueue(
-    request: PlaceRequest,
-  ): Promise<Result<Place, AcquireFailure>> {
+    request: AcquireRequest,
+  ): Promise<Result<UpstreamSlot, AcquireFailure>> {
     const {clock, queue} = this.parts;
     return new Promise((resolve) => {
       const timeout = new AbortController();
       const {cost, deadline, priority, signal, team, weight} = request;
-      const settle = (result: Result<Place, AcquireFailure>): void => {
+      const settle = (result: Result<UpstreamSlot, AcquireFailure>): void => {
         timeout.abort();
         signal?.removeEventListener('abort', onAbort);
         resolve(result);
@@ -276,9 +282,9 @@
   }
 
   /** Returns the failure of a request that is rejected early. */
-  private checkAdmission(request: PlaceRequest): AcquireFailure | undefined {
-    const {clock, queue, refusesEarly} = this.parts;
-    if (refusesEarly === false) {
+  private checkAdmission(request: AcquireRequest): AcquireFailure | undefined {
+    const {clock, queue, rejectsEarly} = this.parts;
+    if (rejectsEarly === false) {
       return undefined;
     }
     if (queue.size >= MAX_QUEUED_REQUESTS) {
@@ -322,7 +328,7 @@
   }
 
   /** Sheds a queued request that is less important than a new one; false if there is none. */
-  private shedLessUrgent(request: PlaceRequest, message: string): boolean {
+  private shedLessUrgent(request: AcquireRequest, message: string): boolean {
     const victim = this.parts.queue.shed(request);
     victim?.settle(err(this.overloadedFailure(message)));
     return victim !== undefined;
@@ -348,32 +354,37 @@
   }
 
   private tryReserve(
-    request: PlaceRequest,
+    request: AcquireRequest,
     includesTried = false,
-  ): Place | undefined {
+  ): UpstreamSlot | undefined {
     const free = this.getAvailableEntries().filter(({upstream}) =>
       this.hasFreeSlot(upstream),
     );
     const candidates = free.filter(
-      ({upstream}) => includesTried || !request.avoid.has(upstream.name),
+      ({upstream}) =>
+        includesTried || !request.triedUpstreams.has(upstream.name),
     );
     if (candidates.length === 0) {
       return undefined;
     }
     const context = {
-      blockHashes: request.prefix,
+      blockHashes: request.blockHashes,
       now: this.parts.clock.now(),
     };
     const upstreams = candidates.map(({upstream}) => upstream);
-    const selected = this.parts.choice.select(upstreams, context);
+    const selected = this.parts.loadBalancer.select(upstreams, context);
     const entry = candidates.find(({upstream}) => upstream === selected);
     return entry && this.reserve(entry);
   }
 
-  private reserve({circuitBreaker, upstream}: UpstreamEntry): Place {
-    const {limit, targetMs} = this.parts;
-    return new Place(upstream, circuitBreaker, limit, targetMs, () =>
-      this.onRelease(),
+  private reserve({circuitBreaker, upstream}: UpstreamEntry): UpstreamSlot {
+    const {concurrencyLimit, targetMs} = this.parts;
+    return new UpstreamSlot(
+      upstream,
+      circuitBreaker,
+      concurrencyLimit,
+      targetMs,
+      () => this.onRelease(),
     );
   }
 
@@ -386,7 +397,7 @@
         ? intervalMs
         : this.releaseIntervalMs +
           RELEASE_INTERVAL_EWMA_WEIGHT * (intervalMs - this.releaseIntervalMs);
-    this.serveWaiting();
+    this.dispatchQueued();
   }
 
   private hasCapacity(): boolean {
@@ -396,7 +407,9 @@
   }
 
   private hasFreeSlot(upstream: Upstream): boolean {
-    return upstream.inFlight < this.parts.limit.maxInFlight(upstream);
+    return (
+      upstream.inFlight < this.parts.concurrencyLimit.maxInFlight(upstream)
+    );
   }
 
   /**
@@ -416,7 +429,9 @@
   }
 
   private getActiveEntries(): UpstreamEntry[] {
-    return [...this.entries.values()].filter(({upstream}) => !upstream.leaving);
+    return [...this.entries.values()].filter(
+      ({upstream}) => !upstream.isDraining,
+    );
   }
 
   /** Time until the first pause ends, ms; undefined unless all upstreams are paused. */
--- a/packages/puffinturn-routing/src/Upstream.ts
+++ b/packages/puffinturn-routing/src/Upstream.ts
@@ -6,7 +6,7 @@
  */
 
 /** State of an upstream in one box. */
-import {LimitStatements} from 'puffinturn-permits';
+import {RateLimitTracker} from 'puffinturn-permits';
 import type {UpstreamSpec} from 'puffinturn-settings';
 import type {Clock} from 'shared';
 
@@ -21,7 +21,7 @@
   readonly running: number;
   readonly waiting: number;
   /** Time of arrival, ms of the box's clock. */
-  readonly at: number;
+  readonly receivedAt: number;
 }
 
 /** Mutable state of one upstream in one box. */
@@ -29,11 +29,11 @@
   /** In-flight requests of this box. */
   inFlight = 0;
   /** In-flight requests of all other boxes, from the last heartbeat reply. */
-  othersInFlight = 0;
+  otherBoxesInFlight = 0;
   /** Requests of this box since the last load report. */
   sentSinceReport = 0;
   /** Whether it is draining and takes no new requests. */
-  leaving = false;
+  isDraining = false;
   /** Takes no requests of this box before this time, ms of the box's clock. */
   pausedUntil = -Infinity;
   /** EWMA of the time to the first token or response, ms. */
@@ -41,7 +41,7 @@
   /** Number of values in `firstTokenMs`. */
   observationCount = 0;
   /** Rate limit that the upstream has announced. */
-  readonly limits: LimitStatements;
+  readonly rateLimit: RateLimitTracker;
   private loadReport: LoadReport | undefined;
 
   constructor(
@@ -49,7 +49,7 @@
     public spec: UpstreamSpec,
     clock: Clock,
   ) {
-    this.limits = new LimitStatements(clock);
+    this.rateLimit = new RateLimitTracker(clock);
   }
 
   /** Name, unique within the pool. */
@@ -58,12 +58,12 @@
   }
 
   /** Sends no requests before a time, ms of the box's clock; never shortens a pause. */
-  restsAtLeastUntil(time: number): void {
+  pauseUntil(time: number): void {
     this.pausedUntil = Math.max(this.pausedUntil, time);
   }
 
   /** Replaces the load report. */
-  reportLoad(report: LoadReport): void {
+  recordLoadReport(report: LoadReport): void {
     this.loadReport = report;
     this.sentSinceReport = 0;
   }
@@ -73,15 +73,16 @@
    * boxes or the reported load, whichever is higher.
    */
   estimateLoad(now: number): number {
-    const knownLoad = this.inFlight + this.othersInFlight;
+    const knownLoad = this.inFlight + this.otherBoxesInFlight;
     if (
       this.loadReport === undefined ||
-      now - this.loadReport.at > MAX_LOAD_REPORT_AGE_MS
+      now - this.loadReport.receivedAt > MAX_LOAD_REPORT_AGE_MS
     ) {
       return knownLoad;
     }
     const reportedLoad = this.loadReport.running + this.loadReport.waiting;
-    const ageRatio = (now - this.loadReport.at) / MAX_LOAD_REPORT_AGE_MS;
+    const ageRatio =
+      (now - this.loadReport.receivedAt) / MAX_LOAD_REPORT_AGE_MS;
     // Requests of the report may have ended since: its weight falls with its age.
     const decayedLoad = reportedLoad * (1 - ageRatio) + knownLoad * ageRatio;
     return Math.max(knownLoad, decayedLoad);
--- a/packages/puffinturn-routing/src/__tests__/unit/Routing.test.ts
+++ b/packages/puffinturn-routing/src/__tests__/unit/Routing.test.ts
@@ -13,18 +13,18 @@
 import type {UpstreamSpec} from 'puffinturn-settings';
 import {ManualClock, Random, settleTasks} from 'shared';
 
-import type {PlaceRequest, QueuedRequest} from '../../index';
+import type {AcquireRequest, QueuedRequest} from '../../index';
 import {
-  AdaptiveLimit,
+  AdaptiveConcurrencyLimit,
   CircuitBreaker,
-  ExpectedTimeChoice,
+  ExpectedLatencyBalancer,
   FairQueue,
-  Hedge,
-  LeastInFlightChoice,
-  prefixBlocks,
+  hashPromptBlocks,
+  HedgePolicy,
+  LeastInFlightBalancer,
   PrefixIndex,
+  RatioRetryBudget,
   Router,
-  ShareRetryBudget,
   Upstream,
 } from '../../index';
 
@@ -33,13 +33,13 @@
 }
 
 function acquireRequest(
-  overrides: Partial<PlaceRequest & QueuedRequest> = {},
-): PlaceRequest & QueuedRequest {
+  overrides: Partial<AcquireRequest & QueuedRequest> = {},
+): AcquireRequest & QueuedRequest {
   return {
-    avoid: new Set(),
+    triedUpstreams: new Set(),
     cost: 1,
     deadline: 10_000,
-    prefix: [],
+    blockHashes: [],
     priority: 5,
     enqueuedAt: 0,
     team: 't',
@@ -50,14 +50,14 @@
 
 function makeRouter(names: readonly string[], clock = new ManualClock()) {
   const router = new Router({
-    choice: new LeastInFlightChoice(new Random(1)),
+    loadBalancer: new LeastInFlightBalancer(new Random(1)),
     clock,
-    limit: new AdaptiveLimit(() => 1, clock),
+    concurrencyLimit: new AdaptiveConcurrencyLimit(() => 1, clock),
     pool: 'p',
     queue: new FairQueue(clock),
     targetMs: 1_000,
   });
-  router.declare(names.map((name) => spec(name)));
+  router.setUpstreams(names.map((name) => spec(name)));
   return {clock, router};
 }
 
@@ -69,7 +69,7 @@
     );
     const queued = router.acquire(acquireRequest());
     const [first, second] = slots.map((slot) => slot._unsafeUnwrap());
-    first?.upstream.restsAtLeastUntil(clock.now() + 3_000);
+    first?.upstream.pauseUntil(clock.now() + 3_000);
     first?.[Symbol.dispose]();
     expect((await queued)._unsafeUnwrapErr()).toMatchObject({
       kind: 'overloaded',
@@ -120,7 +120,7 @@
               ?.[Symbol.dispose]();
           } else {
             drainingName = step.name;
-            router.markLeaving((name) => name === drainingName);
+            router.markDraining((name) => name === drainingName);
           }
           await settleTasks();
           for (const upstream of router.upstreams) {
@@ -151,7 +151,7 @@
     expect(failureKind).toBe('');
     await clock.advance(2);
     expect(failureKind).toBe('overloaded');
-    expect(router.waiting).toBe(0);
+    expect(router.queuedCount).toBe(0);
   });
 
   test('removes a request from the queue if its caller disconnects', async () => {
@@ -162,14 +162,14 @@
     const queued = router.acquire(acquireRequest({signal: caller.signal}));
     caller.abort();
     expect((await queued)._unsafeUnwrapErr().kind).toBe('caller-gone');
-    expect(router.waiting).toBe(0);
+    expect(router.queuedCount).toBe(0);
   });
 
   test('keeps half of a pool available if all circuits are open', async () => {
     const {router} = makeRouter(['u1', 'u2', 'u3', 'u4']);
     for (let failures = 0; failures < 40; failures += 1) {
       const slot = (await router.acquire(acquireRequest()))._unsafeUnwrap();
-      slot.failed();
+      slot.recordFailure();
       slot[Symbol.dispose]();
     }
     const usedNames = new Set<string>();
@@ -244,19 +244,19 @@
 describe('Load balancing, circuit breakers, retries and hedges', () => {
   test('prefers the upstream with a cached prefix unless it is overloaded', () => {
     const prefixIndex = new PrefixIndex();
-    const choice = new ExpectedTimeChoice(new Random(1), prefixIndex);
+    const balancer = new ExpectedLatencyBalancer(new Random(1), prefixIndex);
     const upstreams = ['u1', 'u2', 'u3'].map(
       (name) => new Upstream('p', spec(name, 10), new ManualClock()),
     );
-    const blockHashes = prefixBlocks('x'.repeat(4_096));
-    prefixIndex.learn('u2', blockHashes);
+    const blockHashes = hashPromptBlocks('x'.repeat(4_096));
+    prefixIndex.recordPrompt('u2', blockHashes);
     const context = {blockHashes, now: 0};
-    expect(choice.select(upstreams, context)?.name).toBe('u2');
+    expect(balancer.select(upstreams, context)?.name).toBe('u2');
     const cachingUpstream = upstreams[1];
     if (cachingUpstream !== undefined) {
       cachingUpstream.inFlight = 10;
     }
-    expect(choice.select(upstreams, context)?.name).not.toBe('u2');
+    expect(balancer.select(upstreams, context)?.name).not.toBe('u2');
   });
 
   test('selects the same upstream on all boxes for an unknown prompt', () => {
@@ -264,15 +264,16 @@
       (name) => new Upstream('p', spec(name, 10), new ManualClock()),
     );
     const prompts = Array.from({length: 20}, (_, index) =>
-      prefixBlocks(`${index} `.repeat(2_000)),
+      hashPromptBlocks(`${index} `.repeat(2_000)),
     );
     const selections = [1, 2, 3].map((seed) => {
-      const choice = new ExpectedTimeChoice(
+      const balancer = new ExpectedLatencyBalancer(
         new Random(seed),
         new PrefixIndex(),
       );
       return prompts.map(
-        (blockHashes) => choice.select(upstreams, {blockHashes, now: 0})?.name,
+        (blockHashes) =>
+          balancer.select(upstreams, {blockHashes, now: 0})?.name,
       );
     });
     expect(selections[1]).toEqual(selections[0]);
@@ -283,10 +284,10 @@
   test('removes an upstream from the prefix index after a gap in its cache events', () => {
     const prefixIndex = new PrefixIndex();
     const upstream = new Upstream('p', spec('u1'), new ManualClock());
-    const blockHashes = prefixBlocks('y'.repeat(1_024));
+    const blockHashes = hashPromptBlocks('y'.repeat(1_024));
     const share = () =>
       prefixIndex.cachedShares([upstream], blockHashes).get(upstream);
-    prefixIndex.learn('u1', blockHashes);
+    prefixIndex.recordPrompt('u1', blockHashes);
     prefixIndex.applyCacheEvents('u1', 1, [], 5);
     expect(share()).toBe(1);
     prefixIndex.applyCacheEvents('u1', 9, [], 12);
@@ -311,14 +312,14 @@
   test('limits retries to their ratio of the requests', () => {
     fc.assert(
       fc.property(fc.array(fc.boolean(), {maxLength: 500}), (steps) => {
-        const budget = new ShareRetryBudget(0.1, 5);
+        const budget = new RatioRetryBudget(0.1, 5);
         let requests = 0;
         let retries = 0;
         for (const isRequest of steps) {
           if (isRequest) {
-            budget.earn();
+            budget.recordRequest();
             requests += 1;
-          } else if (budget.spend()) {
+          } else if (budget.tryConsume()) {
             retries += 1;
           }
           expect(retries).toBeLessThanOrEqual(5 + 0.1 * requests + 1e-6);
@@ -329,12 +330,12 @@
   });
 
   test('hedges after the 95th percentile of the time to first token', () => {
-    const hedge = new Hedge();
-    expect(hedge.afterMs).toBe(Infinity);
+    const hedge = new HedgePolicy();
+    expect(hedge.delayMs).toBe(Infinity);
     for (let value = 1; value <= 100; value += 1) {
-      hedge.observe(value);
+      hedge.recordFirstToken(value);
     }
-    expect(hedge.afterMs).toBeGreaterThanOrEqual(94);
-    expect(hedge.afterMs).toBeLessThanOrEqual(97);
+    expect(hedge.delayMs).toBeGreaterThanOrEqual(94);
+    expect(hedge.delayMs).toBeLessThanOrEqual(97);
   });
 });
--- a/packages/puffinturn-routing/src/index.ts
+++ b/packages/puffinturn-routing/src/index.ts
@@ -6,28 +6,32 @@
  */
 
 /** Request routing in a box: load balancing, limits, queueing, retries and hedging. */
-export type {SelectionContext} from './Choice';
-export {
-  Choice,
-  ExpectedTimeChoice,
-  LeastInFlightChoice,
-  RandomChoice,
-  RoundRobinChoice,
-} from './Choice';
 export {CircuitBreaker} from './CircuitBreaker';
-export {Hedge} from './Hedge';
-export type {BoxCount} from './Limit';
-export {AdaptiveLimit, Limit, StaticLimit} from './Limit';
-export {prefixBlocks, PrefixIndex} from './PrefixIndex';
+export type {BoxCount} from './ConcurrencyLimit';
+export {
+  AdaptiveConcurrencyLimit,
+  ConcurrencyLimit,
+  StaticConcurrencyLimit,
+} from './ConcurrencyLimit';
+export {HedgePolicy} from './HedgePolicy';
+export type {SelectionContext} from './LoadBalancer';
+export {
+  ExpectedLatencyBalancer,
+  LeastInFlightBalancer,
+  LoadBalancer,
+  RandomBalancer,
+  RoundRobinBalancer,
+} from './LoadBalancer';
+export {hashPromptBlocks, PrefixIndex} from './PrefixIndex';
 export type {QueuedRequest} from './RequestQueue';
 export {FairQueue, FifoQueue, RequestQueue} from './RequestQueue';
 export {
-  backoffMs,
+  backoffDelayMs,
+  RatioRetryBudget,
   RetryBudget,
-  ShareRetryBudget,
   UnlimitedRetryBudget,
 } from './RetryBudget';
-export type {AcquireFailure, PlaceRequest, RouterParts} from './Router';
-export {Place, Router} from './Router';
+export type {AcquireFailure, AcquireRequest, RouterParts} from './Router';
+export {Router, UpstreamSlot} from './Router';
 export type {LoadReport} from './Upstream';
 export {Upstream} from './Upstream';
