--- a/packages/puffinturn-fleet/src/Configuration.ts
+++ b/packages/puffinturn-fleet/src/Configuration.ts
@@ -149,23 +149,17 @@
     const path = `routes.${index}`;
     const key = routeKey(route);
     if (seenKeys.has(key)) {
-      return invalidConfiguration(path, `duplicate route for ${key}`);
+      return invalidConfiguration(path, `a second route for ${key}`);
     }
     seenKeys.add(key);
     if (route.timeoutMs <= 0) {
-      return invalidConfiguration(
-        `${path}.timeoutMs`,
-        'must be greater than 0',
-      );
+      return invalidConfiguration(`${path}.timeoutMs`, 'must be above 0');
     }
     const unknownTarget = route.targets.find(
       ({service}) => !serviceNames.has(service),
     );
     if (unknownTarget !== undefined) {
-      return invalidConfiguration(
-        path,
-        `unknown service ${unknownTarget.service}`,
-      );
+      return invalidConfiguration(path, `no service ${unknownTarget.service}`);
     }
     const hasNegativeWeight = route.targets.some(({weight}) => weight < 0);
     const totalWeight = route.targets.reduce(
@@ -175,7 +169,7 @@
     if (hasNegativeWeight || totalWeight <= 0) {
       return invalidConfiguration(
         path,
-        'target weights must not be negative and their sum must be greater than 0',
+        'the weights must add up to more than 0',
       );
     }
   }
@@ -189,7 +183,7 @@
   const ownersByKey = new Map<string, string>();
   for (const [index, {keys, name}] of teams.entries()) {
     if (seenNames.has(name)) {
-      return invalidConfiguration(`teams.${index}`, `duplicate team ${name}`);
+      return invalidConfiguration(`teams.${index}`, `a second team ${name}`);
     }
     seenNames.add(name);
     for (const key of keys) {
@@ -197,7 +191,7 @@
       if (owner !== undefined && owner !== name) {
         return invalidConfiguration(
           `teams.${index}`,
-          `a key is already used by team ${owner}`,
+          `${owner} has the same key`,
         );
       }
       ownersByKey.set(key, name);
--- a/packages/puffinturn-gateway/src/Admission.ts
+++ b/packages/puffinturn-gateway/src/Admission.ts
@@ -154,7 +154,7 @@
           err(
             createFailure(
               'key_conflict',
-              'this Idempotency-Key was used by a request with different content',
+              'this key belongs to a request with other content',
             ),
           ),
         );
@@ -166,7 +166,7 @@
           ),
         );
       case 'no-budget': {
-        const message = `budget ${plan.decision.budget} does not exist`;
+        const message = `there is no budget ${plan.decision.budget}`;
         return done(err(createFailure('budget_exhausted', message)));
       }
       case 'stale-config':
@@ -205,12 +205,12 @@
 }
 
 function notReadyFailure(): GatewayFailure {
-  const message = 'the configuration of this box is out of date';
+  const message = 'this box is not up to date with its region';
   return createFailure('not_ready', message, 1_000);
 }
 
 function controlUnavailableFailure(): GatewayFailure {
-  const message = 'the control boxes of this region are unreachable';
+  const message = 'the control boxes of this region cannot be reached';
   return createFailure('control_unavailable', message, 2_000);
 }
 
@@ -220,7 +220,7 @@
   reserved: number,
 ): GatewayFailure {
   const {decision, reserve} = plan;
-  const message = `budget ${decision.budget} has ${available} units left and ${reserved} units reserved; this request may cost up to ${reserve}`;
+  const message = `budget ${decision.budget} has ${available} units left (${reserved} more are reserved); this request may cost ${reserve}`;
   // Only the release of reserved units can free budget soon.
   const retryAfterMs = reserved > 0 ? 5_000 : undefined;
   return createFailure('budget_exhausted', message, retryAfterMs);
--- a/packages/puffinturn-gateway/src/AttemptRunner.ts
+++ b/packages/puffinturn-gateway/src/AttemptRunner.ts
@@ -167,7 +167,7 @@
     if (slot.isDraining) {
       // The upstream started to leave during the commit; nothing was sent.
       slot[Symbol.dispose]();
-      const message = 'the upstream is shutting down';
+      const message = 'the upstream is leaving';
       return {
         isConnectionLost: false,
         kind: 'failed',
@@ -206,7 +206,7 @@
       }
       slot.cancel();
     }
-    const message = 'the upstreams have reached their rate limits';
+    const message = 'the upstreams take no more requests now';
     const failure = createFailure('overloaded', message, 1_000);
     return {failure, kind: 'no-slot'};
   }
@@ -511,7 +511,7 @@
     if (decision.runsAtMostOnce && this.mayHaveRun) {
       return this.closeUnknown();
     }
-    const message = call?.message ?? 'no upstream returned a complete response';
+    const message = call?.message ?? 'no upstream gave a whole answer';
     if (this.usage.textEventCount > 0) {
       // Without a key from the caller no retry can attach: bill the delivered part.
       await (isKeyGenerated
@@ -528,7 +528,7 @@
     call: Exclude<CallOutcome, UpstreamCall>,
   ): Promise<void> {
     if (call.kind === 'dispatch-not-committed') {
-      const message = 'the dispatch could not be committed to the ledger';
+      const message = 'the dispatch could not be committed in time';
       const code = 'control_unavailable';
       return this.releaseAndFail(createFailure(code, message, 1_000));
     }
@@ -556,7 +556,7 @@
     if (outcome?.kind === 'done') {
       this.fail(failure);
     } else {
-      const message = 'another attempt at this request may be running';
+      const message = 'another attempt may run this request';
       this.fail(createFailure('still_running', message, 1_000));
     }
     await released;
@@ -565,7 +565,7 @@
   private async closeUnknown(): Promise<void> {
     const {reserve} = this.attempt.plan;
     await this.parts.settler.settle(this.attempt, 'unknown', reserve);
-    const message = 'the request may have run and will not be retried';
+    const message = 'the request may have run; it will not be run again';
     return this.fail(createFailure('outcome_unknown', message));
   }
 
@@ -577,7 +577,7 @@
     } else {
       await this.parts.settler.release(this.attempt);
     }
-    this.fail(createFailure('caller_gone', 'the caller closed the connection'));
+    this.fail(createFailure('caller_gone', 'the caller has gone'));
   }
 
   private fail(failure: GatewayFailure): void {
--- a/packages/puffinturn-gateway/src/CallerHttp.ts
+++ b/packages/puffinturn-gateway/src/CallerHttp.ts
@@ -93,9 +93,7 @@
   );
   app.all('/services/:service/*', (context) => handleService(parts, context));
   app.notFound(() =>
-    createErrorResponse(
-      createFailure('not_found', 'there is no endpoint at this path'),
-    ),
+    createErrorResponse(createFailure('not_found', 'no such path')),
   );
   app.onError((error) => {
     const failure = createFailure('bad_request', error.message);
@@ -128,7 +126,7 @@
 ): Promise<Result<Team, GatewayFailure>> {
   const repeatedHeader = findRepeatedHeader(context.env.incoming.rawHeaders);
   if (repeatedHeader !== undefined) {
-    const message = `the header ${repeatedHeader} must not be repeated`;
+    const message = `the header ${repeatedHeader} came more than once`;
     return err(createFailure('bad_request', message));
   }
   const [scheme, key] = (context.req.header('authorization') ?? '').split(' ');
@@ -145,14 +143,8 @@
     }
   }
   return member.isReady
-    ? err(createFailure('invalid_key', 'a valid bearer key is required'))
-    : err(
-        createFailure(
-          'not_ready',
-          'the configuration of this box is out of date',
-          1_000,
-        ),
-      );
+    ? err(createFailure('invalid_key', 'a valid bearer key is needed'))
+    : err(createFailure('not_ready', 'this box is not up to date', 1_000));
 }
 
 function findRepeatedHeader(rawHeaders: readonly string[]): string | undefined {
@@ -169,12 +161,7 @@
   limit: number,
 ): Promise<Result<Uint8Array, GatewayFailure>> {
   const tooLarge = (): Result<Uint8Array, GatewayFailure> =>
-    err(
-      createFailure(
-        'body_too_large',
-        `the body exceeds the limit of ${limit} bytes`,
-      ),
-    );
+    err(createFailure('body_too_large', `at most ${limit} bytes are taken`));
   if (Number(context.req.header('content-length') ?? 0) > limit) {
     return tooLarge();
   }
@@ -189,12 +176,7 @@
       chunks.push(chunk);
     }
   } catch {
-    return err(
-      createFailure(
-        'bad_request',
-        'the connection was lost before the body was complete',
-      ),
-    );
+    return err(createFailure('bad_request', 'the body broke off'));
   }
   return ok(Buffer.concat(chunks));
 }
@@ -204,9 +186,7 @@
     const text = new TextDecoder('utf-8', {fatal: true}).decode(body);
     return ok(JSON.parse(text));
   } catch {
-    return err(
-      createFailure('bad_request', 'the body is not valid JSON in UTF-8'),
-    );
+    return err(createFailure('bad_request', 'the body is not JSON in UTF-8'));
   }
 }
 
@@ -215,12 +195,7 @@
 ): Result<string, GatewayFailure> {
   const key = context.req.header('idempotency-key') ?? '';
   return key.length > MAX_KEY_LENGTH
-    ? err(
-        createFailure(
-          'bad_request',
-          `the Idempotency-Key exceeds ${MAX_KEY_LENGTH} characters`,
-        ),
-      )
+    ? err(createFailure('bad_request', 'the Idempotency-Key is too long'))
     : ok(key);
 }
 
@@ -327,7 +302,7 @@
     const failure =
       response.end?.kind === 'failed' ? response.end.failure : null;
     return createErrorResponse(
-      failure ?? createFailure('upstream_failed', 'there is no response'),
+      failure ?? createFailure('upstream_failed', 'no answer'),
       requestId,
     );
   }
--- a/packages/puffinturn-gateway/src/CompletionBody.ts
+++ b/packages/puffinturn-gateway/src/CompletionBody.ts
@@ -22,7 +22,7 @@
   max_tokens: TokensSchema,
   model: z.string().min(1).max(200),
   /** The reserve covers the cost of one choice only. */
-  n: z.literal(1, 'only one choice per request is supported').nullish(),
+  n: z.literal(1, 'only one choice a request').nullish(),
   stream: z.boolean().nullish(),
   stream_options: z
     .looseObject({include_usage: z.boolean().nullish()})
--- a/packages/puffinturn-gateway/src/Gateway.ts
+++ b/packages/puffinturn-gateway/src/Gateway.ts
@@ -161,13 +161,12 @@
     request: CallerRequest,
   ): Promise<Result<CallerResponse, GatewayFailure>> {
     if (this.isStopping) {
-      const message = 'this box is stopping; retry on another box';
+      const message = 'this box is stopping; another one will answer';
       return err(createFailure('stopping', message, 1_000));
     }
     const {clock, requestQuarantine, member, metrics} = this.parts;
     if (requestQuarantine.isQuarantined(request)) {
-      const message =
-        'this request is quarantined because it crashed upstreams';
+      const message = 'upstreams crashed whenever they ran this request';
       return err(createFailure('quarantined', message));
     }
     const startedAt = clock.now();
@@ -197,7 +196,7 @@
       }
       const deadline = startedAt + known.plan.decision.deadlineMs;
       if (clock.now() >= deadline) {
-        const message = 'another attempt at this request is still running';
+        const message = 'the request still runs elsewhere';
         return err(createFailure('still_running', message, 1_000));
       }
       await clock.sleep(POLL_INTERVAL_MS);
@@ -287,7 +286,7 @@
       view.state === REQUEST_STATE.unknown ||
       (view.state === REQUEST_STATE.dispatched && view.ownerGone);
     if (mayHaveRun) {
-      const message = 'the request may have run and will not be retried';
+      const message = 'the request may have run; it will not be run again';
       return err(createFailure('outcome_unknown', message));
     }
     const response = await this.findResponse(known);
@@ -301,8 +300,7 @@
       return ok({requestId, response});
     }
     if (view.state === REQUEST_STATE.settled) {
-      const message =
-        'the request ran and was billed; its response is no longer available';
+      const message = 'the request ran and was billed; its answer is gone';
       return err(createFailure('answer_gone', message));
     }
     return undefined;
--- a/packages/puffinturn-gateway/src/RequestForwarder.ts
+++ b/packages/puffinturn-gateway/src/RequestForwarder.ts
@@ -119,7 +119,7 @@
     const {handle, member, responses} = this.parts;
     const team = member.config.team(body.team);
     if (team === undefined) {
-      const message = 'the configuration of this box does not contain the team';
+      const message = 'this box does not know the team yet';
       const failure = createFailure('not_ready', message, 1_000);
       return {failure, kind: 'refused'};
     }
@@ -140,12 +140,12 @@
   return mayHaveArrived
     ? createFailure(
         'outcome_unknown',
-        `region ${region} received the request; the outcome is unknown`,
+        `region ${region} has the request; its answer is not known`,
         2_000,
       )
     : createFailure(
         'region_unreachable',
-        `region ${region}, which admits this request, is unreachable`,
+        `region ${region} decides on this request and cannot be reached`,
         2_000,
       );
 }
--- a/packages/puffinturn-gateway/src/RequestPlan.ts
+++ b/packages/puffinturn-gateway/src/RequestPlan.ts
@@ -140,7 +140,7 @@
   }
   if (decision.runsAtMostOnce) {
     const message =
-      'a request that must not be repeated requires an Idempotency-Key';
+      'a request that must not be repeated needs an Idempotency-Key';
     return err(createFailure('key_required', message));
   }
   return ok({isKeyGenerated: true, key: `box ${parts.generateKey()}`});
@@ -177,7 +177,7 @@
     completion.messages * spec.tokensPerMessage;
   const availableTokens = spec.contextTokens - promptTokens;
   if (availableTokens <= 0) {
-    const message = `the prompt may have up to ${promptTokens} tokens; the context limit is ${spec.contextTokens}`;
+    const message = `the prompt may take ${promptTokens} tokens of ${spec.contextTokens}`;
     return err(createFailure('context_too_long', message));
   }
   const requestedTokens = completion.maxTokens || spec.defaultMaxTokens;
--- a/packages/puffinturn-gateway/src/RequestQuarantine.ts
+++ b/packages/puffinturn-gateway/src/RequestQuarantine.ts
@@ -127,7 +127,7 @@
   private recordCrash({fingerprints, life}: Crash): void {
     const {box, timeline} = this.parts;
     this.crashCount += 1;
-    const detail = `${fingerprints.length} requests in flight`;
+    const detail = `${fingerprints.length} requests were there`;
     timeline.note(EVENT_KIND.upstreamCrashed, {detail, upstream: life});
     // Upstreams do not report incarnations, so each crash gets its own identifier.
     const crashId = `${life} ${box} ${this.crashCount}`;
--- a/packages/puffinturn-gateway/src/ResponseExchange.ts
+++ b/packages/puffinturn-gateway/src/ResponseExchange.ts
@@ -96,7 +96,7 @@
         response.finish({
           failure: {
             kind: 'outcome_unknown',
-            message: `box ${box}, which runs the request, is unreachable`,
+            message: `${box} could not be reached any more`,
             outcome: 'unknown',
             retryAfterMs: 1_000,
             status: 504,
--- a/packages/puffinturn-gateway/src/UpstreamCall.ts
+++ b/packages/puffinturn-gateway/src/UpstreamCall.ts
@@ -96,11 +96,7 @@
   processHeaders(parts, slot, response, sentAt);
   if (response.headers[NOT_RUN_HEADER] === 'true') {
     abortController.abort();
-    return createFailedCall(
-      slot,
-      false,
-      'the upstream did not run the request',
-    );
+    return createFailedCall(slot, false, 'the upstream did not take it');
   }
   if (rejectsServerErrors && response.status >= MIN_SERVER_ERROR_STATUS) {
     abortController.abort();
@@ -108,7 +104,7 @@
     return createFailedCall(
       slot,
       true,
-      `the upstream responded with status ${response.status}`,
+      `the upstream answered ${response.status}`,
     );
   }
   const iterator = response.body[Symbol.asyncIterator]();
@@ -116,11 +112,7 @@
   if (firstChunk === undefined) {
     slot.recordFailure();
     return {
-      ...createFailedCall(
-        slot,
-        true,
-        'the connection to the upstream was lost',
-      ),
+      ...createFailedCall(slot, true, 'the upstream broke off'),
       isConnectionLost: true,
     };
   }
--- a/packages/puffinturn-policy/src/Expression.ts
+++ b/packages/puffinturn-policy/src/Expression.ts
@@ -91,7 +91,7 @@
 function parse(text: string): Result<ParseResult, ExpressionFailure> {
   const comprehensionCount = text.match(COMPREHENSION_PATTERN)?.length ?? 0;
   if (comprehensionCount > MAX_EXPRESSION_COMPREHENSIONS) {
-    const message = `${comprehensionCount} comprehensions exceed the maximum of ${MAX_EXPRESSION_COMPREHENSIONS}`;
+    const message = `${comprehensionCount} loops; at most ${MAX_EXPRESSION_COMPREHENSIONS} are allowed`;
     return err(expressionFailure(message));
   }
   try {
@@ -114,9 +114,7 @@
     const actualType = String(check.type);
     if (actualType !== expectedType && actualType !== 'dyn') {
       return err(
-        expressionFailure(
-          `result type is ${actualType}, expected ${expectedType}`,
-        ),
+        expressionFailure(`gives ${actualType}; wanted ${expectedType}`),
       );
     }
     return ok(createEvaluator<Value>(parsed, expectedType));
@@ -135,7 +133,7 @@
         ? ok(value as Value)
         : err({
             kind: 'evaluation',
-            message: `unexpected result of type ${typeof value}`,
+            message: `gave a ${typeof value}`,
           });
     } catch (error) {
       const {summary} = error as CelError;
--- a/packages/puffinturn-policy/src/PolicySet.ts
+++ b/packages/puffinturn-policy/src/PolicySet.ts
@@ -117,7 +117,7 @@
     }
     return err({
       kind: 'no-rule',
-      message: 'no policy rule matches the request',
+      message: 'no rule allows this request',
     });
   }
 }
@@ -208,9 +208,7 @@
   const derivedKey = keyResult?.value;
   const length = derivedKey?.length ?? 1;
   if (length === 0 || length > MAX_KEY_LENGTH) {
-    return err(
-      evaluationFailure(name, `invalid key length: ${length} characters`),
-    );
+    return err(evaluationFailure(name, `a key of ${length} characters`));
   }
   return ok({
     allowsHedging: rule.hedge,
--- a/packages/puffinturn-routing/src/Router.ts
+++ b/packages/puffinturn-routing/src/Router.ts
@@ -229,13 +229,7 @@
       if (waiter === undefined || waiter.deadline > clock.now()) {
         return waiter;
       }
-      waiter.settle(
-        err(
-          this.overloadedFailure(
-            'the deadline passed while the request was queued',
-          ),
-        ),
-      );
+      waiter.settle(err(this.overloadedFailure('the deadline has passed')));
     }
   }
 
@@ -263,19 +257,13 @@
       };
       const onAbort = (): void => {
         queue.remove(waiter);
-        settle(err({kind: 'caller-gone', message: 'the caller disconnected'}));
+        settle(err({kind: 'caller-gone', message: 'the caller has gone'}));
       };
       signal?.addEventListener('abort', onAbort, {once: true});
       queue.push(waiter);
       void clock.sleep(deadline - clock.now(), timeout.signal).then(() => {
         if (queue.remove(waiter)) {
-          settle(
-            err(
-              this.overloadedFailure(
-                'no upstream had a free slot before the deadline',
-              ),
-            ),
-          );
+          settle(err(this.overloadedFailure('no upstream came free in time')));
         }
       });
     });
@@ -288,7 +276,7 @@
       return undefined;
     }
     if (queue.size >= MAX_QUEUED_REQUESTS) {
-      const message = 'the request queue is full';
+      const message = 'too many requests wait';
       if (!this.shedLessUrgent(request, message)) {
         return this.overloadedFailure(message);
       }
@@ -299,11 +287,9 @@
     // The estimate is rough: reject only if half of it exceeds the deadline.
     const waitMs = queue.size * (this.releaseIntervalMs ?? 0);
     if (clock.now() + waitMs / 2 > request.deadline) {
-      return this.overloadedFailure(
-        'the expected queue time exceeds the deadline',
-      );
+      return this.overloadedFailure('the deadline cannot be met');
     }
-    const message = 'the request rate exceeds the capacity of the pool';
+    const message = 'more comes than the pool can serve';
     if (
       !this.isQueueStanding(waitMs) ||
       this.shedLessUrgent(request, message)
@@ -339,10 +325,10 @@
     const {pool} = this.parts;
     const retryAfterMs = this.remainingPauseMs;
     return retryAfterMs === undefined
-      ? {kind: 'no-upstream', message: `no upstream of ${pool} is available`}
+      ? {kind: 'no-upstream', message: `no upstream of ${pool} takes work`}
       : {
           kind: 'overloaded',
-          message: `all upstreams of ${pool} are paused or at their rate limit`,
+          message: `all upstreams of ${pool} rest, or take no more for now`,
           retryAfterMs,
         };
   }
