--- a/packages/puffinturn-fleet/src/Configuration.ts
+++ b/packages/puffinturn-fleet/src/Configuration.ts
@@ -10,7 +10,7 @@
 import type {Failure} from 'shared';
 
 /** Whether requests of a route may be retried. */
-export const REPETITION = {
+export const RETRY_POLICY = {
   /** Never retried: a request runs at most once. */
   never: 'never',
   /** Safe to retry from the start. */
@@ -19,8 +19,8 @@
   resumable: 'resumable',
 } as const;
 
-/** A value of REPETITION. */
-export type Repetition = (typeof REPETITION)[keyof typeof REPETITION];
+/** A value of RETRY_POLICY. */
+export type RetryPolicy = (typeof RETRY_POLICY)[keyof typeof RETRY_POLICY];
 
 /** A service that a route sends requests to, with its weight. */
 export interface RouteTarget {
@@ -33,7 +33,7 @@
   readonly name: string;
   readonly host: string;
   readonly pathPrefix: string;
-  readonly repetition: Repetition;
+  readonly repetition: RetryPolicy;
   /** Whether responses are event streams. */
   readonly streams: boolean;
   /** Request timeout, ms. */
@@ -72,7 +72,7 @@
 }
 
 /** Returns the unique key of a route: its host and path prefix. */
-export function routePlace({host, pathPrefix}: Route): string {
+export function routeKey({host, pathPrefix}: Route): string {
   return `${host.toLowerCase()} ${pathPrefix}`;
 }
 
@@ -147,25 +147,19 @@
   const seenKeys = new Set<string>();
   for (const [index, route] of routes.entries()) {
     const path = `routes.${index}`;
-    const key = routePlace(route);
+    const key = routeKey(route);
     if (seenKeys.has(key)) {
-      return invalidConfiguration(path, `duplicate route for ${key}`);
+      return invalidConfiguration(path, `a second route for ${key}`);
     }
     seenKeys.add(key);
     if (route.timeoutMs <= 0) {
-      return invalidConfiguration(
-        `${path}.timeoutMs`,
-        'must be greater than 0',
-      );
+      return invalidConfiguration(`${path}.timeoutMs`, 'must be above 0');
     }
     const unknownTarget = route.targets.find(
       ({service}) => !serviceNames.has(service),
     );
     if (unknownTarget !== undefined) {
-      return invalidConfiguration(
-        path,
-        `unknown service ${unknownTarget.service}`,
-      );
+      return invalidConfiguration(path, `no service ${unknownTarget.service}`);
     }
     const hasNegativeWeight = route.targets.some(({weight}) => weight < 0);
     const totalWeight = route.targets.reduce(
@@ -175,7 +169,7 @@
     if (hasNegativeWeight || totalWeight <= 0) {
       return invalidConfiguration(
         path,
-        'target weights must not be negative and their sum must be greater than 0',
+        'the weights must add up to more than 0',
       );
     }
   }
@@ -189,7 +183,7 @@
   const ownersByKey = new Map<string, string>();
   for (const [index, {keys, name}] of teams.entries()) {
     if (seenNames.has(name)) {
-      return invalidConfiguration(`teams.${index}`, `duplicate team ${name}`);
+      return invalidConfiguration(`teams.${index}`, `a second team ${name}`);
     }
     seenNames.add(name);
     for (const key of keys) {
@@ -197,7 +191,7 @@
       if (owner !== undefined && owner !== name) {
         return invalidConfiguration(
           `teams.${index}`,
-          `a key is already used by team ${owner}`,
+          `${owner} has the same key`,
         );
       }
       ownersByKey.set(key, name);
--- a/packages/puffinturn-membership/src/HeartbeatMonitor.ts
+++ b/packages/puffinturn-membership/src/HeartbeatMonitor.ts
@@ -11,7 +11,7 @@
  */
 import type {Ledger, LedgerRecord} from 'puffinturn-ledger';
 import type {Replica} from 'puffinturn-log';
-import {CrashRegister, NO_REPORT} from 'puffinturn-quarantine';
+import {CrashRegistry, EMPTY_CRASH_REPORT} from 'puffinturn-quarantine';
 import type {Timeline} from 'puffinturn-timeline';
 import {EVENT_KIND} from 'puffinturn-timeline';
 import type {Link} from 'puffinturn-wire';
@@ -54,7 +54,7 @@
   private readonly registration: Disposable;
   private currentTerm = -1;
   /** Crash reports received in the current term. */
-  private crashRegister = new CrashRegister();
+  private crashRegister = new CrashRegistry();
   /** Boxes whose quarantine was imported in the current term. */
   private readonly boxesWithReportedQuarantine = new Set<string>();
 
@@ -80,7 +80,8 @@
     this.resetOnNewTerm();
     this.recordCrashUpdate(heartbeat);
     const {box, incarnation} = heartbeat;
-    const isRegistered = ledger.boxes.current(box, incarnation) !== undefined;
+    const isRegistered =
+      ledger.boxes.findIncarnation(box, incarnation) !== undefined;
     if (isRegistered) {
       this.recordHeartbeat(heartbeat);
     }
@@ -100,10 +101,10 @@
       return;
     }
     const at = this.parts.clock.wallTime();
-    this.crashRegister.report(crashNews.report ?? NO_REPORT, at);
+    this.crashRegister.applyReport(crashNews.report ?? EMPTY_CRASH_REPORT, at);
     if (!this.boxesWithReportedQuarantine.has(box)) {
       this.boxesWithReportedQuarantine.add(box);
-      this.crashRegister.hold(crashNews.quarantined, at);
+      this.crashRegister.addQuarantined(crashNews.quarantined, at);
     }
   }
 
@@ -122,7 +123,10 @@
     incarnation: string,
     floor: number,
   ): void {
-    const [lowestOpen] = this.parts.ledger.requests.openOf(box, incarnation);
+    const [lowestOpen] = this.parts.ledger.requests.openRequestsOf(
+      box,
+      incarnation,
+    );
     if (lowestOpen !== undefined && lowestOpen.serial < floor) {
       const at = this.parts.clock.wallTime();
       this.propose({at, box, incarnation, kind: 'floor', serial: floor});
@@ -154,7 +158,7 @@
       configIndex: ledger.declarations.configIndex,
       entries:
         heartbeat.configIndex < ledger.declarations.configIndex
-          ? ledger.declarations.since(heartbeat.configIndex)
+          ? ledger.declarations.changesSince(heartbeat.configIndex)
           : [],
       fenced,
       inFlight: this.inFlightOfOtherBoxes(heartbeat.box),
@@ -207,7 +211,7 @@
     if (term !== this.currentTerm) {
       this.currentTerm = term;
       this.monitoredBoxes.clear();
-      this.crashRegister = new CrashRegister();
+      this.crashRegister = new CrashRegistry();
       this.boxesWithReportedQuarantine.clear();
     }
   }
--- a/packages/puffinturn-policy/src/PolicySet.ts
+++ b/packages/puffinturn-policy/src/PolicySet.ts
@@ -37,11 +37,11 @@
   readonly priority: number;
   readonly deadlineMs: number;
   /** Whether the request must run at most once. */
-  readonly marked: boolean;
+  readonly runsAtMostOnce: boolean;
   /** Business key that the rule derives from the request. */
   readonly key: string | undefined;
   readonly maxTokens: number | undefined;
-  readonly hedge: boolean;
+  readonly allowsHedging: boolean;
 }
 
 /** Why a request is not allowed. */
@@ -117,7 +117,7 @@
     }
     return err({
       kind: 'no-rule',
-      message: 'no policy rule matches the request',
+      message: 'no rule allows this request',
     });
   }
 }
@@ -208,19 +208,17 @@
   const derivedKey = keyResult?.value;
   const length = derivedKey?.length ?? 1;
   if (length === 0 || length > MAX_KEY_LENGTH) {
-    return err(
-      evaluationFailure(name, `invalid key length: ${length} characters`),
-    );
+    return err(evaluationFailure(name, `a key of ${length} characters`));
   }
   return ok({
+    allowsHedging: rule.hedge,
     budget: budgetName.value,
     deadlineMs: rule.deadlineMs,
-    hedge: rule.hedge,
     key: derivedKey,
-    marked: rule.repeat === 'never',
     maxTokens: rule.maxTokens,
     pool: rule.pool,
     priority: rule.priority,
     rule: name,
+    runsAtMostOnce: rule.repeat === 'never',
   });
 }
