--- a/packages/puffinturn-cli/src/__tests__/unit/Tool.test.ts
+++ b/packages/puffinturn-cli/src/__tests__/unit/Tool.test.ts
@@ -104,13 +104,19 @@
     const [kind, name, number] = row;
     expect(await run('drain', `--${kind}`, name)).toBe(EXIT.ok);
     const order = JSON.stringify({order: number});
-    await fixture.settleConfig();
-    const refused = await fixture.call('/services/orders/place', order);
+    await fixture.waitForLatestConfig();
+    const refused = await fixture.sendCallerRequest(
+      '/services/orders/place',
+      order,
+    );
     expect(refused.status).toBe(503);
     expect(refused.headers['puffinturn-outcome']).toBe('not-run');
     expect(await run('undrain', `--${kind}`, name)).toBe(EXIT.ok);
-    await fixture.settleConfig();
-    const served = await fixture.call('/services/orders/place', order);
+    await fixture.waitForLatestConfig();
+    const served = await fixture.sendCallerRequest(
+      '/services/orders/place',
+      order,
+    );
     expect(served.status).toBe(200);
     expect(fixture.service.executions.get(number)).toBe(1);
   });
@@ -120,13 +126,16 @@
     const health = async () =>
       (await fetch(`http://127.0.0.1:${port}/healthz`)).status;
     expect(await run('drain', '--box', 'box-1')).toBe(EXIT.ok);
-    await fixture.settleConfig();
+    await fixture.waitForLatestConfig();
     expect(await health()).toBe(503);
     const order = JSON.stringify({order: 'T-2'});
-    const served = await fixture.call('/services/orders/place', order);
+    const served = await fixture.sendCallerRequest(
+      '/services/orders/place',
+      order,
+    );
     expect(served.status).toBe(200);
     expect(await run('undrain', '--box', 'box-1')).toBe(EXIT.ok);
-    await fixture.settleConfig();
+    await fixture.waitForLatestConfig();
     expect(await health()).toBe(200);
   });
 
--- a/packages/puffinturn-daemon/src/Box.ts
+++ b/packages/puffinturn-daemon/src/Box.ts
@@ -6,9 +6,9 @@
  */
 
 /**
- * One box, whole but for its HTTP servers: the log and ledger of a control
- * box, membership, and the gateway. Everything that it touches outside is
- * given to it, so that tests can put fakes there.
+ * Assembles one box without its HTTP servers: membership and the gateway, and
+ * on a control box the replicated log and the ledger. All external dependencies
+ * are injected, so that tests can replace them with fakes.
  */
 import type {ResultAsync as Async, ResultAsync} from 'neverthrow';
 import {okAsync} from 'neverthrow';
@@ -43,32 +43,35 @@
 const TIMELINE_SERVICE = 'timeline';
 const MAX_SEED = 0x7fff_ffff;
 
-/** Deliberate breakages of any part; the fuzzer must find each. */
+/** Bugs that can be injected into a box, to check that the fuzzer finds them. */
 export type BoxBreakage = LedgerBreakage & ReplicaBreakage;
 
-/** Where a box stands in its fleet. */
+/** The fleet, and which of its boxes this one is. */
 export interface FleetPlace {
   readonly box: string;
   readonly boxes: readonly FleetBox[];
   readonly primaryRegion: string;
 }
 
-/** What a box is made of. */
+/** Dependencies and settings of a box. */
 export interface BoxParts {
   readonly place: FleetPlace;
   readonly client: UpstreamClient;
-  /** How orders reach engines; absent where none are sent. */
+  /** Sends orders to engines; absent if the fleet sends none. */
   readonly engines?: EngineClient;
   readonly clock: Clock;
   readonly disk: Disk;
   readonly link: Link;
   readonly metrics: GatewayMetrics;
   readonly random: Random;
-  /** A name never given before. */
+  /** Generates a unique ID. */
   readonly newName: () => string;
+  /** How long responses are kept for retries. */
   readonly responseRetentionMs: number;
+  /** How long the keys of at-most-once requests are kept. */
   readonly atMostOnceRetentionMs: number;
   readonly timing?: ReplicaTiming;
+  /** Log entries between two snapshots. */
   readonly snapshotEvery?: number;
   readonly breakage?: BoxBreakage;
   readonly computeGrantTarget?: (
@@ -76,22 +79,23 @@
     other: RegionSupply,
   ) => number;
   readonly disableAdmissionQueue?: boolean;
+  /** Whether the platform lists a box as gone; the list may be stale. */
   readonly isListedGone?: (box: string) => boolean;
 }
 
-/** The parts of a box that only a control box has. */
-interface Control {
+/** Components that only a control box has. */
+interface ControlComponents {
   readonly replica: Replica;
   readonly ledger: Ledger;
   readonly service: ControlService;
   readonly monitor: HeartbeatMonitor;
-  /** Absent when this fleet orders nothing from engines. */
+  /** Absent if the fleet sends no orders to engines. */
   readonly orders: OrderController | undefined;
 }
 
-/** See the module comment. */
+/** A running box without its HTTP servers. */
 export class Box implements AsyncDisposable {
-  /** This box's events. */
+  /** Events of this box. */
   readonly timeline: Timeline;
   readonly client: ControlClient;
   readonly member: BoxMember;
@@ -104,25 +108,25 @@
 
   private constructor(
     private readonly parts: BoxParts,
-    /** This box's line in the settings. */
+    /** Entry of this box in the fleet settings. */
     readonly self: FleetBox,
     /** Present on control boxes. */
-    readonly control: Control | undefined,
+    readonly control: ControlComponents | undefined,
     timeline: Timeline,
   ) {
     const {clock, link, place, random} = parts;
     this.timeline = timeline;
-    const region = place.boxes.filter((box) => box.region === self.region);
+    const regionBoxes = place.boxes.filter((box) => box.region === self.region);
     const regionOf = (hall: string) =>
       place.boxes.find((box) => box.hall === hall)?.region ?? self.region;
-    const controlBoxes = namesOf(region.filter((box) => box.control));
+    const controlBoxes = boxNames(regionBoxes.filter((box) => box.control));
     this.client = new ControlClient({
       box: self.name,
       clock,
       controlBoxes,
       link,
       region: self.region,
-      relayBoxes: namesOf(region).filter((name) => name !== self.name),
+      relayBoxes: boxNames(regionBoxes).filter((name) => name !== self.name),
     });
     this.pools = new PoolRegistry(clock, random);
     this.requestQuarantine = new RequestQuarantine({
@@ -142,11 +146,11 @@
       leaving: () => this.pools.leavingUpstreamIds(),
       link,
       newIncarnation: parts.newName,
-      onNews: (reply) => {
+      onNews: (news) => {
         this.pools.applyConfig(this.member.config);
-        this.pools.applyHeartbeatReply(reply);
+        this.pools.applyHeartbeatReply(news);
         this.requestQuarantine.applyQuarantine(
-          reply.quarantine ?? EMPTY_QUARANTINE,
+          news.quarantine ?? EMPTY_QUARANTINE,
         );
       },
       timeline,
@@ -165,7 +169,7 @@
     this.gateway = new Gateway({
       box: self.name,
       boxesInRegion: (name) =>
-        namesOf(place.boxes.filter((box) => box.region === name)),
+        boxNames(place.boxes.filter((box) => box.region === name)),
       client: parts.client,
       clock,
       control: this.client,
@@ -192,37 +196,36 @@
     timeline.note(EVENT_KIND.started);
   }
 
-  /** Starts all tasks of a box. */
+  /** Starts a box; on a control box, opens the replicated log first. */
   static start(parts: BoxParts): ResultAsync<Box, StorageFailure> {
     const {place} = parts;
     const self = place.boxes.find(({name}) => name === place.box);
     invariant(self !== undefined, 'a box must be listed in its fleet');
     const timeline = new Timeline(self.name, parts.clock);
-    const control: Async<Control | undefined, StorageFailure> = self.control
-      ? startControl(parts, self, timeline)
-      : okAsync(undefined);
+    const control: Async<ControlComponents | undefined, StorageFailure> =
+      self.control ? startControl(parts, self, timeline) : okAsync(undefined);
     return control.map((started) => new Box(parts, self, started, timeline));
   }
 
-  /** The events of all boxes that answer. */
+  /** Collects the events of all boxes that respond. */
   async collectTimelines(): Promise<TimelineEvent[][]> {
     const calls = this.parts.place.boxes.map(async ({name}) => {
-      const answer = await this.parts.link.call(
+      const reply = await this.parts.link.call(
         name,
         TIMELINE_SERVICE,
         {},
         2_000,
       );
-      return answer.isOk() ? (answer.value as TimelineEvent[]) : [];
+      return reply.isOk() ? (reply.value as TimelineEvent[]) : [];
     });
     return Promise.all(calls);
   }
 
   /**
-   * Leaves as planned: tells the others, and hands leadership on. Requests in
-   * flight go on until the box is disposed.
+   * Announces a graceful shutdown to the other boxes and gives up leadership.
+   * Requests in flight continue until the box is disposed.
    */
-  async prepareStop(): Promise<void> {
+  async announceShutdown(): Promise<void> {
     this.timeline.note(EVENT_KIND.stopping);
     await this.member.announceStop();
     this.control?.replica.stepDown();
@@ -244,7 +247,7 @@
   }
 }
 
-function namesOf(boxes: readonly FleetBox[]): string[] {
+function boxNames(boxes: readonly FleetBox[]): string[] {
   return boxes.map(({name}) => name);
 }
 
@@ -252,10 +255,10 @@
   parts: BoxParts,
   self: FleetBox,
   timeline: Timeline,
-): Async<Control, StorageFailure> {
+): Async<ControlComponents, StorageFailure> {
   const {breakage, clock, disk, link, place, random} = parts;
-  const primary = self.region === place.primaryRegion;
-  const ledger = new Ledger(self.region, primary, breakage);
+  const isPrimary = self.region === place.primaryRegion;
+  const ledger = new Ledger(self.region, isPrimary, breakage);
   const {logLink, serve} = createReplicaLink(link);
   return Replica.open({
     box: self.name,
@@ -284,8 +287,8 @@
         new OrderController({
           client: parts.engines,
           clock,
-          // A leader steps down after two election times without a quorum;
-          // twice as long leaves room for clocks that run differently.
+          // A leader without a quorum steps down after two election timeouts;
+          // doubling that tolerates clocks that run at different rates.
           handoverMs: 4 * timing.electionMs + timing.callMs,
           ledger,
           replica,
@@ -307,7 +310,7 @@
         clock,
         ledger,
         link,
-        otherRegions: otherRegions(place, self.region),
+        otherRegions: controlBoxesOfOtherRegions(place, self.region),
         primaryRegion: place.primaryRegion,
         replica,
         ...(parts.computeGrantTarget === undefined
@@ -321,15 +324,18 @@
   });
 }
 
-function otherRegions(
+function controlBoxesOfOtherRegions(
   {boxes}: FleetPlace,
-  own: string,
+  ownRegion: string,
 ): Map<string, readonly string[]> {
-  const regions = new Map<string, string[]>();
+  const controlBoxesByRegion = new Map<string, string[]>();
   for (const {control, name, region} of boxes) {
-    if (control && region !== own) {
-      regions.set(region, [...(regions.get(region) ?? []), name]);
+    if (control && region !== ownRegion) {
+      controlBoxesByRegion.set(region, [
+        ...(controlBoxesByRegion.get(region) ?? []),
+        name,
+      ]);
     }
   }
-  return regions;
+  return controlBoxesByRegion;
 }
--- a/packages/puffinturn-daemon/src/Daemon.ts
+++ b/packages/puffinturn-daemon/src/Daemon.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** A box as a process: settings, disk, link, HTTP servers, planned stop. */
+/** Runs a box as a process, with its disk, network link and HTTP servers. */
 import {randomInt, randomUUID} from 'node:crypto';
 
 import type {ResultAsync} from 'neverthrow';
@@ -29,85 +29,88 @@
 import type {TlsMaterial} from './HttpServer';
 import {HttpServer, readTls} from './HttpServer';
 import {OperatorApi} from './OperatorApi';
-import {operatorHttp} from './OperatorHttp';
-import {PlatformList} from './PlatformList';
+import {createOperatorApp} from './OperatorApp';
+import {PlatformListPoller} from './PlatformListPoller';
 
-const STOP_POLL_MS = 50;
+const POLL_INTERVAL_MS = 50;
 
-/** Why a daemon could not start; the message names the file or address. */
+/** Reason why a daemon failed to start; the message names the file or address. */
 export type StartFailure = Failure;
 
-/** Everything that a running daemon owns, in order of creation. */
-interface Owned {
+/** Components that a running daemon owns. */
+interface DaemonComponents {
   readonly settings: Settings;
   readonly clock: Clock;
   readonly box: Box;
   readonly callers: HttpServer;
   readonly operators: HttpServer;
+  /** Disposed in reverse order, after the servers and the box. */
   readonly resources: readonly AsyncDisposable[];
-  readonly health: {green: boolean};
+  /** Result of the health check for load balancers. */
+  readonly health: {isPassing: boolean};
 }
 
-/** See the module comment. */
+/** A running box process. */
 export class Daemon implements AsyncDisposable {
   private constructor(
-    private readonly owned: Owned,
+    private readonly components: DaemonComponents,
     private readonly log: Logger<unknown>,
   ) {}
 
-  /** Starts everything that the settings ask for. */
+  /** Starts a daemon with the given settings. */
   static start(
     settings: Settings,
     log: Logger<unknown>,
   ): ResultAsync<Daemon, StartFailure> {
     return safeTry(() => start(settings, log)).map(
-      (owned) => new Daemon(owned, log),
+      (components) => new Daemon(components, log),
     );
   }
 
-  /** The port for callers. */
+  /** Port of the HTTP server for callers. */
   get callerPort(): number {
-    return this.owned.callers.port;
+    return this.components.callers.port;
   }
 
-  /** The port for operators. */
+  /** Port of the HTTP server for operators. */
   get operatorPort(): number {
-    return this.owned.operators.port;
+    return this.components.operators.port;
   }
 
-  /** The box itself. */
+  /** The box that this daemon runs. */
   get box(): Box {
-    return this.owned.box;
+    return this.components.box;
   }
 
   /**
-   * Planned stop: the health check goes red at once, new requests are taken
-   * until the balancer has seen it, and those in flight are finished.
-   * Returns how many were cut off.
+   * Shuts down gracefully. The health check fails at once; new requests are
+   * accepted for `drainNoticeMs`, until load balancers have noticed, and requests
+   * in flight may finish for `stopMs`. Aborting the signal skips both waits.
+   * Returns the number of requests that were still in flight at the end.
    */
   async stop(signal: AbortSignal): Promise<number> {
-    const {box, clock, health, settings} = this.owned;
+    const {box, clock, health, settings} = this.components;
     const {drainNoticeMs, stopMs} = settings.limits;
-    health.green = false;
+    health.isPassing = false;
     this.log.info('stopping', {inFlight: box.gateway.inFlightCount});
-    await box.prepareStop();
+    await box.announceShutdown();
     await clock.sleep(drainNoticeMs, signal);
     box.gateway.rejectNewRequests();
-    const end = clock.now() + stopMs;
+    const deadline = clock.now() + stopMs;
     while (
       box.gateway.inFlightCount > 0 &&
-      clock.now() < end &&
+      clock.now() < deadline &&
       !signal.aborted
     ) {
-      await clock.sleep(STOP_POLL_MS, signal);
+      await clock.sleep(POLL_INTERVAL_MS, signal);
     }
-    const cut = box.gateway.inFlightCount;
-    this.log.info('stopped', {cutOff: cut});
-    return cut;
+    const cutOffCount = box.gateway.inFlightCount;
+    this.log.info('stopped', {cutOff: cutOffCount});
+    return cutOffCount;
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    const {box, callers, operators, resources} = this.owned;
+    const {box, callers, operators, resources} = this.components;
     await callers[Symbol.asyncDispose]();
     await operators[Symbol.asyncDispose]();
     await box[Symbol.asyncDispose]();
@@ -140,13 +143,15 @@
   const client = new HttpUpstreamClient();
   const metrics = new GatewayMetrics();
   metrics.collectProcessMetrics();
-  const listed: {list: PlatformList | undefined} = {list: undefined};
+  const platformList: {poller: PlatformListPoller | undefined} = {
+    poller: undefined,
+  };
   const box = yield* Box.start({
     client,
     clock,
     disk,
     engines: new HttpEngineClient(),
-    isListedGone: (name) => listed.list?.isGone(name) === true,
+    isListedGone: (name) => platformList.poller?.isGone(name) === true,
     responseRetentionMs: limits.keepAnswerMs,
     atMostOnceRetentionMs: limits.keepMarkedMs,
     link,
@@ -157,25 +162,27 @@
   });
   const resources: AsyncDisposable[] = [disk, link, client];
   if (settings.platformList !== undefined) {
-    listed.list = new PlatformList(settings.platformList, clock, (leaving) =>
-      box.pools.setPlatformLeaving(leaving),
+    platformList.poller = new PlatformListPoller(
+      settings.platformList,
+      clock,
+      (leaving) => box.pools.setPlatformLeaving(leaving),
     );
-    resources.push(listed.list);
+    resources.push(platformList.poller);
   }
-  const health = {green: true};
+  const health = {isPassing: true};
   const callers = yield* HttpServer.open(
     createCallerApp({
       maxBodyBytes: limits.bodyBytes,
       gateway: box.gateway,
       isHealthy: () =>
-        health.green && !box.member.config.isBoxDrained(settings.box),
+        health.isPassing && !box.member.config.isBoxDrained(settings.box),
       member: box.member,
       metrics,
     }),
     settings.callers,
   );
   const operators = yield* HttpServer.open(
-    operatorHttp({
+    createOperatorApp({
       api: new OperatorApi(box, place, link, clock),
       keys: settings.operators.keys,
       metrics,
@@ -188,7 +195,7 @@
     callers: callers.port,
     operators: operators.port,
   });
-  const owned: Owned = {
+  const components: DaemonComponents = {
     box,
     callers,
     clock,
@@ -197,7 +204,7 @@
     resources,
     settings,
   };
-  return ok<Owned, StartFailure>(owned);
+  return ok<DaemonComponents, StartFailure>(components);
 }
 
 function readOptionalTls(
@@ -207,22 +214,22 @@
   return tls === undefined ? okAsync(undefined) : readTls(tls);
 }
 
-/** Waits until a daemon may start new work; false when the time is up. */
-export function waitReady(
+/** Waits until a daemon accepts requests; fails with `not-ready` on timeout. */
+export function waitUntilReady(
   daemon: Daemon,
   timeoutMs: number,
 ): ResultAsync<void, StartFailure> {
   const clock = new SystemClock();
-  const wait = async () => {
-    const end = clock.now() + timeoutMs;
+  const poll = async () => {
+    const deadline = clock.now() + timeoutMs;
     while (!daemon.box.gateway.isReady) {
-      if (clock.now() >= end) {
-        const message = 'the box is not ready';
+      if (clock.now() >= deadline) {
+        const message = 'the box did not become ready in time';
         return err<void, StartFailure>({kind: 'not-ready', message});
       }
-      await clock.sleep(STOP_POLL_MS);
+      await clock.sleep(POLL_INTERVAL_MS);
     }
     return ok<void, StartFailure>(undefined);
   };
-  return new Async(wait());
+  return new Async(poll());
 }
--- a/packages/puffinturn-daemon/src/HttpServer.ts
+++ b/packages/puffinturn-daemon/src/HttpServer.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Serves a hono application by Node's HTTP or HTTPS server. */
+/** Serves a Hono application over HTTP or HTTPS. */
 import {readFile} from 'node:fs/promises';
 import type {Server} from 'node:http';
 import {createServer} from 'node:http';
@@ -25,28 +25,29 @@
 const MAX_HEADER_BYTES = 32 * 1024;
 const KEEP_ALIVE_MS = 65_000;
 
-/** The server could not be started. */
+/** Reason why a server failed to start. */
 export type ServeFailure = Failure<'serve'>;
 
-/** Where to listen. */
+/** Address that a server listens on. */
 export interface ListenAddress {
   readonly host: string;
   readonly port: number;
   readonly tls?: TlsSettings | undefined;
 }
 
-/** Contents of the files for TLS. */
+/** Contents of the TLS files. */
 export interface TlsMaterial {
+  /** CA of client certificates; absent if clients need none. */
   readonly ca: Buffer | undefined;
   readonly cert: Buffer;
   readonly key: Buffer;
 }
 
-function serveFailure(error: unknown): ServeFailure {
+function toServeFailure(error: unknown): ServeFailure {
   return {kind: 'serve', message: describeError(error)};
 }
 
-/** Reads the files for TLS; a key that others may read is refused. */
+/** Reads the TLS files; fails if other users may read the private key. */
 export function readTls(
   tls: TlsSettings,
 ): ResultAsync<TlsMaterial, ServeFailure> {
@@ -58,16 +59,16 @@
           readFile(tls.certFile),
           tls.caFile === undefined ? undefined : readFile(tls.caFile),
         ]),
-        serveFailure,
+        toServeFailure,
       ).map(([cert, ca]) => ({ca, cert, key})),
     );
 }
 
-/** A listening server; disposing closes it and its connections. */
+/** A listening server. Disposing it also closes open connections. */
 export class HttpServer implements AsyncDisposable {
   private constructor(private readonly server: Server) {}
 
-  /** Starts to listen. */
+  /** Starts listening. */
   static open<Environment extends Env & {Bindings: HttpBindings}>(
     app: Hono<Environment>,
     address: ListenAddress,
@@ -80,23 +81,23 @@
       return HttpServer.listen(createServer(serverOptions, listener), address);
     }
     return readTls(tls).andThen((material) => {
-      const mutual = material.ca !== undefined;
+      const usesMutualTls = material.ca !== undefined;
       const options = {
         ...serverOptions,
         ...material,
-        rejectUnauthorized: mutual,
-        requestCert: mutual,
+        rejectUnauthorized: usesMutualTls,
+        requestCert: usesMutualTls,
       };
       try {
         const server = createTlsServer(options, listener);
         return HttpServer.listen(server, address);
       } catch (error) {
-        return errAsync(serveFailure(error));
+        return errAsync(toServeFailure(error));
       }
     });
   }
 
-  /** The port that is listened on. */
+  /** Port that the server listens on; 0 if it is not listening. */
   get port(): number {
     const address = this.server.address();
     return typeof address === 'object' && address !== null ? address.port : 0;
@@ -116,7 +117,7 @@
       server.once('error', reject);
       server.listen(port, host, () => resolve(new HttpServer(server)));
     });
-    return Async.fromPromise(listening, serveFailure);
+    return Async.fromPromise(listening, toServeFailure);
   }
 }
 
--- a/packages/puffinturn-daemon/src/Logs.ts
+++ b/packages/puffinturn-daemon/src/Logging.ts
@@ -5,14 +5,14 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Structured logs, by tslog: lines for changes of state only. */
+/** Structured logging with tslog. */
 import type {Settings} from 'puffinturn-settings';
 import {Logger} from 'tslog';
 
 const LEVELS = {debug: 2, error: 5, info: 3, warn: 4} as const;
 
-/** The process's log; secrets never reach it, masked names are a safeguard. */
-export function makeLog({box, logs}: Settings): Logger<unknown> {
+/** Creates the logger of a process. It masks fields that could hold a secret. */
+export function createLogger({box, logs}: Settings): Logger<unknown> {
   return new Logger({
     stack: {capture: 'off'},
     mask: {keys: ['authorization', 'key', 'password', 'secret']},
--- a/packages/puffinturn-daemon/src/OperatorApi.ts
+++ b/packages/puffinturn-daemon/src/OperatorApi.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** What operators can ask a box for; the HTTP interface and tests use it. */
+/** Operations for operators, independent of HTTP. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 import type {
@@ -28,42 +28,43 @@
 const DECLARE_TIMEOUT_MS = 15_000;
 const READ_TIMEOUT_MS = 5_000;
 
-/** Why an operator's request has no answer. */
+/** Reason why an operator's request failed. */
 export type OperatorFailure =
   | (Failure<'invalid'> & {readonly problems: readonly Problem[]})
   | Failure<'region-unreachable'>
   | Failure<'unknown-region'>;
 
-/** Status of the whole fleet as one box can see it. */
+/** Status of the whole fleet, as seen by one box. */
 export interface FleetStatus {
   readonly box: string;
   readonly ready: boolean;
   readonly configIndex: number;
   readonly regions: readonly RegionReport[];
+  /** Names of the regions without a reachable leader. */
   readonly unreachable: readonly string[];
 }
 
-/** See the module comment. */
+/** Serves the operations for operators on one box. */
 export class OperatorApi {
   private readonly clients = new Map<string, ControlClient>();
 
   constructor(
     private readonly box: Box,
-    private readonly place: FleetPlace,
+    private readonly topology: FleetPlace,
     link: Link,
     clock: Clock,
   ) {
-    for (const region of regionsOf(place.boxes)) {
-      const controlBoxes = place.boxes
+    for (const region of distinctRegions(topology.boxes)) {
+      const controlBoxes = topology.boxes
         .filter((other) => other.control && other.region === region)
         .map(({name}) => name);
-      const own = region === box.self.region;
+      const isOwnRegion = region === box.self.region;
       this.clients.set(
         region,
-        own
+        isOwnRegion
           ? box.client
           : new ControlClient({
-              box: place.box,
+              box: topology.box,
               clock,
               controlBoxes,
               link,
@@ -74,7 +75,7 @@
     }
   }
 
-  /** Changes one declaration. Repeating it gives the first answer again. */
+  /** Applies a declaration. Repeating the same declaration returns the first reply. */
   async declare(
     declaration: Declaration,
     operator: string,
@@ -85,8 +86,8 @@
       return err({kind: 'invalid', message, problems});
     }
     const {scope} = declaration;
-    const region = scope === 'global' ? this.place.primaryRegion : scope;
-    const reply = await this.ask(
+    const region = scope === 'global' ? this.topology.primaryRegion : scope;
+    const reply = await this.call(
       region,
       {
         declaration,
@@ -97,31 +98,33 @@
       DECLARE_TIMEOUT_MS,
     );
     return reply.andThen((value) =>
-      value.kind === 'declare' ? ok(value) : err(unreachable(region)),
+      value.kind === 'declare' ? ok(value) : err(unreachableFailure(region)),
     );
   }
 
-  /** The declarations in force in this box's region, proved current. */
+  /** Reads the declarations in force in this box's region from its leader. */
   async config(): Promise<
     Result<readonly DeclarationEntry[], OperatorFailure>
   > {
     const {region} = this.box.self;
-    const reply = await this.ask(region, {kind: 'config', since: 0});
+    const reply = await this.call(region, {kind: 'config', since: 0});
     return reply.andThen((value) =>
-      value.kind === 'config' ? ok(value.entries) : err(unreachable(region)),
+      value.kind === 'config'
+        ? ok(value.entries)
+        : err(unreachableFailure(region)),
     );
   }
 
-  /** Figures of all regions. */
+  /** Collects the reports of all regions. */
   async status(): Promise<FleetStatus> {
     const regions: RegionReport[] = [];
-    const missing: string[] = [];
+    const unreachableRegions: string[] = [];
     for (const region of this.clients.keys()) {
-      const reply = await this.ask(region, {kind: 'report'});
+      const reply = await this.call(region, {kind: 'report'});
       if (reply.isOk() && reply.value.kind === 'report') {
         regions.push(reply.value);
       } else {
-        missing.push(region);
+        unreachableRegions.push(region);
       }
     }
     return {
@@ -129,16 +132,16 @@
       configIndex: this.box.member.config.index,
       ready: this.box.gateway.isReady,
       regions,
-      unreachable: missing,
+      unreachable: unreachableRegions,
     };
   }
 
-  /** Events of all boxes that answer. */
+  /** Merges the events of all boxes that respond. */
   async timeline(filter: TimelineFilter): Promise<TimelineEvent[]> {
     return mergeTimelines(await this.box.collectTimelines(), filter);
   }
 
-  private async ask(
+  private async call(
     region: string,
     request: Parameters<ControlClient['call']>[0],
     timeoutMs = READ_TIMEOUT_MS,
@@ -149,15 +152,15 @@
       return err({kind: 'unknown-region', message});
     }
     const reply = await client.call(request, timeoutMs, timeoutMs);
-    return reply.mapErr(() => unreachable(region));
+    return reply.mapErr(() => unreachableFailure(region));
   }
 }
 
-function unreachable(region: string): OperatorFailure {
+function unreachableFailure(region: string): OperatorFailure {
   const message = `no leader of region ${region} answers`;
   return {kind: 'region-unreachable', message};
 }
 
-function regionsOf(boxes: readonly FleetBox[]): string[] {
+function distinctRegions(boxes: readonly FleetBox[]): string[] {
   return [...new Set(boxes.map(({region}) => region))];
 }
--- a/packages/puffinturn-daemon/src/OperatorHttp.ts
+++ b/packages/puffinturn-daemon/src/OperatorApp.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The operators' HTTP interface; needs an operator's key. */
+/** HTTP API for operators. */
 import type {HttpBindings} from '@hono/node-server';
 import type {Context, Next} from 'hono';
 import {Hono} from 'hono';
@@ -15,16 +15,17 @@
 
 import type {OperatorApi, OperatorFailure} from './OperatorApi';
 
-/** What the interface needs. */
-export interface OperatorHttpParts {
+/** Dependencies of the operators' HTTP API. */
+export interface OperatorAppParts {
   readonly api: OperatorApi;
   readonly keys: readonly HashedKey[];
   readonly metrics: GatewayMetrics;
+  /** Updates the gauges before the metrics are read. */
   readonly refreshMetrics: () => void;
 }
 
 interface Variables {
-  /** Name of the key that the operator used. */
+  /** Name of the key that authenticated the request. */
   operator: string;
 }
 
@@ -38,8 +39,8 @@
 
 const MAX_BODY_BYTES = 4 * 1024 * 1024;
 
-/** The application; serve it with a Node server. */
-export function operatorHttp(parts: OperatorHttpParts): Hono<Environment> {
+/** Creates the application. All paths under `/v1` require an operator key. */
+export function createOperatorApp(parts: OperatorAppParts): Hono<Environment> {
   const {api, metrics} = parts;
   const app = new Hono<Environment>();
 
@@ -57,7 +58,7 @@
     const config = await api.config();
     return config.match(
       (entries) => context.json({entries}),
-      (failure) => refuse(context, failure),
+      (failure) => respondWithFailure(context, failure),
     );
   });
   app.post('/v1/declarations', (context) => declare(parts, context));
@@ -71,7 +72,7 @@
 }
 
 async function authenticate(
-  {keys}: OperatorHttpParts,
+  {keys}: OperatorAppParts,
   context: Context<Environment>,
   next: Next,
 ): Promise<Response | undefined> {
@@ -87,7 +88,7 @@
 }
 
 async function declare(
-  {api}: OperatorHttpParts,
+  {api}: OperatorAppParts,
   context: Context<Environment>,
 ): Promise<Response> {
   if (Number(context.req.header('content-length') ?? 0) > MAX_BODY_BYTES) {
@@ -97,16 +98,16 @@
   const body: unknown = await context.req.json().catch(() => undefined);
   const checked = checkValue(DeclarationSchema, body, 'request');
   if (checked.isErr()) {
-    return refuse(context, checked.error);
+    return respondWithFailure(context, checked.error);
   }
   const reply = await api.declare(checked.value, context.get('operator'));
   return reply.match(
-    (value) => context.json(value, statusOf(value.outcome.kind)),
-    (failure) => refuse(context, failure),
+    (value) => context.json(value, outcomeStatusCode(value.outcome.kind)),
+    (failure) => respondWithFailure(context, failure),
   );
 }
 
-function statusOf(kind: string): 200 | 409 | 422 {
+function outcomeStatusCode(kind: string): 200 | 409 | 422 {
   switch (kind) {
     case 'accepted':
       return 200;
@@ -117,7 +118,7 @@
   }
 }
 
-function refuse(
+function respondWithFailure(
   context: Context<Environment>,
   failure: OperatorFailure,
 ): Response {
--- a/packages/puffinturn-daemon/src/PlatformList.ts
+++ b/packages/puffinturn-daemon/src/PlatformListPoller.ts
@@ -6,9 +6,9 @@
  */
 
 /**
- * The platform's list of boxes and upstreams. It lags, so it is a hint: a
- * leaving upstream gets no new work, and a box that is gone is suspected
- * sooner. An absent list changes nothing.
+ * Polls the platform's list of boxes and upstreams. The list may be stale, so it
+ * is only a hint: leaving upstreams get no new requests, and boxes listed as gone
+ * are suspected sooner. A failed poll keeps the previous list.
  */
 import {checkValue} from 'puffinturn-settings';
 import type {Clock} from 'shared';
@@ -27,9 +27,9 @@
     .max(100_000),
 });
 
-/** Polls the list until disposed. */
-export class PlatformList implements AsyncDisposable {
-  private gone: ReadonlySet<string> = new Set();
+/** Polls the list until it is disposed. */
+export class PlatformListPoller implements AsyncDisposable {
+  private goneNames: ReadonlySet<string> = new Set();
   private readonly tasks = new TaskGroup();
 
   constructor(
@@ -37,19 +37,19 @@
     private readonly clock: Clock,
     private readonly onLeaving: (names: ReadonlySet<string>) => void,
   ) {
-    this.tasks.start((signal) => this.run(signal));
+    this.tasks.start((signal) => this.pollUntilAborted(signal));
   }
 
-  /** Whether the list calls a member gone. */
+  /** Whether the latest list has a member in state `gone`. */
   isGone(name: string): boolean {
-    return this.gone.has(name);
+    return this.goneNames.has(name);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  private async run(signal: AbortSignal): Promise<void> {
+  private async pollUntilAborted(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.poll();
       await this.clock.sleep(POLL_MS, signal);
@@ -61,19 +61,19 @@
       bodyTimeout: REQUEST_TIMEOUT_MS,
       headersTimeout: REQUEST_TIMEOUT_MS,
     })
-      .then((answer) => answer.body.json())
+      .then((response) => response.body.json())
       .catch(() => undefined);
     const list = checkValue(ListSchema, body, this.url);
     if (list.isErr()) {
       return;
     }
-    const named = (state: string): ReadonlySet<string> =>
+    const namesInState = (state: string): ReadonlySet<string> =>
       new Set(
         list.value.members
           .filter((member) => member.state === state)
           .map(({name}) => name),
       );
-    this.gone = named('gone');
-    this.onLeaving(new Set([...named('leaving'), ...this.gone]));
+    this.goneNames = namesInState('gone');
+    this.onLeaving(new Set([...namesInState('leaving'), ...this.goneNames]));
   }
 }
--- a/packages/puffinturn-daemon/src/__tests__/unit/Session.test.ts
+++ b/packages/puffinturn-daemon/src/__tests__/unit/Session.test.ts
@@ -5,11 +5,11 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Whole sessions over HTTP; golden but for ids and times. */
+/** Guards against changes of the HTTP behaviour seen by callers and operators. */
 import fc from 'fast-check';
 import {digestBytes} from 'shared';
 
-import type {TextAnswer} from '../utils/DaemonFixture';
+import type {TextResponse} from '../utils/DaemonFixture';
 import {DaemonFixture} from '../utils/DaemonFixture';
 
 const CHAT = {
@@ -18,13 +18,13 @@
   model: 'model-1',
 };
 
-function golden({headers, status, text}: TextAnswer): string {
-  const shown = Object.entries(headers)
+function toSnapshotText({headers, status, text}: TextResponse): string {
+  const headerLines = Object.entries(headers)
     .filter(([name]) => name.startsWith('puffinturn') || name === 'retry-after')
     .map(([name, value]) => `${name}: ${value}`)
     .sort();
   const body = text.replaceAll(/[0-9a-f]{8}-[0-9a-f-]{27}/g, 'ID');
-  return [status, ...shown, '', body]
+  return [status, ...headerLines, '', body]
     .join('\n')
     .replaceAll(/[0-9a-f]{8}-[0-9a-f-]{27}/g, 'ID');
 }
@@ -38,60 +38,74 @@
 });
 
 describe('sessions', () => {
-  test('a streamed chat', async () => {
+  test('streams a chat completion', async () => {
     const body = {
       ...CHAT,
       stream: true,
       stream_options: {include_usage: true},
     };
-    const answer = await fixture.call(
+    const response = await fixture.sendCallerRequest(
       '/v1/chat/completions',
       JSON.stringify(body),
     );
-    expect(golden(answer)).toMatchSnapshot();
+    expect(toSnapshotText(response)).toMatchSnapshot();
   });
 
-  test('a chat with a key is answered twice and billed once', async () => {
+  test('a repeated chat with an idempotency key returns the first response and is billed once', async () => {
     const headers = {'idempotency-key': 'chat-1'};
-    const before = await fixture.spent();
+    const before = await fixture.budgetUsage();
     const body = JSON.stringify(CHAT);
-    const first = await fixture.call('/v1/chat/completions', body, headers);
-    const second = await fixture.call('/v1/chat/completions', body, headers);
-    const after = await fixture.spent();
+    const first = await fixture.sendCallerRequest(
+      '/v1/chat/completions',
+      body,
+      headers,
+    );
+    const second = await fixture.sendCallerRequest(
+      '/v1/chat/completions',
+      body,
+      headers,
+    );
+    const after = await fixture.budgetUsage();
     expect(second.text).toBe(first.text);
     expect(after.settled - before.settled).toBe(
       Number(first.headers['puffinturn-billed']),
     );
-    expect(golden(first)).toMatchSnapshot();
+    expect(toSnapshotText(first)).toMatchSnapshot();
   });
 
-  test('an order placed and retried runs once', async () => {
+  test('a retried order runs once', async () => {
     const body = JSON.stringify({order: 'A-1'});
-    const answers = [
-      await fixture.call('/services/orders/place', body),
-      await fixture.call('/services/orders/place', body),
-      await fixture.call(
+    const responses = [
+      await fixture.sendCallerRequest('/services/orders/place', body),
+      await fixture.sendCallerRequest('/services/orders/place', body),
+      await fixture.sendCallerRequest(
         '/services/orders/place',
         JSON.stringify({count: 2, order: 'A-1'}),
       ),
     ];
-    expect(answers.map(golden).join('\n\n')).toMatchSnapshot();
+    expect(responses.map(toSnapshotText).join('\n\n')).toMatchSnapshot();
     expect(fixture.service.executions.get('A-1')).toBe(1);
   });
 
-  test('an order whose answer was lost is never run again', async () => {
+  test('an order whose response was lost is not run again', async () => {
     fixture.service.faults.dropAfter = 1;
     const body = JSON.stringify({order: 'A-2'});
-    const first = await fixture.call('/services/orders/place', body);
+    const first = await fixture.sendCallerRequest(
+      '/services/orders/place',
+      body,
+    );
     fixture.service.faults.dropAfter = 0;
-    const second = await fixture.call('/services/orders/place', body);
-    expect([first, second].map(golden).join('\n\n')).toMatchSnapshot();
+    const second = await fixture.sendCallerRequest(
+      '/services/orders/place',
+      body,
+    );
+    expect([first, second].map(toSnapshotText).join('\n\n')).toMatchSnapshot();
     expect(fixture.service.executions.get('A-2')).toBe(1);
   });
 
-  test('a stream that its engine drops goes on without a gap', async () => {
+  test('a stream continues without a gap after the engine drops the connection', async () => {
     fixture.engine.faults.dropAfter = 1;
-    const pending = fixture.call(
+    const pending = fixture.sendCallerRequest(
       '/v1/chat/completions',
       JSON.stringify({...CHAT, max_tokens: 6, stream: true}),
     );
@@ -107,16 +121,25 @@
     expect(text).toContain('[DONE]');
   });
 
-  test('racing changes over HTTP: one wins and the loser is told', async () => {
+  test('of two conflicting declarations one is accepted and the other gets a conflict', async () => {
     const change = (limit: number) => ({
       kind: 'budget',
       name: 'budget-1',
       number: 2,
       spec: {home: 'local', limit, team: 'team-1'},
     });
-    const first = await fixture.operate('/v1/declarations', change(20_000));
-    const second = await fixture.operate('/v1/declarations', change(30_000));
-    const repeated = await fixture.operate('/v1/declarations', change(20_000));
+    const first = await fixture.sendOperatorRequest(
+      '/v1/declarations',
+      change(20_000),
+    );
+    const second = await fixture.sendOperatorRequest(
+      '/v1/declarations',
+      change(30_000),
+    );
+    const repeated = await fixture.sendOperatorRequest(
+      '/v1/declarations',
+      change(20_000),
+    );
     expect([first.status, second.status, repeated.status]).toEqual([
       200, 409, 200,
     ]);
@@ -127,8 +150,8 @@
     });
   });
 
-  test('a key and a rule hold from the moment that they are accepted', async () => {
-    await using fresh = await DaemonFixture.open();
+  test('a key and a policy rule apply as soon as they are accepted', async () => {
+    await using freshFixture = await DaemonFixture.open();
     const sha256 = digestBytes('newer-key');
     const team = {
       kind: 'team',
@@ -149,34 +172,50 @@
       number: 1,
       spec: {order: 1, rules: [rule]},
     };
-    expect((await fresh.operate('/v1/declarations', team)).status).toBe(200);
-    expect((await fresh.operate('/v1/declarations', policy)).status).toBe(200);
-    const answer = await fresh.call('/services/orders/look-up', '{}', {
-      authorization: 'Bearer newer-key',
-    });
-    expect(answer.status).toBe(200);
+    expect(
+      (await freshFixture.sendOperatorRequest('/v1/declarations', team)).status,
+    ).toBe(200);
+    expect(
+      (await freshFixture.sendOperatorRequest('/v1/declarations', policy))
+        .status,
+    ).toBe(200);
+    const response = await freshFixture.sendCallerRequest(
+      '/services/orders/look-up',
+      '{}',
+      {
+        authorization: 'Bearer newer-key',
+      },
+    );
+    expect(response.status).toBe(200);
   }, 300_000);
 
-  test('a budget that runs out refuses as not run', async () => {
-    await using small = await DaemonFixture.open(25);
-    const answers: string[] = [];
+  test('an exhausted budget rejects requests before they run', async () => {
+    await using smallBudgetFixture = await DaemonFixture.open(25);
+    const responses: string[] = [];
     for (const order of ['B-1', 'B-2', 'B-3']) {
       const body = JSON.stringify({order});
-      answers.push(golden(await small.call('/services/orders/place', body)));
+      responses.push(
+        toSnapshotText(
+          await smallBudgetFixture.sendCallerRequest(
+            '/services/orders/place',
+            body,
+          ),
+        ),
+      );
     }
-    expect(answers.join('\n\n')).toMatchSnapshot();
-    expect(small.service.total).toBe(2);
+    expect(responses.join('\n\n')).toMatchSnapshot();
+    expect(smallBudgetFixture.service.total).toBe(2);
   }, 300_000);
 });
 
-describe('bad input', () => {
-  test('is refused, costs nothing and leaves the box working', async () => {
-    const before = await fixture.spent();
-    const big = JSON.stringify({...CHAT, pad: 'x'.repeat(5_000)});
+describe('invalid input', () => {
+  test('is rejected without being billed', async () => {
+    const before = await fixture.budgetUsage();
+    const oversizedBody = JSON.stringify({...CHAT, pad: 'x'.repeat(5_000)});
     const cases: [string | Uint8Array, Record<string, string | string[]>][] = [
       ['{', {}],
       [Buffer.from([0x22, 0xff, 0xfe, 0x22]), {}],
-      [big, {}],
+      [oversizedBody, {}],
       [JSON.stringify({...CHAT, max_tokens: -1}), {}],
       [JSON.stringify({...CHAT, max_tokens: 1e300}), {}],
       [JSON.stringify({...CHAT, n: 5}), {}],
@@ -189,25 +228,22 @@
     ];
     const statuses: number[] = [];
     for (const [body, headers] of cases) {
-      const {headers: answered, status} = await fixture.call(
-        '/v1/chat/completions',
-        body,
-        headers,
-      );
+      const {headers: responseHeaders, status} =
+        await fixture.sendCallerRequest('/v1/chat/completions', body, headers);
       statuses.push(status);
-      expect(answered['puffinturn-outcome']).toBe('not-run');
+      expect(responseHeaders['puffinturn-outcome']).toBe('not-run');
     }
     expect(statuses).toEqual([
       400, 400, 413, 400, 400, 400, 403, 400, 401, 401, 400, 400,
     ]);
-    expect(await fixture.spent()).toEqual(before);
+    expect(await fixture.budgetUsage()).toEqual(before);
   });
 
-  test('any JSON body gets an answer', async () => {
-    const before = await fixture.spent();
+  test('any JSON body that is not a chat request is rejected', async () => {
+    const before = await fixture.budgetUsage();
     await fc.assert(
       fc.asyncProperty(fc.jsonValue(), async (value) => {
-        const {status} = await fixture.call(
+        const {status} = await fixture.sendCallerRequest(
           '/v1/chat/completions',
           JSON.stringify(value),
         );
@@ -215,15 +251,15 @@
       }),
       {numRuns: 50, seed: 1},
     );
-    expect(await fixture.spent()).toEqual(before);
+    expect(await fixture.budgetUsage()).toEqual(before);
   });
 
-  test('operators without a valid key are refused', async () => {
-    expect((await fixture.operate('/v1/status', undefined, 'x')).status).toBe(
-      401,
-    );
-    expect((await fixture.operate('/v1/declarations', {}, 'x')).status).toBe(
-      401,
-    );
+  test('operator requests without a valid key are rejected', async () => {
+    expect(
+      (await fixture.sendOperatorRequest('/v1/status', undefined, 'x')).status,
+    ).toBe(401);
+    expect(
+      (await fixture.sendOperatorRequest('/v1/declarations', {}, 'x')).status,
+    ).toBe(401);
   });
 });
--- a/packages/puffinturn-daemon/src/__tests__/unit/Stop.test.ts
+++ b/packages/puffinturn-daemon/src/__tests__/unit/Stop.test.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Planned stops. */
+/** Guards against requests that are lost or unsettled in a graceful shutdown. */
 import {DaemonFixture} from '../utils/DaemonFixture';
 
 const STREAM = JSON.stringify({
@@ -15,11 +15,11 @@
   stream: true,
 });
 
-test('a planned stop cuts off no stream and settles every one', async () => {
+test('a graceful shutdown finishes and settles every open stream', async () => {
   await using fixture = await DaemonFixture.open();
   fixture.engine.faults.slowMs = 100;
   const streams = Array.from({length: 5}, () =>
-    fixture.call('/v1/chat/completions', STREAM),
+    fixture.sendCallerRequest('/v1/chat/completions', STREAM),
   );
   while (fixture.engine.started < 5) {
     await new Promise((resolve) => setTimeout(resolve, 1));
@@ -30,19 +30,22 @@
     expect(text).toContain('"t29 "');
     expect(text).toContain('data: [DONE]');
   }
-  const late = await fixture.call('/v1/chat/completions', STREAM);
-  expect(late.status).toBe(503);
-  expect(late.headers['puffinturn-outcome']).toBe('not-run');
-  expect(await fixture.spent()).toMatchObject({reserved: 0});
+  const lateResponse = await fixture.sendCallerRequest(
+    '/v1/chat/completions',
+    STREAM,
+  );
+  expect(lateResponse.status).toBe(503);
+  expect(lateResponse.headers['puffinturn-outcome']).toBe('not-run');
+  expect(await fixture.budgetUsage()).toMatchObject({reserved: 0});
 }, 300_000);
 
-test('the health check is red from the first moment of a stop', async () => {
+test('the health check fails as soon as a shutdown starts', async () => {
   await using fixture = await DaemonFixture.open();
   const port = fixture.daemon.callerPort;
-  const health = async () =>
+  const healthStatus = async () =>
     (await fetch(`http://127.0.0.1:${port}/healthz`)).status;
-  expect(await health()).toBe(200);
+  expect(await healthStatus()).toBe(200);
   const stopping = fixture.daemon.stop(new AbortController().signal);
-  expect(await health()).toBe(503);
+  expect(await healthStatus()).toBe(503);
   await stopping;
 }, 300_000);
--- a/packages/puffinturn-daemon/src/__tests__/utils/DaemonFixture.ts
+++ b/packages/puffinturn-daemon/src/__tests__/utils/DaemonFixture.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** A daemon with stand-ins on ephemeral ports of loopback. */
+/** Runs a daemon with fake upstreams on loopback ports. */
 import {mkdtemp, rm, writeFile} from 'node:fs/promises';
 import {createServer} from 'node:net';
 import {tmpdir} from 'node:os';
@@ -21,7 +21,7 @@
 import {digestBytes, invariant} from 'shared';
 import {request} from 'undici';
 
-import {Daemon, makeLog, waitReady} from '../../index';
+import {createLogger, Daemon, waitUntilReady} from '../../index';
 
 export const TEAM_KEY = 'team-key';
 export const OPERATOR_KEY = 'operator-key';
@@ -36,7 +36,7 @@
   stepPerRequestMs: 0,
 };
 
-async function freePort(): Promise<number> {
+async function findFreePort(): Promise<number> {
   const server = createServer();
   await new Promise<void>((resolve) =>
     server.listen(0, '127.0.0.1', () => resolve()),
@@ -46,14 +46,14 @@
   return typeof address === 'object' ? (address?.port ?? 0) : 0;
 }
 
-/** An answer with its body read. */
-export interface TextAnswer {
+/** A response whose body has been read. */
+export interface TextResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly text: string;
 }
 
-/** See the module comment. */
+/** A daemon of one control box with a fake engine and a fake service. */
 export class DaemonFixture implements AsyncDisposable {
   private constructor(
     readonly daemon: Daemon,
@@ -81,7 +81,7 @@
               hall: 'hall-1',
               host: '127.0.0.1',
               name: 'box-1',
-              port: await freePort(),
+              port: await findFreePort(),
               region: 'local',
             },
           ],
@@ -99,24 +99,27 @@
       'settings',
     );
     invariant(settings.isOk(), 'the settings must be valid');
-    const daemon = await Daemon.start(settings.value, makeLog(settings.value));
+    const daemon = await Daemon.start(
+      settings.value,
+      createLogger(settings.value),
+    );
     invariant(daemon.isOk(), 'the daemon must start');
     const fixture = new DaemonFixture(daemon.value, engine, service, folder);
     await fixture.declareAll(budgetLimit);
-    const ready = await waitReady(daemon.value, 20_000);
+    const ready = await waitUntilReady(daemon.value, 20_000);
     invariant(ready.isOk(), 'the box must become ready');
-    await fixture.settleConfig();
+    await fixture.waitForLatestConfig();
     return fixture;
   }
 
-  /** A caller's request. */
-  async call(
+  /** Sends a request as a caller, by POST. */
+  async sendCallerRequest(
     path: string,
     body: string | Uint8Array,
     headers: Record<string, string | string[]> = {},
-  ): Promise<TextAnswer> {
+  ): Promise<TextResponse> {
     const port = this.daemon.callerPort;
-    const answer = await request(`http://127.0.0.1:${port}${path}`, {
+    const response = await request(`http://127.0.0.1:${port}${path}`, {
       body,
       headers: {
         authorization: `Bearer ${TEAM_KEY}`,
@@ -126,43 +129,43 @@
       method: 'POST',
     });
     return {
-      headers: answer.headers,
-      status: answer.statusCode,
-      text: await answer.body.text(),
+      headers: response.headers,
+      status: response.statusCode,
+      text: await response.body.text(),
     };
   }
 
-  /** An operator's request. */
-  async operate(
+  /** Sends a request as an operator: GET without a body, POST with one. */
+  async sendOperatorRequest(
     path: string,
     body?: unknown,
     key = OPERATOR_KEY,
-  ): Promise<TextAnswer> {
+  ): Promise<TextResponse> {
     const port = this.daemon.operatorPort;
-    const answer = await request(`http://127.0.0.1:${port}${path}`, {
+    const response = await request(`http://127.0.0.1:${port}${path}`, {
       body: body === undefined ? null : JSON.stringify(body),
       headers: {authorization: `Bearer ${key}`},
       method: body === undefined ? 'GET' : 'POST',
     });
     return {
-      headers: answer.headers,
-      status: answer.statusCode,
-      text: await answer.body.text(),
+      headers: response.headers,
+      status: response.statusCode,
+      text: await response.body.text(),
     };
   }
 
-  /** Waits until the box works by the newest configuration. */
-  async settleConfig(): Promise<void> {
-    const {text} = await this.operate('/v1/status');
+  /** Waits until the box has adopted the latest configuration. */
+  async waitForLatestConfig(): Promise<void> {
+    const {text} = await this.sendOperatorRequest('/v1/status');
     const {configIndex} = JSON.parse(text).regions[0];
     const {member} = this.daemon.box;
-    const current = await member.waitForConfig(configIndex, 20_000);
-    invariant(current, 'the box must know the newest configuration');
+    const isCurrent = await member.waitForConfig(configIndex, 20_000);
+    invariant(isCurrent, 'the box must adopt the latest configuration');
   }
 
-  /** Units of the budget that are settled and reserved. */
-  async spent(): Promise<{settled: number; reserved: number}> {
-    const {text} = await this.operate('/v1/status');
+  /** Settled and reserved units of the budget. */
+  async budgetUsage(): Promise<{settled: number; reserved: number}> {
+    const {text} = await this.sendOperatorRequest('/v1/status');
     const [budget] = JSON.parse(text).regions[0].budgets;
     return {reserved: budget.reserved, settled: budget.settled};
   }
@@ -241,11 +244,17 @@
 
   private async declare(declaration: Declaration): Promise<void> {
     for (;;) {
-      const {status} = await this.operate('/v1/declarations', declaration);
+      const {status} = await this.sendOperatorRequest(
+        '/v1/declarations',
+        declaration,
+      );
       if (status === 200) {
         return;
       }
-      invariant(status === 503, `declaring answered ${status}`);
+      invariant(
+        status === 503,
+        `unexpected status ${status} for a declaration`,
+      );
     }
   }
 }
--- a/packages/puffinturn-daemon/src/index.ts
+++ b/packages/puffinturn-daemon/src/index.ts
@@ -5,11 +5,11 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** A box as a process, and as a part for tests. */
+/** Public API: a box as a process, and as a component for tests. */
 export type {BoxBreakage, BoxParts, FleetPlace} from './Box';
 export {Box} from './Box';
 export type {StartFailure} from './Daemon';
-export {Daemon, waitReady} from './Daemon';
-export {makeLog} from './Logs';
+export {Daemon, waitUntilReady} from './Daemon';
+export {createLogger} from './Logging';
 export type {FleetStatus, OperatorFailure} from './OperatorApi';
 export {OperatorApi} from './OperatorApi';
--- a/packages/puffinturn-daemon/src/main.ts
+++ b/packages/puffinturn-daemon/src/main.ts
@@ -10,9 +10,9 @@
 import {readSettings} from 'puffinturn-settings';
 
 import {Daemon} from './Daemon';
-import {makeLog} from './Logs';
+import {createLogger} from './Logging';
 
-/** Exit codes; docs/operators/running.md lists them. */
+/** Exit codes, documented in docs/operators/running.md. */
 const EXIT = {cutOff: 3, failed: 1, ok: 0, usage: 2} as const;
 
 async function main(): Promise<number> {
@@ -26,25 +26,26 @@
     process.stderr.write(`${settings.error.message}\n`);
     return EXIT.usage;
   }
-  const log = makeLog(settings.value);
+  const log = createLogger(settings.value);
   const daemon = await Daemon.start(settings.value, log);
   if (daemon.isErr()) {
     log.error('start failed', daemon.error);
     return EXIT.failed;
   }
-  const second = new AbortController();
+  // A second signal ends the graceful shutdown early.
+  const forceStop = new AbortController();
   await new Promise<void>((resolve) => {
     const onSignal = (): void => {
-      process.on('SIGTERM', () => second.abort());
-      process.on('SIGINT', () => second.abort());
+      process.on('SIGTERM', () => forceStop.abort());
+      process.on('SIGINT', () => forceStop.abort());
       resolve();
     };
     process.once('SIGTERM', onSignal);
     process.once('SIGINT', onSignal);
   });
-  const cut = await daemon.value.stop(second.signal);
+  const cutOffCount = await daemon.value.stop(forceStop.signal);
   await daemon.value[Symbol.asyncDispose]();
-  return cut > 0 ? EXIT.cutOff : EXIT.ok;
+  return cutOffCount > 0 ? EXIT.cutOff : EXIT.ok;
 }
 
 process.exit(await main());
