--- a/packages/puffinturn-cli/src/ApplyCommand.ts
+++ b/packages/puffinturn-cli/src/ApplyCommand.ts
@@ -5,20 +5,20 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** `puffinturn apply`, `diff` and `check`: declarations from files. */
+/** Commands that check, compare and apply files of declarations. */
 import type {DeclareOutcome, DeclareReply} from 'puffinturn-ledger';
 import {checkPolicy} from 'puffinturn-policy';
 import type {DeclarationFile, DeclarationKind} from 'puffinturn-settings';
 import {readDeclarations, readSettings} from 'puffinturn-settings';
 
 import type {Comparison} from './Comparison';
-import {compareAll, DIFFERENCE} from './Comparison';
+import {compareDeclarations, DIFFERENCE} from './Comparison';
 import type {ExitCode} from './ExitCodes';
 import {EXIT} from './ExitCodes';
 import type {OperatorClient} from './OperatorClient';
 import type {Cell, Output} from './Output';
 
-/** Budgets and pools come before the policies that name them. */
+/** Order of sending: budgets and pools before the policies that refer to them. */
 const KIND_ORDER: readonly DeclarationKind[] = [
   'team',
   'budget',
@@ -28,26 +28,26 @@
   'drain',
 ];
 
-async function readFiles(
+async function readValidDeclarations(
   path: string,
   output: Output,
 ): Promise<DeclarationFile[] | undefined> {
   const files = await readDeclarations(path);
   if (files.isErr()) {
-    output.problem(files.error.message);
+    output.printError(files.error.message);
     return undefined;
   }
   const problems = files.value.flatMap(({declaration, file}) =>
     checkPolicy(declaration, file),
   );
   for (const {file, found, path: at, wanted} of problems) {
-    output.problem(`${file}: ${at}: found ${found}; wanted ${wanted}`);
+    output.printError(`${file}: ${at}: found ${found}; wanted ${wanted}`);
   }
   return problems.length > 0 ? undefined : files.value;
 }
 
-/** Checks declarations, and settings when `settingsFile` is given, offline. */
-export async function check(
+/** Validates files of declarations and settings without calling a fleet. */
+export async function checkFiles(
   path: string | undefined,
   settingsFile: string | undefined,
   output: Output,
@@ -55,22 +55,22 @@
   if (settingsFile !== undefined) {
     const settings = await readSettings(settingsFile);
     if (settings.isErr()) {
-      output.problem(settings.error.message);
+      output.printError(settings.error.message);
       return EXIT.usage;
     }
-    output.note(`${settingsFile}: the settings are valid`);
+    output.printInfo(`${settingsFile}: the settings are valid`);
   }
   if (path !== undefined) {
-    const files = await readFiles(path, output);
+    const files = await readValidDeclarations(path, output);
     if (files === undefined) {
       return EXIT.usage;
     }
-    output.note(`${path}: ${files.length} declarations are valid`);
+    output.printInfo(`${path}: ${files.length} declarations are valid`);
   }
   return EXIT.ok;
 }
 
-function rowOf({declaration, difference, numberInForce}: Comparison): Cell[] {
+function toRow({declaration, difference, numberInForce}: Comparison): Cell[] {
   const {kind, name, number} = declaration;
   const numbers =
     difference === DIFFERENCE.same
@@ -79,8 +79,8 @@
   return [difference, kind, name, numbers];
 }
 
-/** Shows what `apply` would do. */
-export async function diff(
+/** Prints the changes that `apply` would make. */
+export async function showDiff(
   client: OperatorClient,
   path: string,
   output: Output,
@@ -89,15 +89,15 @@
   if (!Array.isArray(compared)) {
     return compared;
   }
-  output.show(
+  output.print(
     compared,
     ['change', 'kind', 'name', 'number'],
-    compared.map(rowOf),
+    compared.map(toRow),
   );
-  const differs = compared.some(
+  const hasDifferences = compared.some(
     ({difference}) => difference !== DIFFERENCE.same,
   );
-  return differs ? EXIT.differs : EXIT.ok;
+  return hasDifferences ? EXIT.differs : EXIT.ok;
 }
 
 async function compareWithFleet(
@@ -105,7 +105,7 @@
   path: string,
   output: Output,
 ): Promise<Comparison[] | ExitCode> {
-  const files = await readFiles(path, output);
+  const files = await readValidDeclarations(path, output);
   if (files === undefined) {
     return EXIT.usage;
   }
@@ -113,16 +113,16 @@
   if (entries.isErr()) {
     return output.fail(entries.error.message);
   }
-  return compareAll(files, entries.value);
+  return compareDeclarations(files, entries.value);
 }
 
-interface Applied {
+interface AppliedChange {
   readonly comparison: Comparison;
   readonly reply: DeclareReply | undefined;
 }
 
-/** Sends every change of a folder; safe to repeat. */
-export async function apply(
+/** Sends the changes in a folder to the fleet. Repeating it is safe. */
+export async function applyDeclarations(
   client: OperatorClient,
   path: string,
   prune: boolean,
@@ -132,7 +132,7 @@
   if (!Array.isArray(compared)) {
     return compared;
   }
-  const wanted = compared
+  const changes = compared
     .filter(({difference}) => difference !== DIFFERENCE.same)
     .filter(({difference}) => prune || difference !== DIFFERENCE.extra)
     .sort(
@@ -140,8 +140,8 @@
         KIND_ORDER.indexOf(a.declaration.kind) -
         KIND_ORDER.indexOf(b.declaration.kind),
     );
-  const applied: Applied[] = [];
-  for (const comparison of wanted) {
+  const applied: AppliedChange[] = [];
+  for (const comparison of changes) {
     const reply = await client.declare(comparison.declaration);
     if (reply.isErr()) {
       return output.fail(reply.error.message);
@@ -149,17 +149,17 @@
     applied.push({comparison, reply: reply.value});
   }
   const rows = applied.map(({comparison, reply}) => [
-    ...rowOf(comparison),
+    ...toRow(comparison),
     reply === undefined ? '' : describeReply(reply),
   ]);
   if (applied.length === 0) {
-    output.note('nothing to change');
+    output.printInfo('nothing to change');
   }
-  output.show(applied, ['change', 'kind', 'name', 'number', 'result'], rows);
-  return exitOf(applied.map(({reply}) => reply));
+  output.print(applied, ['change', 'kind', 'name', 'number', 'result'], rows);
+  return exitCodeFor(applied.map(({reply}) => reply));
 }
 
-/** One line on what became of a change. */
+/** Describes the result of a change in one line. */
 export function describeReply({outcome, pending}: DeclareReply): string {
   return pending.length > 0
     ? `pending in ${pending.join(', ')}`
@@ -183,8 +183,8 @@
   }
 }
 
-/** The exit code for the answers to changes; the worst one counts. */
-export function exitOf(
+/** Exit code for the replies to several changes; the most severe result wins. */
+export function exitCodeFor(
   replies: readonly (DeclareReply | undefined)[],
 ): ExitCode {
   const kinds = replies.map((reply) => reply?.outcome.kind);
@@ -194,6 +194,6 @@
   if (kinds.includes('rejected')) {
     return EXIT.failed;
   }
-  const pending = replies.some((reply) => (reply?.pending.length ?? 0) > 0);
-  return pending ? EXIT.pending : EXIT.ok;
+  const isPending = replies.some((reply) => (reply?.pending.length ?? 0) > 0);
+  return isPending ? EXIT.pending : EXIT.ok;
 }
--- a/packages/puffinturn-cli/src/Tool.ts
+++ b/packages/puffinturn-cli/src/Cli.ts
@@ -5,17 +5,24 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The command-line tool `puffinturn`. */
+/** Commands and options of the command-line tool `puffinturn`. */
 import type {CAC} from 'cac';
 import {cac} from 'cac';
 import {readSecret} from 'puffinturn-settings';
 import {describeError} from 'shared';
 
-import {apply, check, diff} from './ApplyCommand';
+import {applyDeclarations, checkFiles, showDiff} from './ApplyCommand';
 import type {ExitCode} from './ExitCodes';
 import {EXIT} from './ExitCodes';
-import {explainRequest} from './ExplainCommand';
-import {budgets, drain, get, makeKey, status, timeline} from './FleetCommands';
+import {showRequestHistory} from './ExplainCommand';
+import {
+  generateKey,
+  setDrain,
+  showBudgets,
+  showDeclarations,
+  showStatus,
+  showTimeline,
+} from './FleetCommands';
 import {showLimits} from './LimitsCommand';
 import {OperatorClient} from './OperatorClient';
 import {Output} from './Output';
@@ -40,8 +47,8 @@
 const DEFAULT_URL = 'http://127.0.0.1:7081';
 const VERSION = '0.1.0';
 
-/** The parser with all commands. */
-function makeCli(): CAC {
+/** Creates the parser with all commands. */
+function createCli(): CAC {
   const cli = cac('puffinturn');
   addOptions(cli);
   addFileCommands(cli);
@@ -57,8 +64,8 @@
   cli
     .option('--url <url>', `Operators' address of any box (${DEFAULT_URL})`)
     .option('--key-file <file>', 'File with the operator key (PUFFINTURN_KEY)')
-    .option('--ca-file <file>', "Authority of the boxes' certificates")
-    .option('--json', 'Print JSON for programs');
+    .option('--ca-file <file>', "File with the CA of the boxes' certificates")
+    .option('--json', 'Print JSON');
 }
 
 async function readKey(options: Options, output: Output): Promise<string> {
@@ -69,7 +76,7 @@
   return secret.match(
     (content) => content.toString('utf8').trim(),
     (failure) => {
-      output.problem(failure.message);
+      output.printError(failure.message);
       return '';
     },
   );
@@ -82,7 +89,7 @@
   const output = new Output(options.json === true);
   const key = await readKey(options, output);
   if (key === '') {
-    output.problem('give a key by --key-file or PUFFINTURN_KEY');
+    output.printError('give a key by --key-file or PUFFINTURN_KEY');
     return EXIT.usage;
   }
   const opened = await OperatorClient.open({
@@ -91,14 +98,14 @@
     url: options.url ?? process.env.PUFFINTURN_URL ?? DEFAULT_URL,
   });
   if (opened.isErr()) {
-    output.problem(opened.error.message);
+    output.printError(opened.error.message);
     return EXIT.usage;
   }
   await using client = opened.value;
   return await run(client, output);
 }
 
-function fileOf(options: Options): string {
+function declarationsPath(options: Options): string {
   return options.file ?? '.';
 }
 
@@ -106,39 +113,51 @@
   cli
     .command('apply', 'Send the changes of a folder of declarations')
     .option('-f, --file <path>', 'Folder or file of declarations (.)')
-    .option('--prune', 'Also remove what no file declares')
+    .option('--prune', 'Also remove declarations that are in no file')
     .example('puffinturn apply -f examples/cascadia/declarations')
     .action((options: Options) =>
       withClient(options, (client, output) =>
-        apply(client, fileOf(options), options.prune === true, output),
+        applyDeclarations(
+          client,
+          declarationsPath(options),
+          options.prune === true,
+          output,
+        ),
       ),
     );
 
   cli
-    .command('diff', 'Show what apply would change')
+    .command('diff', 'Show the changes that apply would make')
     .option('-f, --file <path>', 'Folder or file of declarations (.)')
     .action((options: Options) =>
       withClient(options, (client, output) =>
-        diff(client, fileOf(options), output),
+        showDiff(client, declarationsPath(options), output),
       ),
     );
 
   cli
-    .command('check', 'Check files without a fleet')
+    .command('check', 'Validate files without calling a fleet')
     .option('-f, --file <path>', 'Folder or file of declarations')
     .option('--settings <file>', 'Settings of a box')
     .action((options: Options) =>
-      check(options.file, options.settings, new Output(options.json === true)),
+      checkFiles(
+        options.file,
+        options.settings,
+        new Output(options.json === true),
+      ),
     );
 }
 
 function addLogCommands(cli: CAC): void {
   cli
-    .command('explain <request>', 'Tell what became of a request, from logs')
+    .command(
+      'explain <request>',
+      'Show the history of a request from log files',
+    )
     .option('--logs <folder>', 'Folder with the output of every process (.)')
     .example('puffinturn explain 9c41d07be2a35f68 --logs logs')
     .action((request: string, options: Options) =>
-      explainRequest(
+      showRequestHistory(
         String(request),
         options.logs ?? '.',
         new Output(options.json === true),
@@ -148,7 +167,7 @@
 
 function addLimitsCommand(cli: CAC): void {
   cli
-    .command('limits', 'List the limits that upstreams name, from logs')
+    .command('limits', 'List the rate limits of upstreams from log files')
     .option('--logs <folder>', 'Folder with the output of every process (.)')
     .action((options: Options) =>
       showLimits(options.logs ?? '.', new Output(options.json === true)),
@@ -161,59 +180,61 @@
     .example('puffinturn get budget clinics-north')
     .action((kind: string | undefined, name: string | undefined, options) =>
       withClient(options as Options, (client, output) =>
-        get(client, kind, name, output),
+        showDeclarations(client, kind, name, output),
       ),
     );
 
   cli
     .command('status', 'Show boxes and control groups')
-    .action((options: Options) => withClient(options, status));
+    .action((options: Options) => withClient(options, showStatus));
 
   cli
     .command('budget [name]', 'Show budgets in all regions')
     .action((name: string | undefined, options: Options) =>
-      withClient(options, (client, output) => budgets(client, name, output)),
+      withClient(options, (client, output) =>
+        showBudgets(client, name, output),
+      ),
     );
 
-  for (const on of [true, false]) {
+  for (const enabled of [true, false]) {
     cli
       .command(
-        on ? 'drain' : 'undrain',
-        on ? 'Send no new work to a box, hall or upstream' : 'End a drain',
+        enabled ? 'drain' : 'undrain',
+        enabled ? 'Send no new work to a box, hall or upstream' : 'End a drain',
       )
       .option('--box <box>', 'The box')
       .option('--hall <hall>', 'All upstreams of a data hall')
       .option('--upstream <pool/upstream>', 'The upstream')
       .action((options: Options) =>
         withClient(options, (client, output) =>
-          drain(client, options, on, output),
+          setDrain(client, options, enabled, output),
         ),
       );
   }
 
   cli
-    .command('timeline', 'Show events of all boxes in order')
+    .command('timeline', 'Show events of all boxes, ordered by time')
     .option('--box <box>', 'Only this box')
     .option('--budget <budget>', 'Only this budget')
     .option('--request <request>', 'Only this request')
-    .option('--since <ms>', 'Only from this time on, ms since the epoch')
+    .option('--since <ms>', 'Only from this time on, in ms since the epoch')
     .option('--trace <file>', 'Write the Chrome trace format')
     .action((options: Options) =>
       withClient(options, (client, output) =>
-        timeline(client, options, options.trace, output),
+        showTimeline(client, options, options.trace, output),
       ),
     );
 
   cli
-    .command('key', 'Make a key and its digest')
+    .command('key', 'Generate a key and its digest')
     .action(async (options: Options) =>
-      makeKey(new Output(options.json === true)),
+      generateKey(new Output(options.json === true)),
     );
 }
 
-/** Runs the tool with a process's arguments and returns its exit code. */
-export async function runTool(argv: readonly string[]): Promise<ExitCode> {
-  const cli = makeCli();
+/** Runs the tool with the arguments of a process and returns the exit code. */
+export async function runCli(argv: readonly string[]): Promise<ExitCode> {
+  const cli = createCli();
   try {
     cli.parse([...argv], {run: false});
     if (cli.options.help === true || cli.options.version === true) {
--- a/packages/puffinturn-cli/src/Comparison.ts
+++ b/packages/puffinturn-cli/src/Comparison.ts
@@ -5,44 +5,48 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Compares a folder of declarations with what is in force. */
+/** Compares files of declarations with the declarations in force. */
 import type {DeclarationEntry} from 'puffinturn-ledger';
 import type {Declaration, DeclarationFile} from 'puffinturn-settings';
 import {digestValue} from 'shared';
 
-/** What `apply` would do with one declaration. */
+/** Difference between a declaration in the files and the one in force. */
 export const DIFFERENCE = {
   changed: 'changed',
-  /** In force, but in no file; `apply --prune` removes it. */
+  /** In force, but not in any file; `apply --prune` removes it. */
   extra: 'extra',
   new: 'new',
   same: 'same',
 } as const;
 
-/** One of DIFFERENCE. */
+/** Value of `DIFFERENCE`. */
 export type Difference = (typeof DIFFERENCE)[keyof typeof DIFFERENCE];
 
-/** One declaration on both sides. */
+/** Result of comparing one declaration. */
 export interface Comparison {
   readonly difference: Difference;
+  /** Empty if the declaration is in no file. */
   readonly file: string;
-  /** What `apply` would send. */
+  /** Declaration that `apply` would send. */
   readonly declaration: Declaration;
-  /** Number in force; 0 when there is none. */
+  /** Version number in force; 0 if there is none. */
   readonly numberInForce: number;
 }
 
-function contentOf({number: _number, ...content}: Declaration): string {
+function digestContent({number: _number, ...content}: Declaration): string {
   return digestValue(content);
 }
 
-function compareOne(
+function compareDeclaration(
   {declaration, file, numbered}: DeclarationFile,
   entry: DeclarationEntry | undefined,
 ): Comparison {
   const current = entry?.declaration;
   const numberInForce = current?.number ?? 0;
-  if (current !== undefined && contentOf(current) === contentOf(declaration)) {
+  if (
+    current !== undefined &&
+    digestContent(current) === digestContent(declaration)
+  ) {
     return {
       declaration: current,
       difference: DIFFERENCE.same,
@@ -61,25 +65,28 @@
   };
 }
 
-/** Compares all; those in force that no file holds come last. */
-export function compareAll(
+/** Compares all declarations; those in force but in no file come last. */
+export function compareDeclarations(
   files: readonly DeclarationFile[],
   entries: readonly DeclarationEntry[],
 ): Comparison[] {
-  const idOf = ({kind, name}: Declaration): string => `${kind}/${name}`;
+  const declarationId = ({kind, name}: Declaration): string =>
+    `${kind}/${name}`;
   const inForce = new Map(
-    entries.map((entry) => [idOf(entry.declaration), entry]),
+    entries.map((entry) => [declarationId(entry.declaration), entry]),
   );
   const compared = files.map((file) =>
-    compareOne(file, inForce.get(idOf(file.declaration))),
+    compareDeclaration(file, inForce.get(declarationId(file.declaration))),
+  );
+  const declaredIds = new Set(
+    files.map(({declaration}) => declarationId(declaration)),
   );
-  const named = new Set(files.map(({declaration}) => idOf(declaration)));
   const extra = entries
     .map(({declaration}) => declaration)
     .filter((declaration) => declaration.spec !== null)
-    // Drains are made by `puffinturn drain`, not kept in files.
+    // Drains are created by `puffinturn drain`, not declared in files.
     .filter((declaration) => declaration.kind !== 'drain')
-    .filter((declaration) => !named.has(idOf(declaration)))
+    .filter((declaration) => !declaredIds.has(declarationId(declaration)))
     .map((declaration): Comparison => ({
       declaration: {...declaration, number: declaration.number + 1, spec: null},
       difference: DIFFERENCE.extra,
--- a/packages/puffinturn-cli/src/ExitCodes.ts
+++ b/packages/puffinturn-cli/src/ExitCodes.ts
@@ -5,15 +5,15 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Exit codes of the command-line tool; docs/operators/tool.md lists them. */
+/** Exit codes of the command-line tool, documented in docs/operators/tool.md. */
 
-/** What the tool's exit code means. */
+/** Exit codes by meaning. */
 export const EXIT = {
-  /** Another change won, or a newer one is in force. */
+  /** A conflicting change was accepted first, or a newer one is in force. */
   conflict: 3,
   /** `diff` found differences. */
   differs: 4,
-  /** The fleet could not be reached or refused. */
+  /** The fleet was unreachable or rejected the request. */
   failed: 1,
   ok: 0,
   /** Accepted, but not yet in force in every region. */
@@ -22,5 +22,5 @@
   usage: 2,
 } as const;
 
-/** One of EXIT. */
+/** Value of `EXIT`. */
 export type ExitCode = (typeof EXIT)[keyof typeof EXIT];
--- a/packages/puffinturn-cli/src/ExplainCommand.ts
+++ b/packages/puffinturn-cli/src/ExplainCommand.ts
@@ -5,46 +5,47 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The command that tells what became of one request. */
+/** Command that prints the history of one request. */
 import type {ExitCode} from './ExitCodes';
 import {EXIT} from './ExitCodes';
-import type {LogLine} from './Explanation';
-import {explain, readLogs} from './Explanation';
 import type {Output} from './Output';
-import {timeOfDay} from './TimeOfDay';
+import type {LogLine} from './RequestHistory';
+import {buildRequestHistory, readLogs} from './RequestHistory';
+import {formatTimeOfDay} from './TimeOfDay';
 
-const SHOWN_APART: ReadonlySet<string> = new Set([
+/** Fields with a column of their own, or that are not shown. */
+const COLUMN_FIELDS: ReadonlySet<string> = new Set([
   'box',
   'event',
   'level',
   'time',
 ]);
 
-/** Prints the history of a request from the logs in a folder. */
-export async function explainRequest(
+/** Prints the history of a request, read from a folder of log files. */
+export async function showRequestHistory(
   request: string,
   folder: string,
   output: Output,
 ): Promise<ExitCode> {
   const history = await readLogs(folder).andThen((lines) =>
-    explain(lines, request),
+    buildRequestHistory(lines, request),
   );
   return history.match(
     (lines) => {
       const head = ['time', 'box', 'event', 'what'];
-      output.show(lines, head, lines.map(rowOf));
+      output.print(lines, head, lines.map(toRow));
       return EXIT.ok;
     },
     ({message}) => {
-      output.problem(message);
+      output.printError(message);
       return EXIT.failed;
     },
   );
 }
 
-function rowOf(line: LogLine): string[] {
-  const what = Object.entries(line)
-    .filter(([name]) => !SHOWN_APART.has(name))
+function toRow(line: LogLine): string[] {
+  const details = Object.entries(line)
+    .filter(([name]) => !COLUMN_FIELDS.has(name))
     .map(([name, value]) => `${name}=${String(value)}`);
-  return [timeOfDay(line.time), line.box, line.event, what.join(' ')];
+  return [formatTimeOfDay(line.time), line.box, line.event, details.join(' ')];
 }
--- a/packages/puffinturn-cli/src/FleetCommands.ts
+++ b/packages/puffinturn-cli/src/FleetCommands.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Commands that show the fleet or drain its members. */
+/** Commands that show the state of the fleet or drain its members. */
 import {randomBytes} from 'node:crypto';
 import {writeFile} from 'node:fs/promises';
 
@@ -13,7 +13,7 @@
 import {formatEvent, toChromeTrace} from 'puffinturn-timeline';
 import {digestBytes, digestValue} from 'shared';
 
-import {describeReply, exitOf} from './ApplyCommand';
+import {describeReply, exitCodeFor} from './ApplyCommand';
 import type {ExitCode} from './ExitCodes';
 import {EXIT} from './ExitCodes';
 import type {OperatorClient, TimelineQuery} from './OperatorClient';
@@ -21,50 +21,56 @@
 
 const KEY_BYTES = 32;
 
-/** What a drain is about. */
+/** Target of a drain; exactly one field must be set. */
 export interface DrainTarget {
   readonly box?: string | undefined;
-  /** A data hall with all its upstreams. */
+  /** Data hall, with all its upstreams. */
   readonly hall?: string | undefined;
-  /** `POOL/UPSTREAM`. */
+  /** Upstream, as `POOL/UPSTREAM`. */
   readonly upstream?: string | undefined;
 }
 
-/** Shows boxes and control groups of all regions. */
-export async function status(
+/** Prints the boxes and control groups of all regions. */
+export async function showStatus(
   client: OperatorClient,
   output: Output,
 ): Promise<ExitCode> {
-  const answer = await client.status();
-  if (answer.isErr()) {
-    return output.fail(answer.error.message);
+  const response = await client.status();
+  if (response.isErr()) {
+    return output.fail(response.error.message);
   }
-  const {regions, unreachable} = answer.value;
+  const {regions, unreachable} = response.value;
   const rows = regions.flatMap((region) =>
     region.boxes.map(({box, hall}) => {
-      const votes = region.voters.some((voter) => voter.startsWith(`${box}~`));
-      const role = region.leader === box ? 'leader' : votes ? 'control' : '';
+      const isVoter = region.voters.some((voter) =>
+        voter.startsWith(`${box}~`),
+      );
+      const role = region.leader === box ? 'leader' : isVoter ? 'control' : '';
       return [region.region, hall, box, role, region.configIndex];
     }),
   );
-  output.show(answer.value, ['region', 'hall', 'box', 'role', 'config'], rows);
+  output.print(
+    response.value,
+    ['region', 'hall', 'box', 'role', 'config'],
+    rows,
+  );
   for (const region of unreachable) {
-    output.problem(`no leader of region ${region} answers`);
+    output.printError(`no leader of region ${region} answers`);
   }
   return unreachable.length > 0 ? EXIT.failed : EXIT.ok;
 }
 
-/** Shows budgets in all regions. */
-export async function budgets(
+/** Prints the budgets in all regions. */
+export async function showBudgets(
   client: OperatorClient,
   name: string | undefined,
   output: Output,
 ): Promise<ExitCode> {
-  const answer = await client.status();
-  if (answer.isErr()) {
-    return output.fail(answer.error.message);
+  const response = await client.status();
+  if (response.isErr()) {
+    return output.fail(response.error.message);
   }
-  const found = answer.value.regions.flatMap(({budgets: all, region}) =>
+  const found = response.value.regions.flatMap(({budgets: all, region}) =>
     all
       .filter((budget) => name === undefined || budget.name === name)
       .map((budget) => ({...budget, region})),
@@ -89,12 +95,12 @@
     'granted',
     'available',
   ];
-  output.show(found, head, rows);
+  output.print(found, head, rows);
   return found.length === 0 && name !== undefined ? EXIT.failed : EXIT.ok;
 }
 
-/** Shows declarations in force. */
-export async function get(
+/** Prints the declarations in force. */
+export async function showDeclarations(
   client: OperatorClient,
   kind: string | undefined,
   name: string | undefined,
@@ -109,7 +115,7 @@
     .filter(({declaration}) => name === undefined || declaration.name === name)
     .filter(({declaration}) => declaration.spec !== null);
   if (name !== undefined && found.length === 1) {
-    output.showJson(found[0]?.declaration);
+    output.printJson(found[0]?.declaration);
     return EXIT.ok;
   }
   const rows = found.map(({declaration, index, operator}) => [
@@ -120,7 +126,7 @@
     operator,
     index,
   ]);
-  output.show(
+  output.print(
     found.map(({declaration}) => declaration),
     ['kind', 'name', 'number', 'scope', 'operator', 'index'],
     rows,
@@ -130,23 +136,23 @@
 
 function drainDeclaration(
   {box, hall, upstream}: DrainTarget,
-  on: boolean,
+  enabled: boolean,
 ): Omit<Extract<Declaration, {kind: 'drain'}>, 'number'> | undefined {
-  const named = [box, hall, upstream].filter((text) => text !== undefined);
-  if (named.length !== 1) {
+  const targets = [box, hall, upstream].filter((text) => text !== undefined);
+  if (targets.length !== 1) {
     return undefined;
   }
   if (box !== undefined) {
-    const spec = {on, target: {box}};
+    const spec = {on: enabled, target: {box}};
     return {kind: 'drain', name: `box.${box}`, scope: 'global', spec};
   }
   if (hall !== undefined) {
-    const spec = {on, target: {hall}};
+    const spec = {on: enabled, target: {hall}};
     return {kind: 'drain', name: `hall.${hall}`, scope: 'global', spec};
   }
   const [pool, name] = (upstream ?? '').split('/');
   if (pool && name) {
-    const spec = {on, target: {pool, upstream: name}};
+    const spec = {on: enabled, target: {pool, upstream: name}};
     const drain = `upstream.${pool}.${name}`;
     return {kind: 'drain', name: drain, scope: 'global', spec};
   }
@@ -154,15 +160,15 @@
 }
 
 /** Starts or ends a drain. */
-export async function drain(
+export async function setDrain(
   client: OperatorClient,
   target: DrainTarget,
-  on: boolean,
+  enabled: boolean,
   output: Output,
 ): Promise<ExitCode> {
-  const content = drainDeclaration(target, on);
+  const content = drainDeclaration(target, enabled);
   if (content === undefined) {
-    output.problem(
+    output.printError(
       'name one of --box BOX, --hall HALL and --upstream POOL/UPSTREAM',
     );
     return EXIT.usage;
@@ -175,24 +181,24 @@
     ({declaration}) =>
       declaration.kind === 'drain' && declaration.name === content.name,
   )?.declaration;
-  const same =
+  const isUnchanged =
     current !== undefined &&
     digestValue(current.spec) === digestValue(content.spec);
-  const number = (current?.number ?? 0) + (same ? 0 : 1);
+  const number = (current?.number ?? 0) + (isUnchanged ? 0 : 1);
   const reply = await client.declare({...content, number});
   if (reply.isErr()) {
     return output.fail(reply.error.message);
   }
-  output.show(
+  output.print(
     reply.value,
     ['drain', 'result'],
     [[content.name, describeReply(reply.value)]],
   );
-  return exitOf([reply.value]);
+  return exitCodeFor([reply.value]);
 }
 
-/** Shows the time line, or writes it as a Chrome trace. */
-export async function timeline(
+/** Prints the timeline, or writes it to a file as a Chrome trace. */
+export async function showTimeline(
   client: OperatorClient,
   query: TimelineQuery,
   traceFile: string | undefined,
@@ -204,10 +210,10 @@
   }
   if (traceFile !== undefined) {
     await writeFile(traceFile, JSON.stringify(toChromeTrace(events.value)));
-    output.note(`${events.value.length} events are in ${traceFile}`);
+    output.printInfo(`${events.value.length} events are in ${traceFile}`);
     return EXIT.ok;
   }
-  output.show(
+  output.print(
     events.value,
     [],
     events.value.map((event) => [formatEvent(event)]),
@@ -215,10 +221,10 @@
   return EXIT.ok;
 }
 
-/** Makes a key; only its digest goes into declarations and settings. */
-export function makeKey(output: Output): ExitCode {
+/** Generates a key and its digest. Declarations and settings hold only the digest. */
+export function generateKey(output: Output): ExitCode {
   const key = `pt-${randomBytes(KEY_BYTES).toString('base64url')}`;
   const sha256 = digestBytes(key);
-  output.show({key, sha256}, ['key', 'sha256'], [[key, sha256]]);
+  output.print({key, sha256}, ['key', 'sha256'], [[key, sha256]]);
   return EXIT.ok;
 }
--- a/packages/puffinturn-cli/src/Limits.ts
+++ b/packages/puffinturn-cli/src/Limits.ts
@@ -5,21 +5,21 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The limits of upstreams, as the logs of all boxes tell them. */
-import type {LogLine} from './Explanation';
+/** Finds the rate limits of upstreams in the logs of all boxes. */
+import type {LogLine} from './RequestHistory';
 
-/** An upstream that takes only so many requests a second. */
-export interface KnownLimit {
+/** Rate limit of one upstream. */
+export interface UpstreamLimit {
   readonly upstream: string;
-  /** Requests a second. */
+  /** Requests per second. */
   readonly perSecond: number;
-  /** When it was heard of last, ms since the epoch. */
+  /** Time of the latest log line about the limit, in milliseconds since the epoch. */
   readonly time: number;
-  /** Boxes that know the upstream to have a limit, in order. */
+  /** Names of the boxes that know of a limit, sorted. */
   readonly boxes: readonly string[];
 }
 
-/** A line that says what a box knows of a limit; no figure says that there is none. */
+/** A log line about the limit that a box knows. Without a rate there is no limit. */
 interface LimitLine extends LogLine {
   readonly upstream: string;
   readonly limitPerS?: number;
@@ -31,33 +31,33 @@
   'upstream-told',
 ]);
 
-/** The limits that hold at the end of the lines, by upstream. */
-export function limitsIn(lines: readonly LogLine[]): KnownLimit[] {
-  const newest = new Map<string, LimitLine>();
+/** Returns the limits in force after the last line, sorted by upstream. */
+export function findCurrentLimits(lines: readonly LogLine[]): UpstreamLimit[] {
+  const latestByUpstreamAndBox = new Map<string, LimitLine>();
   for (const line of lines.filter(isLimitLine)) {
     const key = `${line.upstream} ${line.box}`;
-    const known = newest.get(key);
-    if (known === undefined || line.time >= known.time) {
-      newest.set(key, line);
+    const latest = latestByUpstreamAndBox.get(key);
+    if (latest === undefined || line.time >= latest.time) {
+      latestByUpstreamAndBox.set(key, line);
     }
   }
   const byUpstream = new Map<string, LimitLine[]>();
-  for (const line of newest.values()) {
+  for (const line of latestByUpstreamAndBox.values()) {
     const others = byUpstream.get(line.upstream) ?? [];
     byUpstream.set(line.upstream, [...others, line]);
   }
   return [...byUpstream.values()]
-    .flatMap((known) => limitOf(known))
+    .flatMap((upstreamLines) => latestLimit(upstreamLines))
     .sort((a, b) => a.upstream.localeCompare(b.upstream));
 }
 
-/** The newest figure of one upstream; none where no box knows of a limit. */
-function limitOf(lines: readonly LimitLine[]): KnownLimit[] {
+/** Returns the latest limit of one upstream, or nothing if no box knows of one. */
+function latestLimit(lines: readonly LimitLine[]): UpstreamLimit[] {
   const limited = lines
-    .filter((line) => figureOf(line) !== undefined)
+    .filter((line) => requestRate(line) !== undefined)
     .sort((a, b) => b.time - a.time);
   const [first] = limited;
-  const perSecond = first && figureOf(first);
+  const perSecond = first && requestRate(first);
   if (first === undefined || perSecond === undefined) {
     return [];
   }
@@ -70,6 +70,6 @@
   return LIMIT_EVENTS.has(line.event) && line.upstream !== undefined;
 }
 
-function figureOf({limitPerS, perSecond}: LimitLine): number | undefined {
+function requestRate({limitPerS, perSecond}: LimitLine): number | undefined {
   return limitPerS ?? perSecond;
 }
--- a/packages/puffinturn-cli/src/LimitsCommand.ts
+++ b/packages/puffinturn-cli/src/LimitsCommand.ts
@@ -5,31 +5,31 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The command that lists the limits that upstreams name. */
+/** Command that lists the rate limits reported by upstreams. */
 import type {ExitCode} from './ExitCodes';
 import {EXIT} from './ExitCodes';
-import {readLogs} from './Explanation';
-import {limitsIn} from './Limits';
+import {findCurrentLimits} from './Limits';
 import type {Output} from './Output';
-import {timeOfDay} from './TimeOfDay';
+import {readLogs} from './RequestHistory';
+import {formatTimeOfDay} from './TimeOfDay';
 
-/** Prints the limits that hold at the end of the logs in a folder. */
+/** Prints the limits in force at the end of the logs in a folder. */
 export async function showLimits(
   folder: string,
   output: Output,
 ): Promise<ExitCode> {
   const lines = await readLogs(folder);
-  return lines.map(limitsIn).match(
+  return lines.map(findCurrentLimits).match(
     (limits) => {
       const head = ['upstream', 'a second', 'heard at', 'known by'];
       const rows = limits.map(({boxes, perSecond, time, upstream}) => {
-        return [upstream, perSecond, timeOfDay(time), boxes.join(' ')];
+        return [upstream, perSecond, formatTimeOfDay(time), boxes.join(' ')];
       });
-      output.show(limits, head, rows);
+      output.print(limits, head, rows);
       return EXIT.ok;
     },
     ({message}) => {
-      output.problem(message);
+      output.printError(message);
       return EXIT.failed;
     },
   );
--- a/packages/puffinturn-cli/src/OperatorClient.ts
+++ b/packages/puffinturn-cli/src/OperatorClient.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Calls of the operators' HTTP interface. */
+/** Client for the operators' HTTP API. */
 import {readFile} from 'node:fs/promises';
 
 import {err, ok, ResultAsync} from 'neverthrow';
@@ -19,19 +19,19 @@
 
 const TIMEOUT_MS = 30_000;
 
-/** The fleet did not answer as hoped. */
+/** Reason why a call failed. */
 export type ClientFailure =
   Failure<'refused'> | Failure<'unreachable'> | Failure<'usage'>;
 
-/** Where the fleet is and who asks. */
+/** Address and credentials for the API. */
 export interface ClientOptions {
   readonly url: string;
   readonly key: string;
-  /** Authority of the server's certificate. */
+  /** File with the CA of the server's certificate. */
   readonly caFile?: string | undefined;
 }
 
-/** Query of a time line. */
+/** Filter for timeline events. */
 export interface TimelineQuery {
   readonly box?: string | undefined;
   readonly budget?: string | undefined;
@@ -39,19 +39,19 @@
   readonly since?: string | undefined;
 }
 
-interface Answer {
+interface HttpResponse {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** See the module comment. */
+/** Calls the operators' HTTP API of one box. */
 export class OperatorClient implements AsyncDisposable {
   private constructor(
     private readonly options: ClientOptions,
     private readonly agent: Agent,
   ) {}
 
-  /** Makes a client; reads the authority's certificate if one is named. */
+  /** Creates a client; reads the CA certificate if `caFile` is set. */
   static open(
     options: ClientOptions,
   ): ResultAsync<OperatorClient, ClientFailure> {
@@ -70,40 +70,40 @@
     );
   }
 
-  /** Sends one change; a conflict is an answer, not a failure. */
+  /** Sends a declaration. A conflict is returned as a reply, not as a failure. */
   declare(declaration: Declaration): ResultAsync<DeclareReply, ClientFailure> {
     return this.send('POST', '/v1/declarations', declaration).andThen(
       ({body, status}) =>
         typeof body === 'object' && body !== null && 'outcome' in body
           ? ok(body as DeclareReply)
-          : err(refusal(status, body)),
+          : err(toRefusedFailure(status, body)),
     );
   }
 
-  /** The declarations in force. */
+  /** Reads the declarations in force. */
   config(): ResultAsync<readonly DeclarationEntry[], ClientFailure> {
-    return this.read<{entries: DeclarationEntry[]}>('/v1/config').map(
+    return this.get<{entries: DeclarationEntry[]}>('/v1/config').map(
       ({entries}) => entries,
     );
   }
 
-  /** Figures of the fleet. */
+  /** Reads the status of the fleet. */
   status(): ResultAsync<FleetStatus, ClientFailure> {
-    return this.read<FleetStatus>('/v1/status');
+    return this.get<FleetStatus>('/v1/status');
   }
 
-  /** Events of all boxes. */
+  /** Reads the timeline events of all boxes. */
   timeline(
     query: TimelineQuery,
   ): ResultAsync<readonly TimelineEvent[], ClientFailure> {
-    const search = new URLSearchParams();
+    const params = new URLSearchParams();
     for (const [name, value] of Object.entries(query)) {
       if (value !== undefined) {
-        search.set(name, String(value));
+        params.set(name, String(value));
       }
     }
-    return this.read<{events: TimelineEvent[]}>(
-      `/v1/timeline?${search.toString()}`,
+    return this.get<{events: TimelineEvent[]}>(
+      `/v1/timeline?${params.toString()}`,
     ).map(({events}) => events);
   }
 
@@ -111,9 +111,9 @@
     await this.agent.destroy();
   }
 
-  private read<Value>(path: string): ResultAsync<Value, ClientFailure> {
+  private get<Value>(path: string): ResultAsync<Value, ClientFailure> {
     return this.send('GET', path).andThen(({body, status}) =>
-      status === 200 ? ok(body as Value) : err(refusal(status, body)),
+      status === 200 ? ok(body as Value) : err(toRefusedFailure(status, body)),
     );
   }
 
@@ -121,9 +121,9 @@
     method: 'GET' | 'POST',
     path: string,
     body?: unknown,
-  ): ResultAsync<Answer, ClientFailure> {
+  ): ResultAsync<HttpResponse, ClientFailure> {
     const {key, url} = this.options;
-    const sent = request(new URL(path, url), {
+    const response = request(new URL(path, url), {
       body: body === undefined ? null : JSON.stringify(body),
       bodyTimeout: TIMEOUT_MS,
       dispatcher: this.agent,
@@ -133,18 +133,18 @@
       },
       headersTimeout: TIMEOUT_MS,
       method,
-    }).then(async (answer) => ({
-      body: await answer.body.json(),
-      status: answer.statusCode,
+    }).then(async (httpResponse) => ({
+      body: await httpResponse.body.json(),
+      status: httpResponse.statusCode,
     }));
-    return ResultAsync.fromPromise(sent, (error) => ({
+    return ResultAsync.fromPromise(response, (error) => ({
       kind: 'unreachable',
       message: `${url}: ${describeError(error)}`,
     }));
   }
 }
 
-function refusal(status: number, body: unknown): ClientFailure {
+function toRefusedFailure(status: number, body: unknown): ClientFailure {
   const {error} = (body ?? {}) as {error?: {message?: string}};
   const message = error?.message ?? 'no explanation';
   return {kind: 'refused', message: `status ${status}: ${message}`};
--- a/packages/puffinturn-cli/src/Output.ts
+++ b/packages/puffinturn-cli/src/Output.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Prints results as tables for people or as JSON for programs. */
+/** Prints results as tables or as JSON. */
 import Table from 'cli-table3';
 import stringify from 'safe-stable-stringify';
 
@@ -37,44 +37,48 @@
 export class Output {
   constructor(private readonly json: boolean) {}
 
-  /** Prints `value` as JSON, or the table when people read it. */
-  show(value: unknown, head: readonly string[], rows: readonly Cell[][]): void {
+  /** Prints `value` in JSON mode, and the table otherwise. */
+  print(
+    value: unknown,
+    head: readonly string[],
+    rows: readonly Cell[][],
+  ): void {
     if (this.json) {
-      this.showJson(value);
+      this.printJson(value);
     } else {
-      this.line(tableOf(head, rows));
+      this.writeLine(formatTable(head, rows));
     }
   }
 
-  /** Prints JSON in either mode. */
-  showJson(value: unknown): void {
-    this.line(stringify(value, null, 2) ?? 'null');
+  /** Prints `value` as JSON in both modes. */
+  printJson(value: unknown): void {
+    this.writeLine(stringify(value, null, 2) ?? 'null');
   }
 
-  /** Prints a line that only people read. */
-  note(text: string): void {
+  /** Prints a line of text, except in JSON mode. */
+  printInfo(text: string): void {
     if (!this.json) {
-      this.line(text);
+      this.writeLine(text);
     }
   }
 
-  /** Prints a problem. */
-  problem(text: string): void {
+  /** Prints a message to standard error. */
+  printError(text: string): void {
     process.stderr.write(`${text}\n`);
   }
 
-  /** Prints why a command failed and gives its exit code. */
+  /** Prints the reason of a failure and returns the exit code for it. */
   fail(message: string): ExitCode {
-    this.problem(message);
+    this.printError(message);
     return EXIT.failed;
   }
 
-  private line(text: string): void {
+  private writeLine(text: string): void {
     process.stdout.write(`${text}\n`);
   }
 }
 
-function tableOf(head: readonly string[], rows: readonly Cell[][]): string {
+function formatTable(head: readonly string[], rows: readonly Cell[][]): string {
   const table = new Table({
     chars: PLAIN_BORDERS,
     head: [...head],
--- a/packages/puffinturn-cli/src/Explanation.ts
+++ b/packages/puffinturn-cli/src/RequestHistory.ts
@@ -6,9 +6,9 @@
  */
 
 /**
- * Joins the decision lines of all processes into the history of one request:
- * its own lines, and what was decided shortly before about the upstreams that it
- * was sent to, its team's tokens, and the box that served it.
+ * Builds the history of one request from the logs of all processes: the lines
+ * that name the request, and earlier lines about its upstreams, its team and the
+ * box that served it.
  */
 import {readdir, readFile} from 'node:fs/promises';
 import {join} from 'node:path';
@@ -18,26 +18,26 @@
 import type {Failure} from 'shared';
 import {describeError} from 'shared';
 
-/** One line of a log, as far as it is used here. */
+/** A structured log line. Only the fields used here are declared. */
 export interface LogLine {
-  /** When it was written, ms since the epoch. */
+  /** Time of writing, in milliseconds since the epoch. */
   readonly time: number;
   readonly box: string;
   readonly event: string;
   readonly request?: string;
   readonly upstream?: string;
-  /** Upstreams that had no permit left for the request. */
+  /** Upstreams that had no permit available for the request. */
   readonly heldBackBy?: readonly string[];
   readonly team?: string;
 }
 
-/** Why there is no history. */
-export type ExplainFailure = Failure<'no-such-request'> | Failure<'unreadable'>;
+/** Reason why a history could not be built. */
+export type HistoryFailure = Failure<'no-such-request'> | Failure<'unreadable'>;
 
-/** How long before a request lines about its surroundings count, ms. */
-const BEFORE_MS = 10_000;
+/** Related lines are included from this long before the last line of a request. */
+const CONTEXT_WINDOW_MS = 10_000;
 
-/** Events about the box that served the request. */
+/** Events about a box that can affect the requests it serves. */
 const BOX_EVENTS: ReadonlySet<string> = new Set([
   'backlog-changed',
   'configuration-adopted',
@@ -46,10 +46,10 @@
   'step-aside-decided',
 ]);
 
-/** Reads the lines of every file in a folder. */
+/** Reads the log lines of all files in a folder; skips lines that are not JSON. */
 export function readLogs(
   folder: string,
-): ResultAsync<LogLine[], ExplainFailure> {
+): ResultAsync<LogLine[], HistoryFailure> {
   const reading = async (): Promise<LogLine[]> => {
     const names = await readdir(folder);
     const texts = await Promise.all(
@@ -63,7 +63,7 @@
   }));
 }
 
-/** The line, or nothing where the text is no decision. */
+/** Parses one line; returns an empty list if it is not a structured log line. */
 function parseLine(text: string): LogLine[] {
   const start = text.indexOf('{');
   if (start < 0) {
@@ -71,44 +71,45 @@
   }
   try {
     const line = JSON.parse(text.slice(start)) as Partial<LogLine>;
-    const whole =
+    const isComplete =
       typeof line.time === 'number' &&
       typeof line.box === 'string' &&
       typeof line.event === 'string';
-    return whole ? [line as LogLine] : [];
+    return isComplete ? [line as LogLine] : [];
   } catch {
     return [];
   }
 }
 
-/** The history of a request, in order of time. */
-export function explain(
+/** Builds the history of a request, ordered by time. */
+export function buildRequestHistory(
   lines: readonly LogLine[],
   request: string,
-): Result<LogLine[], ExplainFailure> {
-  const own = lines.filter((line) => line.request === request);
-  const [first] = own;
+): Result<LogLine[], HistoryFailure> {
+  const requestLines = lines.filter((line) => line.request === request);
+  const [first] = requestLines;
   if (first === undefined) {
     const message = `no line names ${request}; plain successes are sampled`;
     return err({kind: 'no-such-request', message});
   }
-  const end = Math.max(...own.map(({time}) => time));
+  const endTime = Math.max(...requestLines.map(({time}) => time));
   const upstreams = new Set(
-    own.flatMap(({heldBackBy = [], upstream}) => [
+    requestLines.flatMap(({heldBackBy = [], upstream}) => [
       ...(upstream === undefined ? [] : [upstream]),
       ...heldBackBy,
     ]),
   );
-  const teams = new Set(own.flatMap(({team}) => team ?? []));
-  const concerns = (line: LogLine): boolean =>
+  const teams = new Set(requestLines.flatMap(({team}) => team ?? []));
+  const isRelated = (line: LogLine): boolean =>
     (line.upstream !== undefined && upstreams.has(line.upstream)) ||
     (line.team !== undefined &&
       teams.has(line.team) &&
       line.box === first.box) ||
     (line.box === first.box && BOX_EVENTS.has(line.event));
-  const around = lines.filter((line) => {
-    const near = line.time <= end && line.time >= end - BEFORE_MS;
-    return near && line.request === undefined && concerns(line);
+  const contextLines = lines.filter((line) => {
+    const isInWindow =
+      line.time <= endTime && line.time >= endTime - CONTEXT_WINDOW_MS;
+    return isInWindow && line.request === undefined && isRelated(line);
   });
-  return ok([...around, ...own].sort((a, b) => a.time - b.time));
+  return ok([...contextLines, ...requestLines].sort((a, b) => a.time - b.time));
 }
--- a/packages/puffinturn-cli/src/TimeOfDay.ts
+++ b/packages/puffinturn-cli/src/TimeOfDay.ts
@@ -5,9 +5,9 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Time of day in UTC, for tables. */
+/** Formats the time of day in UTC. */
 
-/** Hours to milliseconds of a time since the epoch, ms. */
-export function timeOfDay(time: number): string {
+/** Formats milliseconds since the epoch as `HH:MM:SS.mmm`. */
+export function formatTimeOfDay(time: number): string {
   return new Date(time).toISOString().slice(11, 23);
 }
--- a/packages/puffinturn-cli/src/__tests__/unit/Explanation.test.ts
+++ b/packages/puffinturn-cli/src/__tests__/unit/RequestHistory.test.ts
@@ -5,12 +5,13 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/** Guards against request histories with missing, unrelated or misordered lines. */
 import {mkdtemp, rm, writeFile} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
 
-import {explain, readLogs} from '../../Explanation';
-import {runTool} from '../../Tool';
+import {runCli} from '../../Cli';
+import {buildRequestHistory, readLogs} from '../../RequestHistory';
 
 const LINES = [
   {
@@ -69,8 +70,8 @@
   },
 ];
 
-/** A request that was refused, and what was known of limits. */
-const REFUSAL = [
+/** Lines about a rejected request and the limits of its upstreams. */
+const REJECTED_REQUEST_LINES = [
   {box: 'c1', event: 'upstream-limited', time: 1_000, upstream: 'i-1'},
   {box: 'e1', event: 'upstream-limited', time: 1_001, upstream: 'i-1'},
   {box: 'e1', event: 'upstream-limited', time: 1_001, upstream: 'i-2'},
@@ -84,55 +85,58 @@
   },
 ];
 
-async function inFolder(run: (folder: string) => Promise<void>) {
+async function withLogFolder(run: (folder: string) => Promise<void>) {
   const folder = await mkdtemp(join(tmpdir(), 'logs-'));
   try {
-    const text = LINES.map((line) => JSON.stringify(line));
+    const texts = LINES.map((line) => JSON.stringify(line));
     await writeFile(
       join(folder, 'a'),
-      `started\n${text.slice(0, 4).join('\n')}`,
+      `started\n${texts.slice(0, 4).join('\n')}`,
     );
-    await writeFile(join(folder, 'b'), `${text.slice(4).join('\n')}\n{"cut`);
+    await writeFile(join(folder, 'b'), `${texts.slice(4).join('\n')}\n{"cut`);
     await run(folder);
   } finally {
     await rm(folder, {recursive: true});
   }
 }
 
-describe('explain', () => {
-  test('joins a request with what bears on it, in order', async () => {
-    await inFolder(async (folder) => {
+describe('request history', () => {
+  test('returns the lines of a request and related lines, ordered by time', async () => {
+    await withLogFolder(async (folder) => {
       const lines = (await readLogs(folder))._unsafeUnwrap();
       expect(lines).toHaveLength(LINES.length);
-      const history = explain(lines, 'r')._unsafeUnwrap();
+      const history = buildRequestHistory(lines, 'r')._unsafeUnwrap();
       expect(history).toEqual([0, 2, 4, 6, 7].map((at) => LINES[at]));
     });
   });
 
-  test('shows the limits that a refused request was held back by', () => {
-    const lines = explain(REFUSAL, 'r')._unsafeUnwrap();
-    expect(lines).toEqual([0, 1, 3].map((at) => REFUSAL[at]));
+  test('includes the limits of the upstreams that rejected the request', () => {
+    const lines = buildRequestHistory(
+      REJECTED_REQUEST_LINES,
+      'r',
+    )._unsafeUnwrap();
+    expect(lines).toEqual([0, 1, 3].map((at) => REJECTED_REQUEST_LINES[at]));
   });
 
-  test('says that no line names a request', async () => {
-    await inFolder(async (folder) => {
+  test('fails if no line names the request', async () => {
+    await withLogFolder(async (folder) => {
       const lines = (await readLogs(folder))._unsafeUnwrap();
-      const failure = explain(lines, 'x')._unsafeUnwrapErr();
+      const failure = buildRequestHistory(lines, 'x')._unsafeUnwrapErr();
       expect(failure.kind).toBe('no-such-request');
     });
   });
 
-  test('is a command of the tool', async () => {
-    await inFolder(async (folder) => {
+  test('exits with 0 for a known request and 1 for an unknown one', async () => {
+    await withLogFolder(async (folder) => {
       const argv = ['node', 'puffinturn', 'explain', 'r', '--logs', folder];
-      expect(await runTool([...argv, '--json'])).toBe(0);
+      expect(await runCli([...argv, '--json'])).toBe(0);
       expect(
-        await runTool(['node', 'puffinturn', 'explain', 'x', '--logs', folder]),
+        await runCli(['node', 'puffinturn', 'explain', 'x', '--logs', folder]),
       ).toBe(1);
     });
   });
 
-  test('answers a missing folder with a failure', async () => {
+  test('fails if the folder does not exist', async () => {
     const failure = (await readLogs('/nonexistent-folder'))._unsafeUnwrapErr();
     expect(failure.kind).toBe('unreadable');
   });
--- a/packages/puffinturn-cli/src/index.ts
+++ b/packages/puffinturn-cli/src/index.ts
@@ -5,8 +5,8 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The command-line tool, for tests. */
+/** Public API of the command-line tool, for tests. */
+export {runCli} from './Cli';
 export type {Comparison, Difference} from './Comparison';
-export {compareAll, DIFFERENCE} from './Comparison';
+export {compareDeclarations, DIFFERENCE} from './Comparison';
 export {EXIT} from './ExitCodes';
-export {runTool} from './Tool';
--- a/packages/puffinturn-cli/src/main.ts
+++ b/packages/puffinturn-cli/src/main.ts
@@ -7,6 +7,6 @@
  */
 
 /** Entry point of the command-line tool `puffinturn`. */
-import {runTool} from './Tool';
+import {runCli} from './Cli';
 
-process.exitCode = await runTool(process.argv);
+process.exitCode = await runCli(process.argv);
--- a/packages/puffinturn-daemon/src/Box.ts
+++ b/packages/puffinturn-daemon/src/Box.ts
@@ -146,11 +146,11 @@
       leaving: () => this.pools.leavingUpstreamIds(),
       link,
       newIncarnation: parts.newName,
-      onNews: (news) => {
+      onNews: (reply) => {
         this.pools.applyConfig(this.member.config);
-        this.pools.applyHeartbeatReply(news);
+        this.pools.applyHeartbeatReply(reply);
         this.requestQuarantine.applyQuarantine(
-          news.quarantine ?? EMPTY_QUARANTINE,
+          reply.quarantine ?? EMPTY_QUARANTINE,
         );
       },
       timeline,
