--- a/packages/puffinturn-cli/src/__tests__/unit/Cli.test.ts
+++ b/packages/puffinturn-cli/src/__tests__/unit/Cli.test.ts
@@ -44,7 +44,7 @@
   jest.restoreAllMocks();
 });
 
-function runCommand(...args: string[]): Promise<number> {
+function run(...args: string[]): Promise<number> {
   const url = `http://127.0.0.1:${fixture.daemon.operatorPort}`;
   return runCli([
     'node',
@@ -72,12 +72,12 @@
 describe('puffinturn', () => {
   test('diff shows a change, apply makes it, and a second apply changes nothing', async () => {
     const file = await writeBudget(BUDGET);
-    expect(await runCommand('diff', '-f', file)).toBe(EXIT.differs);
-    expect(await runCommand('apply', '-f', file)).toBe(EXIT.ok);
+    expect(await run('diff', '-f', file)).toBe(EXIT.differs);
+    expect(await run('apply', '-f', file)).toBe(EXIT.ok);
     expect(output).toContain('in force from index');
-    expect(await runCommand('apply', '-f', file)).toBe(EXIT.ok);
+    expect(await run('apply', '-f', file)).toBe(EXIT.ok);
     expect(output).toContain('nothing to change');
-    expect(await runCommand('budget', 'second', '--json')).toBe(EXIT.ok);
+    expect(await run('budget', 'second', '--json')).toBe(EXIT.ok);
     expect(output).toContain('"limit": 500');
   });
 
@@ -87,13 +87,13 @@
       number: 1,
       spec: {...BUDGET.spec, limit: 600},
     });
-    expect(await runCommand('apply', '-f', file)).toBe(EXIT.conflict);
+    expect(await run('apply', '-f', file)).toBe(EXIT.conflict);
     expect(output).toContain('tester has made another change 1');
   });
 
   test('check prints the file, path and value of an invalid field', async () => {
     const file = await writeBudget({...BUDGET, spec: {limit: 'many'}});
-    expect(await runCommand('check', '-f', file)).toBe(EXIT.usage);
+    expect(await run('check', '-f', file)).toBe(EXIT.usage);
     expect(output).toContain('budget.json: /spec/limit: found "many"');
   });
 
@@ -104,7 +104,7 @@
     'a drained %s gets no new requests until the drain ends',
     async (...row) => {
       const [kind, name, number] = row;
-      expect(await runCommand('drain', `--${kind}`, name)).toBe(EXIT.ok);
+      expect(await run('drain', `--${kind}`, name)).toBe(EXIT.ok);
       const order = JSON.stringify({order: number});
       await fixture.waitForLatestConfig();
       const rejectedResponse = await fixture.sendCallerRequest(
@@ -113,7 +113,7 @@
       );
       expect(rejectedResponse.status).toBe(503);
       expect(rejectedResponse.headers['puffinturn-outcome']).toBe('not-run');
-      expect(await runCommand('undrain', `--${kind}`, name)).toBe(EXIT.ok);
+      expect(await run('undrain', `--${kind}`, name)).toBe(EXIT.ok);
       await fixture.waitForLatestConfig();
       const served = await fixture.sendCallerRequest(
         '/services/orders/place',
@@ -128,7 +128,7 @@
     const port = fixture.daemon.callerPort;
     const healthStatus = async () =>
       (await fetch(`http://127.0.0.1:${port}/healthz`)).status;
-    expect(await runCommand('drain', '--box', 'box-1')).toBe(EXIT.ok);
+    expect(await run('drain', '--box', 'box-1')).toBe(EXIT.ok);
     await fixture.waitForLatestConfig();
     expect(await healthStatus()).toBe(503);
     const order = JSON.stringify({order: 'T-2'});
@@ -137,19 +137,19 @@
       order,
     );
     expect(served.status).toBe(200);
-    expect(await runCommand('undrain', '--box', 'box-1')).toBe(EXIT.ok);
+    expect(await run('undrain', '--box', 'box-1')).toBe(EXIT.ok);
     await fixture.waitForLatestConfig();
     expect(await healthStatus()).toBe(200);
   });
 
   test('status, get and timeline succeed, and invalid arguments fail', async () => {
-    expect(await runCommand('status')).toBe(EXIT.ok);
+    expect(await run('status')).toBe(EXIT.ok);
     expect(output).toContain('leader');
-    expect(await runCommand('get', 'pool')).toBe(EXIT.ok);
-    expect(await runCommand('timeline', '--box', 'box-1')).toBe(EXIT.ok);
-    expect(await runCommand('drain')).toBe(EXIT.usage);
+    expect(await run('get', 'pool')).toBe(EXIT.ok);
+    expect(await run('timeline', '--box', 'box-1')).toBe(EXIT.ok);
+    expect(await run('drain')).toBe(EXIT.usage);
     const twoTargets = ['--hall', 'hall-1', '--box', 'box-1'];
-    expect(await runCommand('drain', ...twoTargets)).toBe(EXIT.usage);
-    expect(await runCommand('no-such-command')).toBe(EXIT.usage);
+    expect(await run('drain', ...twoTargets)).toBe(EXIT.usage);
+    expect(await run('no-such-command')).toBe(EXIT.usage);
   });
 });
--- a/packages/puffinturn-daemon/src/Daemon.ts
+++ b/packages/puffinturn-daemon/src/Daemon.ts
@@ -215,7 +215,7 @@
 }
 
 /** Waits until a daemon accepts requests; fails with `not-ready` on timeout. */
-export function waitUntilReady(
+export function waitReady(
   daemon: Daemon,
   timeoutMs: number,
 ): ResultAsync<void, StartFailure> {
--- a/packages/puffinturn-daemon/src/__tests__/utils/DaemonFixture.ts
+++ b/packages/puffinturn-daemon/src/__tests__/utils/DaemonFixture.ts
@@ -21,7 +21,7 @@
 import {digestBytes, invariant} from 'shared';
 import {request} from 'undici';
 
-import {createLogger, Daemon, waitUntilReady} from '../../index';
+import {Daemon, makeLog, waitReady} from '../../index';
 
 export const TEAM_KEY = 'team-key';
 export const OPERATOR_KEY = 'operator-key';
@@ -99,14 +99,11 @@
       'settings',
     );
     invariant(settings.isOk(), 'the settings must be valid');
-    const daemon = await Daemon.start(
-      settings.value,
-      createLogger(settings.value),
-    );
+    const daemon = await Daemon.start(settings.value, makeLog(settings.value));
     invariant(daemon.isOk(), 'the daemon must start');
     const fixture = new DaemonFixture(daemon.value, engine, service, folder);
     await fixture.declareAll(budgetLimit);
-    const ready = await waitUntilReady(daemon.value, 20_000);
+    const ready = await waitReady(daemon.value, 20_000);
     invariant(ready.isOk(), 'the box must become ready');
     await fixture.waitForLatestConfig();
     return fixture;
--- a/packages/puffinturn-daemon/src/index.ts
+++ b/packages/puffinturn-daemon/src/index.ts
@@ -9,7 +9,7 @@
 export type {BoxBreakage, BoxParts, FleetPlace} from './Box';
 export {Box} from './Box';
 export type {StartFailure} from './Daemon';
-export {Daemon, waitUntilReady} from './Daemon';
-export {createLogger} from './Logging';
+export {Daemon, waitReady} from './Daemon';
+export {makeLog} from './Logging';
 export type {FleetStatus, OperatorFailure} from './OperatorApi';
 export {OperatorApi} from './OperatorApi';
