--- a/packages/puffinturn-bench/src/BudgetsBench.ts
+++ b/packages/puffinturn-bench/src/BudgetsBench.ts
@@ -6,9 +6,8 @@
  */
 
 /**
- * `bench -- budgets`: two regions of real boxes in virtual time spend one
- * budget to its end, with ours and with a fixed equal share that refuses at
- * once.
+ * `bench -- budgets`: two regions use up one budget in virtual time. Compares
+ * the adaptive split between regions with a fixed equal split and no queueing.
  */
 import type {FleetOptions} from 'puffinturn-fuzz';
 import {
@@ -21,38 +20,38 @@
 import type {RegionSupply} from 'puffinturn-ledger';
 import {invariant, Random} from 'shared';
 
-/** Figures of one way in one situation. */
+/** Results of one way to split the budget in one situation. */
 export interface BudgetRow {
   readonly situation: string;
   readonly way: string;
   readonly asked: number;
   readonly served: number;
-  /** Refused for the budget although it had units left in any region. */
+  /** Rejected for the budget although a region had enough units left. */
   readonly falseRefusals: number;
-  /** Refused for the budget when nothing was left. */
+  /** Rejected for the budget when too few units were left. */
   readonly rightRefusals: number;
-  /** Refused for another reason. */
+  /** Rejected or failed for another reason. */
   readonly otherRefusals: number;
   /** Units settled above the limit; must be 0. */
   readonly overspent: number;
-  /** Units of the limit that were never spent. */
+  /** Units of the limit left unsettled at the end. */
   readonly unspent: number;
 }
 
 interface Situation {
   readonly name: string;
-  /** Share of the demand in the region that is not the home, by progress. */
+  /** Share of requests outside the home region, by progress from 0 to 1. */
   readonly remoteShare: (progress: number) => number;
-  /** Regions are apart between these shares of the run. */
-  readonly apart?: readonly [number, number];
+  /** Start and end of a network partition, as shares of the run. */
+  readonly partitionedDuring?: readonly [number, number];
 }
 
-const LIMIT = 12_000;
-const REQUESTS = 750;
-const EVERY_MS = 80;
+const BUDGET_LIMIT = 12_000;
+const REQUEST_COUNT = 750;
+const REQUEST_INTERVAL_MS = 80;
 const SETTLE_MS = 20_000;
-const NORTH = ['n1', 'n2', 'n3', 'n4'];
-const SOUTH = ['s1', 's2', 's3'];
+const NORTH_BOXES = ['n1', 'n2', 'n3', 'n4'];
+const SOUTH_BOXES = ['s1', 's2', 's3'];
 
 const SITUATIONS: readonly Situation[] = [
   {name: 'even demand', remoteShare: () => 0.5},
@@ -62,38 +61,41 @@
     remoteShare: (progress) => (progress < 0.5 ? 0.1 : 0.9),
   },
   {
-    apart: [0.3, 0.6],
+    partitionedDuring: [0.3, 0.6],
     name: 'apart for a third, 70% away',
     remoteShare: () => 0.7,
   },
   {
-    apart: [0.3, 1],
+    partitionedDuring: [0.3, 1],
     name: 'apart to the end, 70% away',
     remoteShare: () => 0.7,
   },
 ];
 
-/** Half goes abroad once and never moves again. */
-function fixedShare(): (home: RegionSupply, other: RegionSupply) => number {
-  let given = false;
+/** Grants half of the budget to the other region once. */
+function createFixedSplit(): (
+  home: RegionSupply,
+  other: RegionSupply,
+) => number {
+  let hasTransferred = false;
   return (home, other) => {
-    if (given) {
+    if (hasTransferred) {
       return other.available;
     }
-    given = home.available > 0;
+    hasTransferred = home.available > 0;
     return Math.floor((home.available + other.available) / 2);
   };
 }
 
-/** Runs every situation with ours and with the baseline. */
+/** Runs every situation with the adaptive split and with the baseline. */
 export async function benchBudgets(seed: number): Promise<BudgetRow[]> {
   const rows: BudgetRow[] = [];
   for (const situation of SITUATIONS) {
-    rows.push(await measure(seed, situation, 'ours', {}));
+    rows.push(await runSituation(seed, situation, 'ours', {}));
     rows.push(
-      await measure(seed, situation, 'fixed equal share', {
+      await runSituation(seed, situation, 'fixed equal share', {
         disableAdmissionQueue: true,
-        computeGrantTarget: fixedShare(),
+        computeGrantTarget: createFixedSplit(),
       }),
     );
   }
@@ -107,7 +109,7 @@
   otherRefusals: number;
 }
 
-async function measure(
+async function runSituation(
   seed: number,
   situation: Situation,
   way: string,
@@ -115,7 +117,7 @@
 ): Promise<BudgetRow> {
   await using fleet = new FuzzFleet(seed, options);
   await fleet.startAll();
-  for (const declaration of firstDeclarations(LIMIT)) {
+  for (const declaration of firstDeclarations(BUDGET_LIMIT)) {
     const reply = await fleet.drive(fleet.declare('n1', declaration, 'bench'));
     invariant(reply?.isOk(), `${declaration.name} must be accepted`);
   }
@@ -127,64 +129,65 @@
     rightRefusals: 0,
     served: 0,
   };
-  const open: Promise<void>[] = [];
-  for (let at = 0; at < REQUESTS; at += 1) {
-    const progress = at / REQUESTS;
-    const [from = 2, until = 2] = situation.apart ?? [];
+  const pending: Promise<void>[] = [];
+  for (let index = 0; index < REQUEST_COUNT; index += 1) {
+    const progress = index / REQUEST_COUNT;
+    const [from = 2, until = 2] = situation.partitionedDuring ?? [];
     if (progress >= from && progress < until) {
-      fleet.network.partition(NORTH, SOUTH);
+      fleet.network.partition(NORTH_BOXES, SOUTH_BOXES);
     } else {
       fleet.network.heal();
     }
-    const remote = random.fraction() < situation.remoteShare(progress);
-    const box = random.pick(remote ? SOUTH : NORTH) ?? '';
-    open.push(ask(fleet, box, at, tally));
-    await fleet.clock.advance(EVERY_MS);
+    const isRemote = random.fraction() < situation.remoteShare(progress);
+    const box = random.pick(isRemote ? SOUTH_BOXES : NORTH_BOXES) ?? '';
+    pending.push(sendRequest(fleet, box, index, tally));
+    await fleet.clock.advance(REQUEST_INTERVAL_MS);
   }
-  await fleet.drive(Promise.all(open));
+  await fleet.drive(Promise.all(pending));
   fleet.network.heal();
   await fleet.clock.advance(SETTLE_MS);
-  const spent = settledIn(fleet);
+  const settled = totalSettled(fleet);
   return {
-    asked: REQUESTS,
+    asked: REQUEST_COUNT,
     ...tally,
-    overspent: Math.max(0, spent - LIMIT),
+    overspent: Math.max(0, settled - BUDGET_LIMIT),
     situation: situation.name,
-    unspent: Math.max(0, LIMIT - spent),
+    unspent: Math.max(0, BUDGET_LIMIT - settled),
     way,
   };
 }
 
-async function ask(
+async function sendRequest(
   fleet: FuzzFleet,
   box: string,
-  at: number,
+  index: number,
   tally: Tally,
 ): Promise<void> {
-  const life = fleet.lives.get(box)?.box;
-  const request = life && callerRequest(life.member, 'unkeyed', `r${at}`);
-  if (life === undefined || request === undefined) {
+  const liveBox = fleet.lives.get(box)?.box;
+  const request =
+    liveBox && callerRequest(liveBox.member, 'unkeyed', `r${index}`);
+  if (liveBox === undefined || request === undefined) {
     tally.otherRefusals += 1;
     return;
   }
-  const handled = await life.gateway.handle(request);
+  const handled = await liveBox.gateway.handle(request);
   if (handled.isOk()) {
     const {response} = handled.value;
     using reader = response.createReader();
     while ((await reader.readAvailable()).length > 0);
-    const whole = response.end?.kind === 'whole';
-    tally.served += whole ? 1 : 0;
-    tally.otherRefusals += whole ? 0 : 1;
+    const isComplete = response.end?.kind === 'whole';
+    tally.served += isComplete ? 1 : 0;
+    tally.otherRefusals += isComplete ? 0 : 1;
   } else if (handled.error.kind !== 'budget_exhausted') {
     tally.otherRefusals += 1;
-  } else if (LIMIT - settledIn(fleet) >= FIRST_PRICE) {
+  } else if (BUDGET_LIMIT - totalSettled(fleet) >= FIRST_PRICE) {
     tally.falseRefusals += 1;
   } else {
     tally.rightRefusals += 1;
   }
 }
 
-function settledIn(fleet: FuzzFleet): number {
+function totalSettled(fleet: FuzzFleet): number {
   return ['north', 'south'].reduce(
     (sum, region) =>
       sum + (fleet.newestLedger(region)?.budgets.get(BUDGET)?.settled ?? 0),
--- a/packages/puffinturn-bench/src/EdgeBench.ts
+++ b/packages/puffinturn-bench/src/EdgeBench.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** `bench -- edge`: processor time that requests cost an edge process. */
+/** `bench -- edge`: CPU time per request of an edge process. */
 import type {ChildProcess} from 'node:child_process';
 import {spawn} from 'node:child_process';
 import {readFile} from 'node:fs/promises';
@@ -28,105 +28,114 @@
   STREAM_SERVICE,
   TOKENS_HEADER,
 } from './EdgeProcess';
+import {LatencyHistogram, roundHundredths} from './LatencyHistogram';
 import type {PathRow} from './PathBench';
-import {freePorts, pause} from './ProcessFleet';
-import {Quantiles, roundHundredths} from './Quantiles';
+import {findFreePorts, sleep} from './ProcessFleet';
 
-/** Processor time of a process, ms. */
-interface ProcessorTime {
+/** CPU time of a process, ms. */
+interface CpuTime {
   readonly userMs: number;
   readonly systemMs: number;
 }
 
-/** What one load took. */
-interface LoadFigures {
-  readonly count: number;
-  readonly used: ProcessorTime;
-  readonly seconds: number;
-  readonly first: Quantiles;
-  readonly memoryMb: number;
+/** Results of one load. */
+interface LoadResult {
+  readonly requestCount: number;
+  readonly cpuTime: CpuTime;
+  readonly elapsedSeconds: number;
+  readonly timeToFirstByte: LatencyHistogram;
+  readonly residentMemoryMb: number;
 }
 
-/** Node's options for an edge, as the edges of an installation have them. */
-const EDGE_OPTIONS = [
+/** Node.js options, as in a deployed edge. */
+const EDGE_NODE_OPTIONS = [
   '--max-lazy',
   '--max-old-space-size=160',
   '--max-semi-space-size=2',
 ];
 
 const HOST = '127.0.0.1';
-const UPSTREAMS = 4;
-const CALLERS = 40;
-const EVENTS = 30;
-const EVENT_PAUSE_MS = 5;
-/** Time for the compiler to settle; streams come at some 200 a second. */
-const WARM_SECONDS = 5;
-const READY_POLL_MS = 50;
-/** One tick of `/proc/PID/stat`, ms. */
-const TICK_MS = 10;
-const PAGE_KB = 4;
-const END_OF_CHUNKS = '0\r\n\r\n';
+const UPSTREAMS_PER_SERVICE = 4;
+const CONCURRENT_CALLERS = 40;
+const EVENTS_PER_STREAM = 30;
+const EVENT_INTERVAL_MS = 5;
+/** Time for the JIT compiler to optimize hot code. */
+const WARM_UP_SECONDS = 5;
+const READY_POLL_INTERVAL_MS = 50;
+/** Unit of the CPU times in `/proc/PID/stat`. */
+const CLOCK_TICK_MS = 10;
+const PAGE_SIZE_KB = 4;
+const FINAL_CHUNK = '0\r\n\r\n';
 
-/** Runs all measurements of one edge. */
+/** Measures an edge when idle, with streams and with plain requests. */
 export async function benchEdge(seconds: number): Promise<PathRow[]> {
-  await using upstreams = await EdgeUpstreams.open();
-  await using edge = await MeasuredEdge.open(upstreams.all);
-  const idle = await edge.measure(() => pause(seconds * 1_000));
-  await edge.load(STREAM_SERVICE, WARM_SECONDS);
-  await edge.load(PLAIN_SERVICE, WARM_SECONDS);
-  const streams = await edge.load(STREAM_SERVICE, seconds);
-  const plain = await edge.load(PLAIN_SERVICE, seconds);
+  await using servers = await UpstreamServers.open();
+  await using edge = await EdgeUnderTest.open(servers.upstreams);
+  const idleCpuTime = await edge.measureCpuTime(() => sleep(seconds * 1_000));
+  await edge.runLoad(STREAM_SERVICE, WARM_UP_SECONDS);
+  await edge.runLoad(PLAIN_SERVICE, WARM_UP_SECONDS);
+  const streamResult = await edge.runLoad(STREAM_SERVICE, seconds);
+  const plainResult = await edge.runLoad(PLAIN_SERVICE, seconds);
   return [
-    rowOf(`edge: processor time a stream of ${EVENTS} events, ms`, streams),
-    rowOf('edge: processor time a plain request, ms', plain),
+    toRow(
+      `edge: processor time a stream of ${EVENTS_PER_STREAM} events, ms`,
+      streamResult,
+    ),
+    toRow('edge: processor time a plain request, ms', plainResult),
     {
       added: 'no caller, no control box',
-      box: roundHundredths(totalMs(idle) / seconds),
+      box: roundHundredths(totalCpuMs(idleCpuTime) / seconds),
       direct: '',
       measure: 'edge: processor time an idle second, ms',
     },
   ];
 }
 
-function rowOf(measure: string, figures: LoadFigures): PathRow {
-  const {count, first, memoryMb, seconds, used} = figures;
-  const rate = Math.round(count / seconds);
-  const system = roundHundredths(used.systemMs / count);
-  const p50 = roundHundredths(first.at(50));
-  const p99 = roundHundredths(first.at(99));
+function toRow(measure: string, result: LoadResult): PathRow {
+  const {
+    requestCount,
+    timeToFirstByte,
+    residentMemoryMb,
+    elapsedSeconds,
+    cpuTime,
+  } = result;
+  const requestsPerSecond = Math.round(requestCount / elapsedSeconds);
+  const systemMsPerRequest = roundHundredths(cpuTime.systemMs / requestCount);
+  const p50 = roundHundredths(timeToFirstByte.percentile(50));
+  const p99 = roundHundredths(timeToFirstByte.percentile(99));
   return {
-    added: `${system} of it in the system, ${rate}/s, first byte p50 ${p50} p99 ${p99} ms, ${memoryMb} MB`,
-    box: Math.round((1_000 * totalMs(used)) / count) / 1_000,
+    added: `${systemMsPerRequest} of it in the system, ${requestsPerSecond}/s, first byte p50 ${p50} p99 ${p99} ms, ${residentMemoryMb} MB`,
+    box: Math.round((1_000 * totalCpuMs(cpuTime)) / requestCount) / 1_000,
     direct: '',
     measure,
   };
 }
 
-function totalMs({systemMs, userMs}: ProcessorTime): number {
+function totalCpuMs({systemMs, userMs}: CpuTime): number {
   return systemMs + userMs;
 }
 
-/** Upstreams of both services, in this process. */
-class EdgeUpstreams implements AsyncDisposable {
+/** HTTP servers of the upstreams of both services, in this process. */
+class UpstreamServers implements AsyncDisposable {
   private constructor(
     private readonly servers: readonly Server[],
-    readonly all: readonly EdgeProcessUpstream[],
+    readonly upstreams: readonly EdgeProcessUpstream[],
   ) {}
 
-  static async open(): Promise<EdgeUpstreams> {
+  static async open(): Promise<UpstreamServers> {
     const servers: Server[] = [];
-    const all: EdgeProcessUpstream[] = [];
+    const upstreams: EdgeProcessUpstream[] = [];
     for (const service of [STREAM_SERVICE, PLAIN_SERVICE]) {
-      for (let number = 1; number <= UPSTREAMS; number += 1) {
-        const server = serverOf(service);
+      for (let number = 1; number <= UPSTREAMS_PER_SERVICE; number += 1) {
+        const server = createUpstreamServer(service);
         await new Promise<void>((resolve) => server.listen(0, HOST, resolve));
         const {port} = server.address() as AddressInfo;
         const id = `${service}-${number}`;
         servers.push(server);
-        all.push({address: `${HOST}:${port}`, id, service});
+        upstreams.push({address: `${HOST}:${port}`, id, service});
       }
     }
-    return new EdgeUpstreams(servers, all);
+    return new UpstreamServers(servers, upstreams);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -137,7 +146,7 @@
   }
 }
 
-function serverOf(service: string): Server {
+function createUpstreamServer(service: string): Server {
   const server = createServer((incoming, response) => {
     incoming.resume();
     const {requestId, seal} = BENCH_HEADERS;
@@ -148,22 +157,22 @@
       return;
     }
     response.setHeader('Content-Type', 'text/event-stream');
-    let event = 0;
+    let eventCount = 0;
     const timer = setInterval(() => {
-      event += 1;
-      response.write(`id: ${event}\ndata: event ${event}\n\n`);
-      if (event === EVENTS) {
+      eventCount += 1;
+      response.write(`id: ${eventCount}\ndata: event ${eventCount}\n\n`);
+      if (eventCount === EVENTS_PER_STREAM) {
         clearInterval(timer);
         response.end();
       }
-    }, EVENT_PAUSE_MS);
+    }, EVENT_INTERVAL_MS);
     response.once('close', () => clearInterval(timer));
   });
   return server;
 }
 
-/** An edge process under measurement. Disposing it ends the process. */
-class MeasuredEdge implements AsyncDisposable {
+/** The edge process that is measured. Disposing it stops the process. */
+class EdgeUnderTest implements AsyncDisposable {
   private constructor(
     private readonly child: ChildProcess,
     private readonly port: number,
@@ -171,8 +180,9 @@
 
   static async open(
     upstreams: readonly EdgeProcessUpstream[],
-  ): Promise<MeasuredEdge> {
-    const [callerPort = 0, readyPort = 0, metricsPort = 0] = await freePorts(3);
+  ): Promise<EdgeUnderTest> {
+    const [callerPort = 0, readyPort = 0, metricsPort = 0] =
+      await findFreePorts(3);
     const settings: EdgeProcessSettings = {
       callerPort,
       metricsPort,
@@ -180,49 +190,58 @@
       upstreams,
     };
     const program = process.argv[1] ?? '';
-    // Options of this process, such as a profiler's, hold for the edge too.
-    const options = [...process.execArgv, ...EDGE_OPTIONS];
+    // Node.js options of this process, such as --prof, apply to the edge too.
+    const options = [...process.execArgv, ...EDGE_NODE_OPTIONS];
     const child = spawn(
       process.execPath,
       [...options, program, 'edge-process', JSON.stringify(settings)],
       {stdio: ['ignore', 'ignore', 'inherit', 'ipc']},
     );
     while (!(await isListening(readyPort))) {
-      invariant(child.exitCode === null, 'the edge process runs');
-      await pause(READY_POLL_MS);
+      invariant(
+        child.exitCode === null,
+        `the edge process exited with code ${child.exitCode}`,
+      );
+      await sleep(READY_POLL_INTERVAL_MS);
     }
-    return new MeasuredEdge(child, callerPort);
+    return new EdgeUnderTest(child, callerPort);
   }
 
-  /** Processor time of the edge while `work` runs, ms. */
-  async measure(work: () => Promise<void>): Promise<ProcessorTime> {
-    const before = await this.used();
+  /** Returns the CPU time that the edge uses while `work` runs. */
+  async measureCpuTime(work: () => Promise<void>): Promise<CpuTime> {
+    const before = await this.readCpuTime();
     await work();
-    const after = await this.used();
+    const after = await this.readCpuTime();
     return {
       systemMs: after.systemMs - before.systemMs,
       userMs: after.userMs - before.userMs,
     };
   }
 
-  /** Callers, each request on a connection of its own, for some seconds. */
-  async load(service: string, seconds: number): Promise<LoadFigures> {
-    const first = new Quantiles();
-    const began = performance.now();
-    const end = began + seconds * 1_000;
-    let count = 0;
-    const caller = async (): Promise<void> => {
-      while (performance.now() < end) {
-        await askOnce(this.port, service, first);
-        count += 1;
+  /** Runs concurrent callers; every request uses a new connection. */
+  async runLoad(service: string, seconds: number): Promise<LoadResult> {
+    const timeToFirstByte = new LatencyHistogram();
+    const startedAt = performance.now();
+    const endsAt = startedAt + seconds * 1_000;
+    let requestCount = 0;
+    const runCaller = async (): Promise<void> => {
+      while (performance.now() < endsAt) {
+        await sendRequest(this.port, service, timeToFirstByte);
+        requestCount += 1;
       }
     };
-    const used = await this.measure(async () => {
-      await Promise.all(Array.from({length: CALLERS}, caller));
+    const cpuTime = await this.measureCpuTime(async () => {
+      await Promise.all(Array.from({length: CONCURRENT_CALLERS}, runCaller));
     });
-    const took = (performance.now() - began) / 1_000;
-    const memoryMb = await this.memoryMb();
-    return {count, first, memoryMb, seconds: took, used};
+    const elapsedSeconds = (performance.now() - startedAt) / 1_000;
+    const residentMemoryMb = await this.readResidentMemoryMb();
+    return {
+      requestCount,
+      timeToFirstByte,
+      residentMemoryMb,
+      elapsedSeconds,
+      cpuTime,
+    };
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -231,78 +250,80 @@
     await exited;
   }
 
-  /** Time since the start of the process. */
-  private async used(): Promise<ProcessorTime> {
+  /** Returns the CPU time used since the start of the process. */
+  private async readCpuTime(): Promise<CpuTime> {
     const stat = await readFile(`/proc/${this.child.pid}/stat`, 'utf8');
-    // The fields after the name, which may hold spaces, begin with the state.
+    // Skips the process name, which may contain spaces.
     const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
     return {
-      systemMs: Number(fields[12]) * TICK_MS,
-      userMs: Number(fields[11]) * TICK_MS,
+      systemMs: Number(fields[12]) * CLOCK_TICK_MS,
+      userMs: Number(fields[11]) * CLOCK_TICK_MS,
     };
   }
 
-  private async memoryMb(): Promise<number> {
+  private async readResidentMemoryMb(): Promise<number> {
     const statm = await readFile(`/proc/${this.child.pid}/statm`, 'utf8');
-    return Math.round((Number(statm.split(' ')[1]) * PAGE_KB) / 1_024);
+    return Math.round((Number(statm.split(' ')[1]) * PAGE_SIZE_KB) / 1_024);
   }
 }
 
 async function isListening(port: number): Promise<boolean> {
   try {
-    const answer = await request(`http://${HOST}:${port}${READY_PATH}`);
-    await answer.body.dump();
+    const response = await request(`http://${HOST}:${port}${READY_PATH}`);
+    await response.body.dump();
     return true;
   } catch {
     return false;
   }
 }
 
-let asked = 0;
+let sentRequestCount = 0;
 
-/** One request on a new connection; fails unless the answer is whole. */
-function askOnce(
+/** Sends one request on a new connection; rejects an incomplete response. */
+function sendRequest(
   port: number,
   service: string,
-  first: Quantiles,
+  timeToFirstByte: LatencyHistogram,
 ): Promise<void> {
-  asked += 1;
-  const began = performance.now();
-  const head = headOf(service, `r-${asked}`);
+  sentRequestCount += 1;
+  const startedAt = performance.now();
+  const requestText = buildRequestText(service, `r-${sentRequestCount}`);
   return new Promise((resolve, reject) => {
-    let text = '';
+    let received = '';
     const socket = connect({host: HOST, noDelay: true, port}, () => {
-      socket.write(head);
+      socket.write(requestText);
     });
     socket.setEncoding('latin1');
-    socket.once('data', () => first.add(performance.now() - began));
+    socket.once('data', () =>
+      timeToFirstByte.record(performance.now() - startedAt),
+    );
     socket.on('data', (chunk: string) => {
-      text += chunk;
-      if (isWhole(text)) {
+      received += chunk;
+      if (isCompleteResponse(received)) {
         socket.end();
       }
     });
     socket.once('error', reject);
     socket.once('close', () => {
-      if (isWhole(text)) {
+      if (isCompleteResponse(received)) {
         resolve();
       } else {
-        reject(new Error(`an answer that is not whole: ${text}`));
+        reject(new Error(`incomplete response: ${received}`));
       }
     });
   });
 }
 
-function isWhole(text: string): boolean {
+function isCompleteResponse(received: string): boolean {
   return (
-    text.startsWith('HTTP/1.1 200') &&
-    (text.endsWith(END_OF_CHUNKS) || text.endsWith('plain answer'))
+    received.startsWith('HTTP/1.1 200') &&
+    (received.endsWith(FINAL_CHUNK) || received.endsWith('plain answer'))
   );
 }
 
-function headOf(service: string, id: string): string {
+function buildRequestText(service: string, id: string): string {
   const body = 'a prompt';
-  const session = asked % 50;
+  const sessionNumber = sentRequestCount % 50;
   const lines = [
     `POST /${service}/1?q=2 HTTP/1.1`,
     `Host: ${BENCH_HOST}`,
@@ -310,7 +331,10 @@
     `${BENCH_HEADERS.credential}: ${BENCH_KEY}`,
     `${BENCH_HEADERS.deadline}: 20000`,
     ...(service === STREAM_SERVICE
-      ? [`${PARTS_HEADER}: aa:600,${session}:300`, `${TOKENS_HEADER}: 900,30`]
+      ? [
+          `${PARTS_HEADER}: aa:600,${sessionNumber}:300`,
+          `${TOKENS_HEADER}: 900,30`,
+        ]
       : []),
     `Content-Length: ${body.length}`,
   ];
--- a/packages/puffinturn-bench/src/EdgeProcess.ts
+++ b/packages/puffinturn-bench/src/EdgeProcess.ts
@@ -6,9 +6,9 @@
  */
 
 /**
- * One edge as a process of its own, with a protocol and a configuration for
- * measurements. No control box exists: the configuration and the upstreams are
- * given at the start, so nothing but requests costs processor time.
+ * Runs one edge as a process for measurements. The configuration and the
+ * upstreams are fixed at the start. There is no control box, so that only
+ * requests use CPU time.
  */
 import {JsonDecisionLog} from 'puffinturn-decisions';
 import type {PromptPart, TokenCounts} from 'puffinturn-edge';
@@ -28,7 +28,7 @@
 import {MemoryNetwork} from 'puffinturn-wire';
 import {invariant, Random, SystemClock} from 'shared';
 
-/** What the process is told on its command line, as JSON. */
+/** Settings of the process, passed as JSON on the command line. */
 export interface EdgeProcessSettings {
   readonly callerPort: number;
   readonly readyPort: number;
@@ -36,29 +36,29 @@
   readonly upstreams: readonly EdgeProcessUpstream[];
 }
 
-/** One upstream of the edge. */
+/** Address and service of an upstream. */
 export interface EdgeProcessUpstream {
   readonly id: string;
   readonly service: string;
   readonly address: string;
 }
 
-/** The host of all routes. */
+/** Host name of all routes. */
 export const BENCH_HOST = 'bench.example';
 
-/** The key of the one team. */
+/** API key of the only team. */
 export const BENCH_KEY = 'bench-key';
 
-/** The service, and route, of streams. */
+/** Name of the service and route for event streams. */
 export const STREAM_SERVICE = 'stream';
 
-/** The service, and route, of plain answers. */
+/** Name of the service and route for plain responses. */
 export const PLAIN_SERVICE = 'plain';
 
-/** Where the edge says whether it is ready. */
+/** Path of the readiness endpoint. */
 export const READY_PATH = '/ready';
 
-/** Names of headers in measurements. */
+/** Header names of the benchmark protocol. */
 export const BENCH_HEADERS = {
   deadline: 'x-deadline',
   expectedUpstream: 'x-upstream',
@@ -76,19 +76,19 @@
   team: 'x-team',
 } as const;
 
-/** The header with the parts of a prompt. */
+/** Header that lists the prompt parts as `ID:TOKENS`, separated by commas. */
 export const PARTS_HEADER = 'x-parts';
 
-/** The header with the tokens of a request. */
+/** Header with the prompt tokens and maximum completion tokens. */
 export const TOKENS_HEADER = 'x-tokens';
 
 const HOST = '127.0.0.1';
 const HALL = 'hall-1';
-const SLOTS = 200;
-const LINES_PER_SECOND = 60;
-const SUCCESS_SAMPLE = 20;
+const SLOTS_PER_UPSTREAM = 200;
+const MAX_LOG_LINES_PER_SECOND = 60;
+const SUCCESS_SAMPLE_INTERVAL = 20;
 
-/** Requests like those of a model engine: parts of a prompt, tokens in and out. */
+/** Reads prompt parts and token counts from headers. */
 class BenchProtocol extends CallerProtocol {
   override readonly headers = BENCH_HEADERS;
 
@@ -121,9 +121,9 @@
   }
 }
 
-/** Serves until the process that started it goes away. */
-export async function runEdgeProcess(text: string): Promise<void> {
-  const settings = JSON.parse(text) as EdgeProcessSettings;
+/** Runs the edge until the parent process disconnects. */
+export async function runEdgeProcess(settingsJson: string): Promise<void> {
+  const settings = JSON.parse(settingsJson) as EdgeProcessSettings;
   const clock = new SystemClock();
   const random = new Random(1);
   const edge = await Edge.open({
@@ -134,9 +134,9 @@
     link: new MemoryNetwork(clock, random).connect('edge'),
     log: new JsonDecisionLog({
       box: 'edge',
-      linesPerSecond: LINES_PER_SECOND,
+      linesPerSecond: MAX_LOG_LINES_PER_SECOND,
       now: () => clock.now(),
-      successSample: SUCCESS_SAMPLE,
+      successSample: SUCCESS_SAMPLE_INTERVAL,
     }),
     metricsAddress: {host: HOST, path: '/metrics', port: settings.metricsPort},
     random,
@@ -146,17 +146,20 @@
     seeds: () => [],
     self: {box: 'edge', hall: HALL, incarnation: '1', role: BOX_ROLE.edge},
   });
-  invariant(edge.isOk(), 'the ports are free');
-  edge.value.applyConfiguration(configuration(), 'bench');
-  edge.value.pool.merge(settings.upstreams.map(recordOf), 'bench');
+  invariant(
+    edge.isOk(),
+    'could not open the edge on its caller, metrics and readiness ports',
+  );
+  edge.value.applyConfiguration(buildConfiguration(), 'bench');
+  edge.value.pool.merge(settings.upstreams.map(toUpstreamRecord), 'bench');
   await new Promise((resolve) => process.once('disconnect', resolve));
 }
 
-function configuration(): FleetConfiguration {
+function buildConfiguration(): FleetConfiguration {
   const engine = {
     copyMsPerToken: undefined,
     memoryTokens: 1_000_000,
-    slots: SLOTS,
+    slots: SLOTS_PER_UPSTREAM,
     tokensPerEvent: 1,
   };
   return {
@@ -166,10 +169,13 @@
       maxBodyBytes: 1_000_000,
       maxHeaderBytes: 16_384,
     },
-    routes: [routeOf(STREAM_SERVICE, true), routeOf(PLAIN_SERVICE, false)],
+    routes: [
+      buildRoute(STREAM_SERVICE, true),
+      buildRoute(PLAIN_SERVICE, false),
+    ],
     services: [
-      serviceOf(STREAM_SERVICE, engine),
-      serviceOf(PLAIN_SERVICE, undefined),
+      buildService(STREAM_SERVICE, engine),
+      buildService(PLAIN_SERVICE, undefined),
     ],
     teams: [
       {keys: [BENCH_KEY], name: 't', prepaidTokens: undefined, priority: 0},
@@ -178,7 +184,7 @@
   };
 }
 
-function routeOf(name: string, streams: boolean): Route {
+function buildRoute(name: string, streams: boolean): Route {
   return {
     anonymous: false,
     host: BENCH_HOST,
@@ -194,11 +200,15 @@
   };
 }
 
-function serviceOf(name: string, engine: Service['engine']): Service {
-  return {engine, maxConnections: SLOTS, name};
+function buildService(name: string, engine: Service['engine']): Service {
+  return {engine, maxConnections: SLOTS_PER_UPSTREAM, name};
 }
 
-function recordOf({address, id, service}: EdgeProcessUpstream): UpstreamRecord {
+function toUpstreamRecord({
+  address,
+  id,
+  service,
+}: EdgeProcessUpstream): UpstreamRecord {
   return {
     address,
     coldMs: 0,
@@ -206,7 +216,7 @@
     id,
     sequence: 1,
     service,
-    slots: SLOTS,
+    slots: SLOTS_PER_UPSTREAM,
     state: UPSTREAM_STATE.ready,
   };
 }
--- a/packages/puffinturn-bench/src/FaultsBench.ts
+++ b/packages/puffinturn-bench/src/FaultsBench.ts
@@ -5,34 +5,35 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** `bench -- faults`: how long a fleet of processes cannot admit. */
+/** `bench -- faults`: time without admissions after an injected fault. */
 import {Engine} from 'puffinturn-stand-in';
 
-import {placeOrder} from './Load';
-import type {BoxPlan, BoxProcess} from './ProcessFleet';
-import {pause, ProcessFleet} from './ProcessFleet';
-import {Quantiles} from './Quantiles';
+import {LatencyHistogram} from './LatencyHistogram';
+import {placeOrder} from './LoadGenerator';
+import type {BoxProcess, BoxSpec} from './ProcessFleet';
+import {ProcessFleet, sleep} from './ProcessFleet';
 
-/** Figures of one kind of fault. */
+/** Results for one kind of fault. */
 export interface FaultRow {
   readonly fault: string;
   readonly runs: number;
-  /** Longest time between two orders that ran, ms. */
+  /** Longest time between two executed orders of a run, ms. */
   readonly gapP50: number;
   readonly gapMax: number;
   readonly orders: number;
-  /** Orders refused as not run although the budget had room. */
+  /** Orders rejected without execution although the budget had units left. */
   readonly refused: number;
+  /** Orders whose outcome the caller did not learn. */
   readonly unknown: number;
-  /** Orders that ran twice; must be 0. */
+  /** Orders executed more than once; must be 0. */
   readonly doubled: number;
   /** Units charged above the limit; must be 0. */
   readonly overspent: number;
-  /** Units charged for other than orders that ran or are unknown. */
+  /** Units charged without an execution, or not charged despite one. */
   readonly misbilled: number;
 }
 
-const PLANS: readonly BoxPlan[] = [
+const BOX_SPECS: readonly BoxSpec[] = [
   {control: true, hall: 'hall-1', name: 'c1', region: 'north'},
   {control: true, hall: 'hall-2', name: 'c2', region: 'north'},
   {control: true, hall: 'hall-3', name: 'c3', region: 'north'},
@@ -40,136 +41,142 @@
   {control: false, hall: 'hall-2', name: 'e2', region: 'north'},
   {control: false, hall: 'hall-3', name: 'e3', region: 'north'},
 ];
-const LIMIT = 1_000_000;
-const SLOTS = 16;
-const PACE_MS = 10;
+const BUDGET_LIMIT = 1_000_000;
+const SLOTS_PER_ENGINE = 16;
+const ORDER_INTERVAL_MS = 10;
 
-/** Strikes, and returns what mends it. */
-type Fault = (fleet: ProcessFleet, leader: BoxProcess) => () => void;
+/** Injects a fault and returns a function that recovers from it. */
+type InjectFault = (fleet: ProcessFleet, leader: BoxProcess) => () => void;
 
-const FAULTS: Readonly<Record<string, Fault>> = {
+const FAULTS: Readonly<Record<string, InjectFault>> = {
   'leader killed': (fleet, leader) => {
-    fleet.kill(leader);
+    fleet.sendSignal(leader);
     return () => fleet.start(leader);
   },
   'leader frozen': (fleet, leader) => {
-    fleet.kill(leader, 'SIGSTOP');
-    return () => fleet.kill(leader, 'SIGCONT');
+    fleet.sendSignal(leader, 'SIGSTOP');
+    return () => fleet.sendSignal(leader, 'SIGCONT');
   },
   'hall of the leader lost': (fleet, leader) => {
     const lost = fleet.boxes.filter(({hall}) => hall === leader.hall);
-    lost.forEach((box) => fleet.kill(box));
+    lost.forEach((box) => fleet.sendSignal(box));
     return () => lost.forEach((box) => fleet.start(box));
   },
 };
 
-/** Repeats every fault on one fleet. */
+/** Measures every fault several times, each kind on a new fleet. */
 export async function benchFaults(runs: number): Promise<FaultRow[]> {
   const rows: FaultRow[] = [];
-  for (const [name, fault] of Object.entries(FAULTS)) {
+  for (const [name, injectFault] of Object.entries(FAULTS)) {
     const engines = [await new Engine().listen()];
-    await using fleet = await ProcessFleet.openReady(
-      PLANS,
+    await using fleet = await ProcessFleet.openAndConfigure(
+      BOX_SPECS,
       engines,
-      LIMIT,
-      SLOTS,
+      BUDGET_LIMIT,
+      SLOTS_PER_ENGINE,
     );
-    rows.push(await repeatFault(name, fault, fleet, runs));
+    rows.push(await measureFault(name, injectFault, fleet, runs));
   }
   return rows;
 }
 
-async function repeatFault(
+async function measureFault(
   name: string,
-  fault: Fault,
+  injectFault: InjectFault,
   fleet: ProcessFleet,
   runs: number,
 ): Promise<FaultRow> {
-  const gaps = new Quantiles();
-  const orders = new Orders(fleet);
+  const gapsMs = new LatencyHistogram();
+  const load = new OrderLoad(fleet);
   for (let run = 0; run < runs; run += 1) {
-    const {leader: leaderName} = await fleet.report();
+    const {leader: leaderName} = await fleet.fetchRegionStatus();
     const leader = fleet.boxes.find((box) => box.name === leaderName);
     if (leader === undefined) {
       continue;
     }
-    const stop = orders.start(leader.hall);
-    await pause(1_000);
-    const mend = fault(fleet, leader);
-    await pause(5_000);
-    gaps.add(await stop());
-    mend();
-    await fleet.ready();
-    await pause(1_500);
+    const stopLoad = load.start(leader.hall);
+    await sleep(1_000);
+    const recover = injectFault(fleet, leader);
+    await sleep(5_000);
+    gapsMs.record(await stopLoad());
+    recover();
+    await fleet.waitUntilReady();
+    await sleep(1_500);
   }
-  return orders.row(name, runs, gaps);
+  return load.summarize(name, runs, gapsMs);
 }
 
-/** Orders at a steady pace, through boxes that the balancer still uses. */
-class Orders {
-  private sent = 0;
-  private ran = 0;
-  private refused = 0;
-  private unknown = 0;
+/** Open-loop load of orders at a fixed rate. */
+class OrderLoad {
+  private sentCount = 0;
+  private executedCount = 0;
+  private rejectedCount = 0;
+  private unknownCount = 0;
 
   constructor(private readonly fleet: ProcessFleet) {}
 
-  /** Starts to send; the result stops and gives the longest gap, ms. */
-  start(exceptHall: string): () => Promise<number> {
-    // The balancer sends nothing to the hall that is about to be lost.
-    const boxes = this.fleet.boxes.filter(({hall}) => hall !== exceptHall);
-    const open: Promise<void>[] = [];
-    let last = performance.now();
-    let gap = 0;
-    let on = true;
-    const loop = async (): Promise<void> => {
-      while (on) {
-        this.sent += 1;
-        const box = boxes[this.sent % boxes.length] as BoxProcess;
-        const order = placeOrder(box.callerUrl, `order-${this.sent}`).then(
+  /** Starts the load. The result stops it and returns the longest gap, ms. */
+  start(excludedHall: string): () => Promise<number> {
+    // A load balancer in front would no longer route to the affected hall.
+    const boxes = this.fleet.boxes.filter(({hall}) => hall !== excludedHall);
+    const pending: Promise<void>[] = [];
+    let lastExecutedAt = performance.now();
+    let longestGapMs = 0;
+    let isRunning = true;
+    const sendOrders = async (): Promise<void> => {
+      while (isRunning) {
+        this.sentCount += 1;
+        const box = boxes[this.sentCount % boxes.length] as BoxProcess;
+        const order = placeOrder(box.callerUrl, `order-${this.sentCount}`).then(
           ({outcome}) => {
             if (outcome === 'ran') {
-              this.ran += 1;
+              this.executedCount += 1;
               const now = performance.now();
-              gap = Math.max(gap, now - last);
-              last = now;
+              longestGapMs = Math.max(longestGapMs, now - lastExecutedAt);
+              lastExecutedAt = now;
             } else if (outcome === 'not-run') {
-              this.refused += 1;
+              this.rejectedCount += 1;
             } else {
-              this.unknown += 1;
+              this.unknownCount += 1;
             }
           },
         );
-        open.push(order);
-        await pause(PACE_MS);
+        pending.push(order);
+        await sleep(ORDER_INTERVAL_MS);
       }
     };
-    const running = loop();
+    const sender = sendOrders();
     return async () => {
-      on = false;
-      await running;
-      await Promise.all(open);
-      return gap;
+      isRunning = false;
+      await sender;
+      await Promise.all(pending);
+      return longestGapMs;
     };
   }
 
-  /** Adds up what callers heard, what ran and what was billed. */
-  async row(name: string, runs: number, gaps: Quantiles): Promise<FaultRow> {
-    const {budgets} = await this.fleet.report();
+  /** Compares outcomes at the callers, executions and charges. */
+  async summarize(
+    fault: string,
+    runs: number,
+    gapsMs: LatencyHistogram,
+  ): Promise<FaultRow> {
+    const {budgets} = await this.fleet.fetchRegionStatus();
     const settled = budgets[0]?.settled ?? NaN;
-    const executed = [...this.fleet.service.executions.values()];
-    const most = this.ran + this.unknown;
+    const executionCounts = [...this.fleet.service.executions.values()];
+    const maxBillable = this.executedCount + this.unknownCount;
     return {
-      doubled: executed.filter((count) => count > 1).length,
-      fault: name,
-      gapMax: Math.round(gaps.at(100)),
-      gapP50: Math.round(gaps.at(50)),
-      misbilled: Math.max(0, settled - most) + Math.max(0, this.ran - settled),
-      orders: this.sent,
-      overspent: Math.max(0, settled - LIMIT),
-      refused: this.refused,
+      doubled: executionCounts.filter((count) => count > 1).length,
+      fault,
+      gapMax: Math.round(gapsMs.percentile(100)),
+      gapP50: Math.round(gapsMs.percentile(50)),
+      misbilled:
+        Math.max(0, settled - maxBillable) +
+        Math.max(0, this.executedCount - settled),
+      orders: this.sentCount,
+      overspent: Math.max(0, settled - BUDGET_LIMIT),
+      refused: this.rejectedCount,
       runs,
-      unknown: this.unknown,
+      unknown: this.unknownCount,
     };
   }
 }
--- a/packages/puffinturn-bench/src/LedgerBench.ts
+++ b/packages/puffinturn-bench/src/LedgerBench.ts
@@ -5,15 +5,15 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** `bench -- ledger`: admissions and settlements of a control group. */
+/** `bench -- ledger`: throughput and cost of a control group. */
 import {Engine} from 'puffinturn-stand-in';
 
-import {placeOrder} from './Load';
-import type {BoxPlan, BoxProcess} from './ProcessFleet';
+import {LatencyHistogram, roundHundredths} from './LatencyHistogram';
+import {placeOrder} from './LoadGenerator';
+import type {BoxProcess, BoxSpec} from './ProcessFleet';
 import {ProcessFleet} from './ProcessFleet';
-import {Quantiles, roundHundredths} from './Quantiles';
 
-/** Figures of one group at one load. */
+/** Results of one control group at one load. */
 export interface LedgerRow {
   readonly voters: number;
   readonly callers: number;
@@ -21,111 +21,130 @@
   readonly recordsPerSecond: number;
   readonly p50: number;
   readonly p99: number;
-  /** Leader's processor time for one record, µs; it is no entry box. */
+  /** CPU time of the leader per log record, µs. It serves no callers. */
   readonly leaderMicrosPerRecord: number;
-  /** Follower's processor time for one record, µs. */
+  /** CPU time of a follower per log record, µs. */
   readonly followerMicrosPerRecord: number;
-  /** Entry box's processor time for one order, µs. */
+  /** CPU time of the entry boxes per order, µs. */
   readonly entryMicrosPerOrder: number;
-  /** Leader's memory growth for one kept order, bytes. */
+  /** Heap growth of the leader per order, bytes. */
   readonly bytesPerOrder: number;
 }
 
-const LIMIT = 1_000_000_000;
-const SLOTS = 16;
-const CPU = 'process_cpu_seconds_total';
-const HEAP = 'nodejs_heap_size_used_bytes';
+const BUDGET_LIMIT = 1_000_000_000;
+const SLOTS_PER_ENGINE = 16;
+const CPU_METRIC = 'process_cpu_seconds_total';
+const HEAP_METRIC = 'nodejs_heap_size_used_bytes';
 
-function plans(voters: number): BoxPlan[] {
-  const control = Array.from({length: voters}, (_, at) => ({
+function boxSpecs(voters: number): BoxSpec[] {
+  const control = Array.from({length: voters}, (_, index) => ({
     control: true,
-    hall: `hall-${at % 3}`,
-    name: `c${at + 1}`,
+    hall: `hall-${index % 3}`,
+    name: `c${index + 1}`,
     region: 'north',
   }));
-  const entry = [1, 2].map((at) => ({
+  const entry = [1, 2].map((index) => ({
     control: false,
     hall: 'hall-1',
-    name: `e${at}`,
+    name: `e${index}`,
     region: 'north',
   }));
   return [...control, ...entry];
 }
 
-/** Measures a 3-box and a 5-box group with few and many callers. */
+/** Measures groups of 3 and 5 voters with few and many callers. */
 export async function benchLedger(seconds: number): Promise<LedgerRow[]> {
   const rows: LedgerRow[] = [];
   for (const voters of [3, 5]) {
     const engines = [await new Engine().listen()];
-    await using fleet = await ProcessFleet.openReady(
-      plans(voters),
+    await using fleet = await ProcessFleet.openAndConfigure(
+      boxSpecs(voters),
       engines,
-      LIMIT,
-      SLOTS,
+      BUDGET_LIMIT,
+      SLOTS_PER_ENGINE,
     );
     for (const callers of [4, 64]) {
-      rows.push(await measure(fleet, voters, callers, seconds));
+      rows.push(await runLoad(fleet, voters, callers, seconds));
     }
   }
   return rows;
 }
 
-async function measure(
+async function runLoad(
   fleet: ProcessFleet,
   voters: number,
   callers: number,
   seconds: number,
 ): Promise<LedgerRow> {
-  const {commitIndex: firstIndex, leader: name} = await fleet.report();
-  const leader = find(fleet, ({name: one}) => one === name);
-  const follower = find(fleet, (box) => box.control && box.name !== name);
-  const entries = fleet.boxes.filter(({control}) => !control);
-  const before = await cpuOf(fleet, [leader, follower, ...entries]);
-  const heap = await fleet.metric(leader, HEAP);
-  const times = new Quantiles();
-  const end = performance.now() + seconds * 1_000;
-  const started = performance.now();
-  let orders = 0;
-  const caller = async (at: number): Promise<void> => {
-    const box = entries[at % entries.length] as BoxProcess;
-    while (performance.now() < end) {
+  const {commitIndex: firstCommitIndex, leader: leaderName} =
+    await fleet.fetchRegionStatus();
+  const leader = findBox(fleet, ({name}) => name === leaderName);
+  const follower = findBox(
+    fleet,
+    (box) => box.control && box.name !== leaderName,
+  );
+  const entryBoxes = fleet.boxes.filter(({control}) => !control);
+  const cpuBefore = await readCpuSeconds(fleet, [
+    leader,
+    follower,
+    ...entryBoxes,
+  ]);
+  const heapBefore = await fleet.readMetric(leader, HEAP_METRIC);
+  const latencies = new LatencyHistogram();
+  const endsAt = performance.now() + seconds * 1_000;
+  const startedAt = performance.now();
+  let orderCount = 0;
+  const runCaller = async (index: number): Promise<void> => {
+    const box = entryBoxes[index % entryBoxes.length] as BoxProcess;
+    while (performance.now() < endsAt) {
       const sentAt = performance.now();
-      orders += 1;
-      await placeOrder(box.callerUrl, `${voters}-${callers}-${orders}`);
-      times.add(performance.now() - sentAt);
+      orderCount += 1;
+      await placeOrder(box.callerUrl, `${voters}-${callers}-${orderCount}`);
+      latencies.record(performance.now() - sentAt);
     }
   };
-  await Promise.all(Array.from({length: callers}, (_, at) => caller(at)));
-  const took = (performance.now() - started) / 1_000;
-  const after = await cpuOf(fleet, [leader, follower, ...entries]);
-  const heapAfter = await fleet.metric(leader, HEAP);
-  const records = (await fleet.report()).commitIndex - firstIndex;
-  const used = after.map((cpu, at) => 1e6 * (cpu - (before[at] ?? 0)));
-  const entryUsed = used.slice(2).reduce((sum, one) => sum + one, 0);
+  await Promise.all(
+    Array.from({length: callers}, (_, index) => runCaller(index)),
+  );
+  const elapsedSeconds = (performance.now() - startedAt) / 1_000;
+  const cpuAfter = await readCpuSeconds(fleet, [
+    leader,
+    follower,
+    ...entryBoxes,
+  ]);
+  const heapAfter = await fleet.readMetric(leader, HEAP_METRIC);
+  const recordCount =
+    (await fleet.fetchRegionStatus()).commitIndex - firstCommitIndex;
+  const cpuMicros = cpuAfter.map(
+    (cpu, index) => 1e6 * (cpu - (cpuBefore[index] ?? 0)),
+  );
+  const entryMicros = cpuMicros
+    .slice(2)
+    .reduce((sum, micros) => sum + micros, 0);
   return {
-    bytesPerOrder: Math.round((heapAfter - heap) / orders),
+    bytesPerOrder: Math.round((heapAfter - heapBefore) / orderCount),
     callers,
-    entryMicrosPerOrder: Math.round(entryUsed / orders),
-    followerMicrosPerRecord: Math.round((used[1] ?? NaN) / records),
-    leaderMicrosPerRecord: Math.round((used[0] ?? NaN) / records),
-    ordersPerSecond: Math.round(orders / took),
-    p50: roundHundredths(times.at(50)),
-    p99: roundHundredths(times.at(99)),
-    recordsPerSecond: Math.round(records / took),
+    entryMicrosPerOrder: Math.round(entryMicros / orderCount),
+    followerMicrosPerRecord: Math.round((cpuMicros[1] ?? NaN) / recordCount),
+    leaderMicrosPerRecord: Math.round((cpuMicros[0] ?? NaN) / recordCount),
+    ordersPerSecond: Math.round(orderCount / elapsedSeconds),
+    p50: roundHundredths(latencies.percentile(50)),
+    p99: roundHundredths(latencies.percentile(99)),
+    recordsPerSecond: Math.round(recordCount / elapsedSeconds),
     voters,
   };
 }
 
-function find(
+function findBox(
   fleet: ProcessFleet,
-  matches: (box: BoxProcess) => boolean,
+  predicate: (box: BoxProcess) => boolean,
 ): BoxProcess {
-  return fleet.boxes.find(matches) as BoxProcess;
+  return fleet.boxes.find(predicate) as BoxProcess;
 }
 
-function cpuOf(
+function readCpuSeconds(
   fleet: ProcessFleet,
   boxes: readonly BoxProcess[],
 ): Promise<number[]> {
-  return Promise.all(boxes.map((box) => fleet.metric(box, CPU)));
+  return Promise.all(boxes.map((box) => fleet.readMetric(box, CPU_METRIC)));
 }
--- a/packages/puffinturn-bench/src/PathBench.ts
+++ b/packages/puffinturn-bench/src/PathBench.ts
@@ -5,15 +5,15 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** `bench -- path`: what one box adds and carries, against the raw engine. */
+/** `bench -- path`: latency overhead and throughput of one box. */
 import {DEFAULT_PROFILE, Engine} from 'puffinturn-stand-in';
 
-import {oneStream, runStreams, smallRequest} from './Load';
+import {LatencyHistogram, roundHundredths} from './LatencyHistogram';
+import {requestCompletion, runStreams, streamCompletion} from './LoadGenerator';
 import type {BoxProcess} from './ProcessFleet';
-import {pause, ProcessFleet} from './ProcessFleet';
-import {Quantiles, roundHundredths} from './Quantiles';
+import {ProcessFleet, sleep} from './ProcessFleet';
 
-/** One measured figure. */
+/** One measurement, directly at an engine and through a box. */
 export interface PathRow {
   readonly measure: string;
   readonly direct: number | string;
@@ -21,125 +21,125 @@
   readonly added: number | string;
 }
 
-const ENGINES = 4;
-const SLOTS = 2_000;
+const ENGINE_COUNT = 4;
+const SLOTS_PER_ENGINE = 2_000;
 const FAST_ENGINE = {
   ...DEFAULT_PROFILE,
   prefillMsPerToken: 0,
-  slots: SLOTS,
+  slots: SLOTS_PER_ENGINE,
   stepMs: 5,
   stepPerRequestMs: 0,
 };
-const LIMIT = 1_000_000_000;
-const CPU_SECONDS = 'process_cpu_seconds_total';
-const MEMORY = 'process_resident_memory_bytes';
+const BUDGET_LIMIT = 1_000_000_000;
+const CPU_METRIC = 'process_cpu_seconds_total';
+const MEMORY_METRIC = 'process_resident_memory_bytes';
 
-/** Runs all measurements of one box. */
+/** Measures memory, latency and throughput of one box. */
 export async function benchPath(seconds: number): Promise<PathRow[]> {
   const engines = await Promise.all(
-    Array.from({length: ENGINES}, () => new Engine(FAST_ENGINE).listen()),
+    Array.from({length: ENGINE_COUNT}, () => new Engine(FAST_ENGINE).listen()),
   );
-  const plan = {control: true, hall: 'hall-1', name: 'box-1', region: 'north'};
-  await using fleet = await ProcessFleet.openReady(
-    [plan],
+  const spec = {control: true, hall: 'hall-1', name: 'box-1', region: 'north'};
+  await using fleet = await ProcessFleet.openAndConfigure(
+    [spec],
     engines,
-    LIMIT,
-    SLOTS,
+    BUDGET_LIMIT,
+    SLOTS_PER_ENGINE,
   );
   const box = fleet.boxes[0] as BoxProcess;
-  const direct = engines[0]?.url ?? '';
-  // Memory goes first, while the heap has no slack from other loads.
-  const memory = await streamMemory(fleet, box);
+  const directUrl = engines[0]?.url ?? '';
+  // Memory is measured first: later loads leave unused heap behind.
+  const memoryRow = await measureStreamMemory(fleet, box);
   return [
-    memory,
-    ...(await firstTokens(direct, box.callerUrl, seconds)),
-    await smallRequests(fleet, box, seconds),
-    await streamedTokens(fleet, box, seconds),
+    memoryRow,
+    ...(await measureFirstTokenLatency(directUrl, box.callerUrl, seconds)),
+    await measureSmallRequests(fleet, box, seconds),
+    await measureStreamedTokens(fleet, box, seconds),
   ];
 }
 
-async function firstTokens(
-  direct: string,
-  box: string,
+async function measureFirstTokenLatency(
+  directUrl: string,
+  boxUrl: string,
   seconds: number,
 ): Promise<PathRow[]> {
   const rows: PathRow[] = [];
-  for (const atOnce of [1, 50, 500]) {
-    await runStreams(box, atOnce, 8, 1);
-    const raw = await runStreams(direct, atOnce, 8, seconds);
-    const through = await runStreams(box, atOnce, 8, seconds);
+  for (const concurrency of [1, 50, 500]) {
+    await runStreams(boxUrl, concurrency, 8, 1);
+    const directResult = await runStreams(directUrl, concurrency, 8, seconds);
+    const boxResult = await runStreams(boxUrl, concurrency, 8, seconds);
     for (const percent of [50, 99]) {
-      const before = raw.firstToken.at(percent);
-      const after = through.firstToken.at(percent);
+      const directMs = directResult.firstToken.percentile(percent);
+      const boxMs = boxResult.firstToken.percentile(percent);
       rows.push({
-        added: roundHundredths(after - before),
-        box: roundHundredths(after),
-        direct: roundHundredths(before),
-        measure: `first token p${percent}, ${atOnce} streams, ms`,
+        added: roundHundredths(boxMs - directMs),
+        box: roundHundredths(boxMs),
+        direct: roundHundredths(directMs),
+        measure: `first token p${percent}, ${concurrency} streams, ms`,
       });
     }
   }
   return rows;
 }
 
-async function smallRequests(
+async function measureSmallRequests(
   fleet: ProcessFleet,
   box: BoxProcess,
   seconds: number,
 ): Promise<PathRow> {
-  const cpu = await fleet.metric(box, CPU_SECONDS);
-  const end = performance.now() + seconds * 1_000;
-  const started = performance.now();
+  const cpuBefore = await fleet.readMetric(box, CPU_METRIC);
+  const endsAt = performance.now() + seconds * 1_000;
+  const startedAt = performance.now();
   let count = 0;
-  const caller = async (): Promise<void> => {
-    while (performance.now() < end) {
-      const {status} = await smallRequest(box.callerUrl);
+  const runCaller = async (): Promise<void> => {
+    while (performance.now() < endsAt) {
+      const {status} = await requestCompletion(box.callerUrl);
       count += status === 200 ? 1 : 0;
     }
   };
-  await Promise.all(Array.from({length: 64}, caller));
-  const took = (performance.now() - started) / 1_000;
-  const used = (await fleet.metric(box, CPU_SECONDS)) - cpu;
+  await Promise.all(Array.from({length: 64}, runCaller));
+  const elapsedSeconds = (performance.now() - startedAt) / 1_000;
+  const cpuSeconds = (await fleet.readMetric(box, CPU_METRIC)) - cpuBefore;
   return {
-    added: `${roundHundredths(used / took)} cores used`,
-    box: Math.round(count / used),
+    added: `${roundHundredths(cpuSeconds / elapsedSeconds)} cores used`,
+    box: Math.round(count / cpuSeconds),
     direct: '',
     measure: 'small requests a second and core (entry and control in one)',
   };
 }
 
-async function streamedTokens(
+async function measureStreamedTokens(
   fleet: ProcessFleet,
   box: BoxProcess,
   seconds: number,
 ): Promise<PathRow> {
-  const cpu = await fleet.metric(box, CPU_SECONDS);
-  const figures = await runStreams(box.callerUrl, 200, 200, seconds);
-  const used = (await fleet.metric(box, CPU_SECONDS)) - cpu;
+  const cpuBefore = await fleet.readMetric(box, CPU_METRIC);
+  const result = await runStreams(box.callerUrl, 200, 200, seconds);
+  const cpuSeconds = (await fleet.readMetric(box, CPU_METRIC)) - cpuBefore;
   return {
-    added: `${roundHundredths(used / figures.seconds)} cores used`,
-    box: Math.round(figures.tokens / used),
+    added: `${roundHundredths(cpuSeconds / result.elapsedSeconds)} cores used`,
+    box: Math.round(result.tokens / cpuSeconds),
     direct: '',
     measure: 'streamed tokens a second and core, 200 streams',
   };
 }
 
-async function streamMemory(
+async function measureStreamMemory(
   fleet: ProcessFleet,
   box: BoxProcess,
 ): Promise<PathRow> {
-  const streams = 1_000;
-  const quantiles = new Quantiles();
-  const before = await fleet.metric(box, MEMORY);
-  const open = Array.from({length: streams}, () =>
-    oneStream(box.callerUrl, 800, quantiles),
+  const streamCount = 1_000;
+  const firstToken = new LatencyHistogram();
+  const memoryBefore = await fleet.readMetric(box, MEMORY_METRIC);
+  const pending = Array.from({length: streamCount}, () =>
+    streamCompletion(box.callerUrl, 800, firstToken),
   );
-  await pause(2_500);
-  const during = await fleet.metric(box, MEMORY);
-  await Promise.all(open);
+  await sleep(2_500);
+  const memoryDuring = await fleet.readMetric(box, MEMORY_METRIC);
+  await Promise.all(pending);
   return {
     added: '',
-    box: roundHundredths((during - before) / streams / 1_024),
+    box: roundHundredths((memoryDuring - memoryBefore) / streamCount / 1_024),
     direct: '',
     measure: 'memory an open stream, KB (1,000 streams)',
   };
--- a/packages/puffinturn-bench/src/ProcessFleet.ts
+++ b/packages/puffinturn-bench/src/ProcessFleet.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Boxes as processes of their own on loopback, for measuring. */
+/** Starts a fleet of box processes on loopback for measurements. */
 import type {ChildProcess} from 'node:child_process';
 import {spawn} from 'node:child_process';
 import {mkdtemp, rm, writeFile} from 'node:fs/promises';
@@ -19,29 +19,29 @@
 import {digestBytes, invariant} from 'shared';
 import {request} from 'undici';
 
-const DAEMON = join(
+const DAEMON_PATH = join(
   dirname(createRequire(import.meta.url).resolve('puffinturn-daemon')),
   'main.js',
 );
-const READY_LIMIT_MS = 30_000;
-/** For all boxes to have heard of all declarations. */
-const SETTLE_MS = 1_000;
+const READY_TIMEOUT_MS = 30_000;
+/** Time for the declarations to reach all boxes. */
+const PROPAGATION_DELAY_MS = 1_000;
 
-/** The team's key in all measurements. */
+/** API key of the team in all measurements. */
 export const TEAM_KEY = 'bench-team-key';
-/** The operator's key in all measurements. */
+/** API key of the operator in all measurements. */
 export const OPERATOR_KEY = 'bench-operator-key';
 
-/** One box of a measured fleet. */
-export interface BoxPlan {
+/** Placement and role of a box. */
+export interface BoxSpec {
   readonly name: string;
   readonly hall: string;
   readonly region: string;
   readonly control: boolean;
 }
 
-/** One running box. */
-export interface BoxProcess extends BoxPlan {
+/** A box with its ports and its process. */
+export interface BoxProcess extends BoxSpec {
   readonly callerUrl: string;
   readonly operatorUrl: string;
   readonly linkPort: number;
@@ -49,8 +49,8 @@
   child: ChildProcess | undefined;
 }
 
-/** Free ports of loopback. */
-export async function freePorts(count: number): Promise<number[]> {
+/** Returns ports that are free on the loopback interface. */
+export async function findFreePorts(count: number): Promise<number[]> {
   const servers = await Promise.all(
     Array.from({length: count}, async () => {
       const server = createServer();
@@ -69,115 +69,127 @@
   );
 }
 
-/** See the module comment. */
+/** A fleet of box processes. Disposing it kills them and their upstreams. */
 export class ProcessFleet implements AsyncDisposable {
   private constructor(
-    private readonly folder: string,
+    private readonly directory: string,
     readonly boxes: readonly BoxProcess[],
-    /** Upstreams; they run in this process. */
+    /** Upstreams, which run in this process. */
     readonly engines: readonly Engine[],
     readonly service: PlainService,
   ) {}
 
-  /** Writes all settings and starts all boxes. */
+  /** Writes the settings of all boxes and starts the boxes. */
   private static async open(
-    plans: readonly BoxPlan[],
+    specs: readonly BoxSpec[],
     engines: readonly Engine[],
   ): Promise<ProcessFleet> {
-    const folder = await mkdtemp(join(tmpdir(), 'fleet-'));
-    const keyFile = join(folder, 'fleet.key');
+    const directory = await mkdtemp(join(tmpdir(), 'fleet-'));
+    const keyFile = join(directory, 'fleet.key');
     await writeFile(keyFile, 'bench'.repeat(10), {mode: 0o600});
-    const ports = await freePorts(plans.length * 3);
-    const boxes = plans.map((plan, at): BoxProcess => {
-      const [caller, operator, link] = ports.slice(at * 3, at * 3 + 3);
+    const ports = await findFreePorts(specs.length * 3);
+    const boxes = specs.map((spec, index): BoxProcess => {
+      const [caller, operator, link] = ports.slice(index * 3, index * 3 + 3);
       return {
-        ...plan,
+        ...spec,
         callerUrl: `http://127.0.0.1:${caller}`,
         child: undefined,
         linkPort: link ?? 0,
         operatorUrl: `http://127.0.0.1:${operator}`,
-        settingsFile: join(folder, `${plan.name}.json`),
+        settingsFile: join(directory, `${spec.name}.json`),
       };
     });
     for (const box of boxes) {
-      const settings = settingsOf(box, boxes, folder, keyFile);
+      const settings = buildSettings(box, boxes, directory, keyFile);
       await writeFile(box.settingsFile, JSON.stringify(settings));
     }
     const service = await new PlainService(1).listen();
-    const fleet = new ProcessFleet(folder, boxes, engines, service);
+    const fleet = new ProcessFleet(directory, boxes, engines, service);
     boxes.forEach((box) => fleet.start(box));
     return fleet;
   }
 
-  /** Starts all boxes, declares a budget and upstreams, waits until ready. */
-  static async openReady(
-    plans: readonly BoxPlan[],
+  /** Starts all boxes, applies the declarations and waits until ready. */
+  static async openAndConfigure(
+    specs: readonly BoxSpec[],
     engines: readonly Engine[],
-    limit: number,
-    slots: number,
+    budgetLimit: number,
+    slotsPerEngine: number,
   ): Promise<ProcessFleet> {
-    const fleet = await ProcessFleet.open(plans, engines);
-    await fleet.declare(benchDeclarations(fleet, limit, slots));
-    await fleet.ready();
-    await pause(SETTLE_MS);
+    const fleet = await ProcessFleet.open(specs, engines);
+    await fleet.applyDeclarations(
+      buildDeclarations(fleet, budgetLimit, slotsPerEngine),
+    );
+    await fleet.waitUntilReady();
+    await sleep(PROPAGATION_DELAY_MS);
     return fleet;
   }
 
   /** Starts the process of a box. */
   start(box: BoxProcess): void {
-    box.child = spawn(process.execPath, [DAEMON, box.settingsFile], {
+    box.child = spawn(process.execPath, [DAEMON_PATH, box.settingsFile], {
       stdio: ['ignore', 'ignore', 'inherit'],
     });
   }
 
-  /** Ends a box at once. */
-  kill(box: BoxProcess, signal: NodeJS.Signals = 'SIGKILL'): void {
+  /** Sends a signal to the process of a box, SIGKILL by default. */
+  sendSignal(box: BoxProcess, signal: NodeJS.Signals = 'SIGKILL'): void {
     box.child?.kill(signal);
   }
 
-  /** Waits until boxes take requests. */
-  async ready(boxes: readonly BoxProcess[] = this.boxes): Promise<void> {
-    const end = performance.now() + READY_LIMIT_MS;
+  /** Waits until the boxes accept requests. */
+  async waitUntilReady(
+    boxes: readonly BoxProcess[] = this.boxes,
+  ): Promise<void> {
+    const deadline = performance.now() + READY_TIMEOUT_MS;
     for (const box of boxes) {
       while (!(await isReady(box))) {
-        invariant(performance.now() < end, `${box.name} is not ready in time`);
-        await pause(20);
+        invariant(
+          performance.now() < deadline,
+          `${box.name} was not ready within ${READY_TIMEOUT_MS} ms`,
+        );
+        await sleep(20);
       }
     }
   }
 
-  /** Sends changes at the first box, one after another. */
-  async declare(declarations: readonly object[]): Promise<void> {
+  /** Sends declarations to the first box in order, with retries on status 503. */
+  async applyDeclarations(declarations: readonly object[]): Promise<void> {
     const [box] = this.boxes;
     for (const declaration of declarations) {
       let status = 503;
       while (status === 503) {
-        status = await post(box?.operatorUrl ?? '', declaration);
+        status = await postDeclaration(box?.operatorUrl ?? '', declaration);
       }
-      invariant(status === 200, `declaring answered ${status}`);
+      invariant(
+        status === 200,
+        `POST /v1/declarations returned status ${status}`,
+      );
     }
   }
 
-  /** The region's report as the first box that answers gives it. */
-  async report(): Promise<Report> {
+  /** Fetches the status of the region from the first box that responds. */
+  async fetchRegionStatus(): Promise<RegionStatus> {
     for (const box of this.boxes) {
-      const answer = await request(`${box.operatorUrl}/v1/status`, {
+      const response = await request(`${box.operatorUrl}/v1/status`, {
         headers: {authorization: `Bearer ${OPERATOR_KEY}`},
       }).catch(() => undefined);
-      const body = (await answer?.body.json().catch(() => undefined)) as
-        {regions: Report[]} | undefined;
+      const body = (await response?.body.json().catch(() => undefined)) as
+        {regions: RegionStatus[]} | undefined;
       if (body?.regions[0] !== undefined) {
         return body.regions[0];
       }
     }
-    throw new Error('no box reports');
+    throw new Error('no box returned the status of the region');
   }
 
-  /** One figure of a box's metrics. */
-  async metric(box: BoxProcess, name: string): Promise<number> {
-    const answer = await request(`${box.operatorUrl}/metrics`);
-    const text = await answer.body.text();
-    const line = text.split('\n').find((one) => one.startsWith(`${name} `));
+  /** Reads a metric of a box; NaN if the box does not export it. */
+  async readMetric(box: BoxProcess, name: string): Promise<number> {
+    const response = await request(`${box.operatorUrl}/metrics`);
+    const text = await response.body.text();
+    const line = text
+      .split('\n')
+      .find((candidate) => candidate.startsWith(`${name} `));
     return Number(line?.split(' ')[1] ?? NaN);
   }
 
@@ -190,12 +202,12 @@
       await engine[Symbol.asyncDispose]();
     }
     await this.service[Symbol.asyncDispose]();
-    await rm(this.folder, {force: true, recursive: true});
+    await rm(this.directory, {force: true, recursive: true});
   }
 }
 
-/** What the benches read of a region's report. */
-export interface Report {
+/** The fields of a region status that the benchmarks read. */
+export interface RegionStatus {
   readonly leader: string;
   readonly commitIndex: number;
   readonly configIndex: number;
@@ -207,44 +219,47 @@
   }[];
 }
 
-/** Resolves after `ms`. */
-export function pause(ms: number): Promise<void> {
+/** Resolves after `ms` milliseconds. */
+export function sleep(ms: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
 async function isReady({callerUrl}: BoxProcess): Promise<boolean> {
-  const answer = await request(`${callerUrl}/readyz`).catch(() => undefined);
-  await answer?.body.dump();
-  return answer?.statusCode === 200;
+  const response = await request(`${callerUrl}/readyz`).catch(() => undefined);
+  await response?.body.dump();
+  return response?.statusCode === 200;
 }
 
-async function post(url: string, declaration: object): Promise<number> {
-  const answer = await request(`${url}/v1/declarations`, {
+async function postDeclaration(
+  url: string,
+  declaration: object,
+): Promise<number> {
+  const response = await request(`${url}/v1/declarations`, {
     body: JSON.stringify(declaration),
     headers: {authorization: `Bearer ${OPERATOR_KEY}`},
     method: 'POST',
   }).catch(() => undefined);
-  await answer?.body.dump();
-  if (answer === undefined) {
-    await pause(50);
+  await response?.body.dump();
+  if (response === undefined) {
+    await sleep(50);
   }
-  return answer?.statusCode ?? 503;
+  return response?.statusCode ?? 503;
 }
 
-function settingsOf(
+function buildSettings(
   box: BoxProcess,
   boxes: readonly BoxProcess[],
-  folder: string,
+  directory: string,
   keyFile: string,
 ): object {
-  const address = (url: string) => ({
+  const toAddress = (url: string) => ({
     host: '127.0.0.1',
     port: Number(new URL(url).port),
   });
   return {
     box: box.name,
-    callers: address(box.callerUrl),
-    dataFolder: join(folder, box.name),
+    callers: toAddress(box.callerUrl),
+    dataFolder: join(directory, box.name),
     fleet: {
       boxes: boxes.map(({control, hall, linkPort, name, region}) => ({
         control,
@@ -260,27 +275,27 @@
     limits: {drainNoticeMs: 200},
     logs: {level: 'error'},
     operators: {
-      ...address(box.operatorUrl),
+      ...toAddress(box.operatorUrl),
       keys: [{name: 'bench', sha256: digestBytes(OPERATOR_KEY)}],
     },
   };
 }
 
-/** A team, a budget, a pool, a service and a policy for measuring. */
-function benchDeclarations(
+/** Builds a team, a budget, a pool, a service and a policy. */
+function buildDeclarations(
   fleet: ProcessFleet,
-  limit: number,
-  slots: number,
+  budgetLimit: number,
+  slotsPerEngine: number,
 ): object[] {
   const region = fleet.boxes[0]?.region;
-  const upstreams = fleet.engines.map(({url}, at) => ({
+  const upstreams = fleet.engines.map(({url}, index) => ({
     hall: 'hall-1',
-    name: `engine-${at}`,
-    slots,
+    name: `engine-${index}`,
+    slots: slotsPerEngine,
     url,
   }));
-  const rule = {action: 'allow', budget: "'budget'", deadlineMs: 10_000};
-  const list = [
+  const baseRule = {action: 'allow', budget: "'budget'", deadlineMs: 10_000};
+  const declarations = [
     {
       kind: 'team',
       name: 'team',
@@ -289,7 +304,7 @@
     {
       kind: 'budget',
       name: 'budget',
-      spec: {home: region, limit, team: 'team'},
+      spec: {home: region, limit: budgetLimit, team: 'team'},
     },
     {
       kind: 'pool',
@@ -317,7 +332,7 @@
       spec: {
         rules: [
           {
-            ...rule,
+            ...baseRule,
             key: 'request.body.order',
             name: 'orders',
             pool: 'orders',
@@ -325,7 +340,7 @@
             when: "request.service == 'orders'",
           },
           {
-            ...rule,
+            ...baseRule,
             name: 'models',
             pool: 'models',
             when: "request.model == 'model'",
@@ -334,5 +349,5 @@
       },
     },
   ];
-  return list.map((declaration) => ({...declaration, number: 1}));
+  return declarations.map((declaration) => ({...declaration, number: 1}));
 }
--- a/packages/puffinturn-bench/src/RoutingBench.ts
+++ b/packages/puffinturn-bench/src/RoutingBench.ts
@@ -5,21 +5,28 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** `bench -- routing` and `bench -- overload`: ours against baselines. */
-import type {Decisions, Figures, Situation} from './RoutingExperiment';
-import {OURS, RoutingExperiment} from './RoutingExperiment';
+/**
+ * `bench -- routing` and `bench -- overload`: compare the routing strategy of
+ * the gateway with baselines.
+ */
+import type {
+  RoutingResult,
+  RoutingStrategy,
+  Situation,
+} from './RoutingExperiment';
+import {DEFAULT_STRATEGY, RoutingExperiment} from './RoutingExperiment';
 import type {WorkloadOptions} from './RoutingWorkload';
-import {makeWorkload} from './RoutingWorkload';
+import {generateWorkload} from './RoutingWorkload';
 
-/** One line of a result. */
+/** Results of one strategy in one situation. */
 export interface RoutingRow {
   readonly situation: string;
   readonly decisions: string;
-  readonly figures: Figures;
+  readonly figures: RoutingResult;
 }
 
-const BOXES = 7;
-const PROFILE = {
+const BOX_COUNT = 7;
+const ENGINE_PROFILE = {
   blockMs: 5,
   cacheBlocks: 160,
   slots: 16,
@@ -27,120 +34,154 @@
   stepPerRequestMs: 0.4,
 };
 
-const BASELINE: Decisions = {
-  choice: 'least',
-  hedges: false,
-  limit: 'static',
+const BASELINE_STRATEGY: RoutingStrategy = {
+  balancer: 'least-in-flight',
+  hedgingEnabled: false,
+  concurrencyLimit: 'static',
   queue: 'fifo',
-  refusesEarly: false,
-  retries: 'unlimited',
+  rejectsEarly: false,
+  retryBudget: 'unlimited',
 };
 
-/** Every set of decisions that is compared. */
-export const DECISIONS: Readonly<Record<string, Decisions>> = {
-  ours: OURS,
-  'least in flight': BASELINE,
-  random: {...BASELINE, choice: 'random'},
-  'round robin': {...BASELINE, choice: 'round-robin'},
+/** The strategies that are compared, by name. */
+export const STRATEGIES: Readonly<Record<string, RoutingStrategy>> = {
+  ours: DEFAULT_STRATEGY,
+  'least in flight': BASELINE_STRATEGY,
+  random: {...BASELINE_STRATEGY, balancer: 'random'},
+  'round robin': {...BASELINE_STRATEGY, balancer: 'round-robin'},
 };
 
-function situation(name: string, change: Partial<Situation> = {}): Situation {
+function createSituation(
+  name: string,
+  overrides: Partial<Situation> = {},
+): Situation {
   return {
     deadlineMs: 20_000,
-    engines: 13,
+    engineCount: 13,
     events: [],
-    loadLagMs: 500,
+    loadReportDelayMs: 500,
     name,
-    profile: PROFILE,
-    targetMs: 1_100,
-    ...change,
+    profile: ENGINE_PROFILE,
+    firstTokenTargetMs: 1_100,
+    ...overrides,
   };
 }
 
-/** What can go wrong, at the size of the larger pool of today's users. */
+/** Steady load, and one situation for each kind of fault. */
 export function routingSituations(durationMs: number): Situation[] {
-  const third = durationMs / 3;
+  const faultAtMs = durationMs / 3;
   return [
-    situation('steady'),
-    situation('one upstream slow', {
+    createSituation('steady'),
+    createSituation('one upstream slow', {
       events: [
         {
           apply: (engines) => {
             if (engines[0] !== undefined) {
-              engines[0].slowness = 5;
+              engines[0].slowdownFactor = 5;
             }
           },
-          at: third,
+          atMs: faultAtMs,
         },
       ],
     }),
-    situation('one upstream lies about its load', {liar: 0, loadLagMs: 100}),
-    situation('one upstream dies', {
-      events: [{apply: (engines) => engines[0]?.kill(), at: third}],
+    createSituation('one upstream lies about its load', {
+      misreportingEngine: 0,
+      loadReportDelayMs: 100,
+    }),
+    createSituation('one upstream dies', {
+      events: [{apply: (engines) => engines[0]?.crash(), atMs: faultAtMs}],
     }),
-    situation('one upstream leaves', {
-      events: [{apply: () => undefined, at: third, leaving: [0]}],
+    createSituation('one upstream leaves', {
+      events: [{apply: () => undefined, atMs: faultAtMs, drainingEngines: [0]}],
     }),
-    situation('load reports 2 s late', {loadLagMs: 2_000}),
-    situation('a hall is lost', {
+    createSituation('load reports 2 s late', {loadReportDelayMs: 2_000}),
+    createSituation('a hall is lost', {
       events: [
         {
           apply: (engines) =>
             engines
-              .filter((_, at) => at % 3 === 0)
-              .forEach((engine) => engine.kill()),
-          at: third,
+              .filter((_, index) => index % 3 === 0)
+              .forEach((engine) => engine.crash()),
+          atMs: faultAtMs,
         },
       ],
     }),
   ];
 }
 
-/** Capacity of the pool, requests a second, found by trying. */
-const FULL_RATE = 55;
+/** Capacity of the simulated pool. */
+const CAPACITY_REQUESTS_PER_SECOND = 55;
 
-/** Compares all decisions in all situations at a share of the capacity. */
+/** Compares all strategies in all situations, below the capacity. */
 export async function benchRouting(
   seed: number,
   durationMs: number,
 ): Promise<RoutingRow[]> {
   const rows: RoutingRow[] = [];
-  for (const one of routingSituations(durationMs)) {
-    const hall = one.name === 'a hall is lost';
-    // A hall less leaves eight of thirteen engines.
-    const rate = FULL_RATE * (hall ? 0.5 : 0.85);
-    const workload = makeWorkload(workloadOf(seed, durationMs, rate));
-    for (const [decisions, how] of Object.entries(DECISIONS)) {
+  for (const situation of routingSituations(durationMs)) {
+    const losesHall = situation.name === 'a hall is lost';
+    // Eight of thirteen engines remain when a hall is lost.
+    const requestsPerSecond =
+      CAPACITY_REQUESTS_PER_SECOND * (losesHall ? 0.5 : 0.85);
+    const workload = generateWorkload(
+      buildWorkloadOptions(seed, durationMs, requestsPerSecond),
+    );
+    for (const [decisions, strategy] of Object.entries(STRATEGIES)) {
       rows.push({
         decisions,
-        figures: await RoutingExperiment.run(one, how, workload, BOXES, seed),
-        situation: one.name,
+        figures: await RoutingExperiment.run(
+          situation,
+          strategy,
+          workload,
+          BOX_COUNT,
+          seed,
+        ),
+        situation: situation.name,
       });
     }
   }
   return rows;
 }
 
-/** Load from below to far above the capacity, and one team flooding. */
+/** Compares all strategies under overload and bursts. */
 export async function benchOverload(
   seed: number,
   durationMs: number,
 ): Promise<RoutingRow[]> {
   const rows: RoutingRow[] = [];
   const situations: [string, Partial<WorkloadOptions>][] = [
-    ['load 100%', {rate: FULL_RATE}],
-    ['load 150%', {rate: FULL_RATE * 1.5}],
-    ['burst ×2 at 70%', {burst: 2, rate: FULL_RATE * 0.7}],
-    ['one team floods at 150%', {largeShare: 0.7, rate: FULL_RATE * 1.5}],
+    ['load 100%', {requestsPerSecond: CAPACITY_REQUESTS_PER_SECOND}],
+    ['load 150%', {requestsPerSecond: CAPACITY_REQUESTS_PER_SECOND * 1.5}],
+    [
+      'burst ×2 at 70%',
+      {burstFactor: 2, requestsPerSecond: CAPACITY_REQUESTS_PER_SECOND * 0.7},
+    ],
+    [
+      'one team floods at 150%',
+      {
+        largeTeamShare: 0.7,
+        requestsPerSecond: CAPACITY_REQUESTS_PER_SECOND * 1.5,
+      },
+    ],
   ];
-  for (const [name, change] of situations) {
-    const base = workloadOf(seed, durationMs, FULL_RATE);
-    const workload = makeWorkload({...base, ...change});
-    const one = situation(name, {deadlineMs: 5_000});
-    for (const [decisions, how] of Object.entries(DECISIONS)) {
+  for (const [name, overrides] of situations) {
+    const baseOptions = buildWorkloadOptions(
+      seed,
+      durationMs,
+      CAPACITY_REQUESTS_PER_SECOND,
+    );
+    const workload = generateWorkload({...baseOptions, ...overrides});
+    const situation = createSituation(name, {deadlineMs: 5_000});
+    for (const [decisions, strategy] of Object.entries(STRATEGIES)) {
       rows.push({
         decisions,
-        figures: await RoutingExperiment.run(one, how, workload, BOXES, seed),
+        figures: await RoutingExperiment.run(
+          situation,
+          strategy,
+          workload,
+          BOX_COUNT,
+          seed,
+        ),
         situation: name,
       });
     }
@@ -148,18 +189,18 @@
   return rows;
 }
 
-function workloadOf(
+function buildWorkloadOptions(
   seed: number,
   durationMs: number,
-  rate: number,
+  requestsPerSecond: number,
 ): WorkloadOptions {
   return {
-    boxes: BOXES,
-    burst: 1,
+    boxCount: BOX_COUNT,
+    burstFactor: 1,
     durationMs,
-    largeShare: 0.3,
-    rate,
+    largeTeamShare: 0.3,
+    requestsPerSecond,
     seed,
-    teams: 10,
+    teamCount: 10,
   };
 }
--- a/packages/puffinturn-bench/src/RoutingExperiment.ts
+++ b/packages/puffinturn-bench/src/RoutingExperiment.ts
@@ -6,8 +6,8 @@
  */
 
 /**
- * Drives the real routers of several boxes against engines in virtual time,
- * for one set of decisions in one situation.
+ * Runs the routers of several boxes against simulated engines in virtual time,
+ * with one routing strategy in one situation.
  */
 import type {
   ConcurrencyLimit,
@@ -33,72 +33,74 @@
 } from 'puffinturn-routing';
 import {ManualClock, Random} from 'shared';
 
-import {Quantiles} from './Quantiles';
-import type {Demand} from './RoutingWorkload';
-import type {VirtualProfile} from './VirtualEngine';
-import {VirtualEngine} from './VirtualEngine';
+import {LatencyHistogram} from './LatencyHistogram';
+import type {WorkloadRequest} from './RoutingWorkload';
+import type {EngineProfile} from './SimulatedEngine';
+import {SimulatedEngine} from './SimulatedEngine';
 
-/** Which decisions are made how. */
-export interface Decisions {
-  readonly choice: 'expected' | 'least' | 'random' | 'round-robin';
-  readonly limit: 'adaptive' | 'static';
+/** The load balancing, queueing and retry algorithms under test. */
+export interface RoutingStrategy {
+  readonly balancer:
+    'expected-latency' | 'least-in-flight' | 'random' | 'round-robin';
+  readonly concurrencyLimit: 'adaptive' | 'static';
   readonly queue: 'fair' | 'fifo';
-  readonly retries: 'share' | 'unlimited';
-  readonly hedges: boolean;
-  readonly refusesEarly: boolean;
+  readonly retryBudget: 'ratio' | 'unlimited';
+  readonly hedgingEnabled: boolean;
+  readonly rejectsEarly: boolean;
 }
 
-/** Ours, as the gateway makes them. */
-export const OURS: Decisions = {
-  choice: 'expected',
-  hedges: true,
-  limit: 'adaptive',
+/** The strategy that the gateway uses. */
+export const DEFAULT_STRATEGY: RoutingStrategy = {
+  balancer: 'expected-latency',
+  hedgingEnabled: true,
+  concurrencyLimit: 'adaptive',
   queue: 'fair',
-  refusesEarly: true,
-  retries: 'share',
+  rejectsEarly: true,
+  retryBudget: 'ratio',
 };
 
-/** What happens to the engines. */
+/** The engines, and the faults injected into them. */
 export interface Situation {
   readonly name: string;
-  readonly engines: number;
-  readonly profile: VirtualProfile;
+  readonly engineCount: number;
+  readonly profile: EngineProfile;
   readonly deadlineMs: number;
-  readonly targetMs: number;
-  /** Age of load reports, ms. */
-  readonly loadLagMs: number;
-  /** An engine whose reports say it is idle. */
-  readonly liar?: number;
-  /** Changes to engines at times. */
+  readonly firstTokenTargetMs: number;
+  /** Delay before the boxes receive a load report, ms. */
+  readonly loadReportDelayMs: number;
+  /** Index of an engine that always reports no load. */
+  readonly misreportingEngine?: number;
+  /** Changes to the engines, each at a given time. */
   readonly events: readonly {
-    readonly at: number;
-    readonly apply: (engines: readonly VirtualEngine[]) => void;
-    /** Engines that the boxes are told are leaving. */
-    readonly leaving?: readonly number[];
+    readonly atMs: number;
+    readonly apply: (engines: readonly SimulatedEngine[]) => void;
+    /** Indexes of the engines that the boxes mark as draining. */
+    readonly drainingEngines?: readonly number[];
   }[];
 }
 
-/** What came out. */
-export interface Figures {
-  readonly firstToken: ReturnType<Quantiles['summary']>;
-  readonly betweenTokens: ReturnType<Quantiles['summary']>;
+/** Results of one experiment. Latencies are in ms. */
+export interface RoutingResult {
+  readonly firstToken: ReturnType<LatencyHistogram['summary']>;
+  readonly betweenTokens: ReturnType<LatencyHistogram['summary']>;
   readonly asked: number;
   readonly whole: number;
-  /** Whole answers whose first token met the target. */
+  /** Completed responses whose first token met the latency target. */
   readonly inTarget: number;
   readonly refused: number;
   readonly failed: number;
-  /** Share of prompt blocks found in caches. */
+  /** Share of prompt blocks found in the prefix caches. */
   readonly hitShare: number;
-  /** Share of tokens that no caller got. */
+  /** Share of generated tokens that were not delivered to a caller. */
   readonly wastedShare: number;
-  /** Worst team's share of its requests answered whole. */
+  /** Lowest share of completed requests of any team. */
   readonly worstTeam: number;
 }
 
-const NEWS_EVERY_MS = 300;
-const TAIL_MS = 90_000;
-const MAX_TRIES = 4;
+const IN_FLIGHT_EXCHANGE_INTERVAL_MS = 300;
+/** Time for open requests to complete after the last arrival. */
+const COMPLETION_TIMEOUT_MS = 90_000;
+const MAX_ATTEMPTS = 4;
 
 interface Tally {
   asked: number;
@@ -106,123 +108,133 @@
   inTarget: number;
   refused: number;
   failed: number;
-  delivered: number;
-  readonly firstToken: Quantiles;
-  readonly between: Quantiles;
+  deliveredTokens: number;
+  readonly firstToken: LatencyHistogram;
+  readonly betweenTokens: LatencyHistogram;
   readonly teams: Map<string, {asked: number; whole: number}>;
 }
 
 interface BoxState {
   readonly router: Router;
-  readonly retries: RetryBudget;
-  readonly hedge: HedgePolicy;
-  readonly prefixes: PrefixIndex;
+  readonly retryBudget: RetryBudget;
+  readonly hedgePolicy: HedgePolicy;
+  readonly prefixIndex: PrefixIndex;
   readonly random: Random;
 }
 
-/** Runs one experiment. */
+/** One run of a workload through the routers of all boxes. */
 export class RoutingExperiment {
   private readonly clock = new ManualClock();
-  private readonly engines: VirtualEngine[];
+  private readonly engines: SimulatedEngine[];
   private readonly boxes: BoxState[];
   private readonly tally: Tally = {
     asked: 0,
-    between: new Quantiles(),
-    delivered: 0,
+    betweenTokens: new LatencyHistogram(),
+    deliveredTokens: 0,
     failed: 0,
-    firstToken: new Quantiles(),
+    firstToken: new LatencyHistogram(),
     inTarget: 0,
     refused: 0,
     teams: new Map(),
     whole: 0,
   };
-  private over = false;
+  private isFinished = false;
 
   private constructor(
     private readonly situation: Situation,
-    private readonly decisions: Decisions,
-    boxes: number,
+    private readonly strategy: RoutingStrategy,
+    boxCount: number,
     seed: number,
   ) {
     this.engines = Array.from(
-      {length: situation.engines},
-      () => new VirtualEngine(this.clock, situation.profile),
+      {length: situation.engineCount},
+      () => new SimulatedEngine(this.clock, situation.profile),
     );
-    this.boxes = Array.from({length: boxes}, (_, at) =>
-      this.makeBox(new Random(seed + at), boxes),
+    this.boxes = Array.from({length: boxCount}, (_, index) =>
+      this.createBox(new Random(seed + index), boxCount),
     );
   }
 
-  /** Runs a workload and returns the figures. */
+  /** Runs a workload to its end and returns the results. */
   static async run(
     situation: Situation,
-    decisions: Decisions,
-    workload: readonly Demand[],
-    boxes: number,
+    strategy: RoutingStrategy,
+    workload: readonly WorkloadRequest[],
+    boxCount: number,
     seed: number,
-  ): Promise<Figures> {
-    const run = new RoutingExperiment(situation, decisions, boxes, seed);
-    const duration = workload.at(-1)?.at ?? 0;
-    void run.shareNews();
-    void run.reportLoads();
+  ): Promise<RoutingResult> {
+    const experiment = new RoutingExperiment(
+      situation,
+      strategy,
+      boxCount,
+      seed,
+    );
+    const durationMs = workload.at(-1)?.arrivalMs ?? 0;
+    void experiment.exchangeInFlightCounts();
+    void experiment.publishLoadReports();
     for (const event of situation.events) {
-      void run.clock.sleep(event.at).then(() => {
-        event.apply(run.engines);
-        const names = new Set(event.leaving?.map((at) => `engine-${at}`));
-        if (event.leaving !== undefined) {
-          run.boxes.forEach(({router}) =>
-            router.markDraining((name) => names.has(name)),
+      void experiment.clock.sleep(event.atMs).then(() => {
+        event.apply(experiment.engines);
+        const draining = new Set(
+          event.drainingEngines?.map((index) => `engine-${index}`),
+        );
+        if (event.drainingEngines !== undefined) {
+          experiment.boxes.forEach(({router}) =>
+            router.markDraining((name) => draining.has(name)),
           );
         }
       });
     }
-    void run.feed(workload);
-    await run.clock.advance(duration + TAIL_MS);
-    run.over = true;
-    await run.clock.advance(1_000);
-    return run.figures();
+    void experiment.submitWorkload(workload);
+    await experiment.clock.advance(durationMs + COMPLETION_TIMEOUT_MS);
+    experiment.isFinished = true;
+    await experiment.clock.advance(1_000);
+    return experiment.collectResult();
   }
 
-  private makeBox(random: Random, boxes: number): BoxState {
+  private createBox(random: Random, boxCount: number): BoxState {
     const {situation} = this;
-    const prefixes = new PrefixIndex();
+    const prefixIndex = new PrefixIndex();
     const router = new Router({
-      loadBalancer: this.makeChoice(random, prefixes),
+      loadBalancer: this.createLoadBalancer(random, prefixIndex),
       clock: this.clock,
-      concurrencyLimit: this.makeLimit(boxes),
+      concurrencyLimit: this.createConcurrencyLimit(boxCount),
       pool: 'models',
       queue:
-        this.decisions.queue === 'fair'
+        this.strategy.queue === 'fair'
           ? new FairQueue(this.clock)
           : new FifoQueue(),
-      rejectsEarly: this.decisions.refusesEarly,
-      targetMs: situation.targetMs,
+      rejectsEarly: this.strategy.rejectsEarly,
+      targetMs: situation.firstTokenTargetMs,
     });
     router.setUpstreams(
-      this.engines.map((_, at) => ({
-        hall: `hall-${at % 3}`,
-        name: `engine-${at}`,
+      this.engines.map((_, index) => ({
+        hall: `hall-${index % 3}`,
+        name: `engine-${index}`,
         slots: situation.profile.slots,
         url: 'http://engine',
       })),
     );
     return {
-      hedge: new HedgePolicy(),
-      prefixes,
+      hedgePolicy: new HedgePolicy(),
+      prefixIndex,
       random,
-      retries:
-        this.decisions.retries === 'share'
+      retryBudget:
+        this.strategy.retryBudget === 'ratio'
           ? new RatioRetryBudget()
           : new UnlimitedRetryBudget(),
       router,
     };
   }
 
-  private makeChoice(random: Random, prefixes: PrefixIndex): LoadBalancer {
-    switch (this.decisions.choice) {
-      case 'expected':
-        return new ExpectedLatencyBalancer(random, prefixes);
-      case 'least':
+  private createLoadBalancer(
+    random: Random,
+    prefixIndex: PrefixIndex,
+  ): LoadBalancer {
+    switch (this.strategy.balancer) {
+      case 'expected-latency':
+        return new ExpectedLatencyBalancer(random, prefixIndex);
+      case 'least-in-flight':
         return new LeastInFlightBalancer(random);
       case 'random':
         return new RandomBalancer(random);
@@ -231,181 +243,218 @@
     }
   }
 
-  private makeLimit(boxes: number): ConcurrencyLimit {
-    return this.decisions.limit === 'adaptive'
-      ? new AdaptiveConcurrencyLimit(() => boxes, this.clock)
-      : new StaticConcurrencyLimit(() => boxes);
+  private createConcurrencyLimit(boxCount: number): ConcurrencyLimit {
+    return this.strategy.concurrencyLimit === 'adaptive'
+      ? new AdaptiveConcurrencyLimit(() => boxCount, this.clock)
+      : new StaticConcurrencyLimit(() => boxCount);
   }
 
-  private async feed(workload: readonly Demand[]): Promise<void> {
-    for (const demand of workload) {
-      await this.clock.sleep(Math.max(0, demand.at - this.clock.now()));
-      void this.serve(demand);
+  private async submitWorkload(
+    workload: readonly WorkloadRequest[],
+  ): Promise<void> {
+    for (const request of workload) {
+      await this.clock.sleep(Math.max(0, request.arrivalMs - this.clock.now()));
+      void this.handleRequest(request);
     }
   }
 
-  private async serve(demand: Demand): Promise<void> {
+  private async handleRequest(request: WorkloadRequest): Promise<void> {
     const {tally} = this;
-    const box = this.boxes[demand.box] as BoxState;
-    const team = tally.teams.get(demand.team) ?? {asked: 0, whole: 0};
-    tally.teams.set(demand.team, team);
+    const box = this.boxes[request.box] as BoxState;
+    const team = tally.teams.get(request.team) ?? {asked: 0, whole: 0};
+    tally.teams.set(request.team, team);
     tally.asked += 1;
     team.asked += 1;
-    box.retries.recordRequest();
-    const started = this.clock.now();
-    const deadline = started + this.situation.deadlineMs;
-    const avoid = new Set<string>();
-    for (let turn = 0; turn < MAX_TRIES; turn += 1) {
-      const slot = await this.acquire(box, demand, deadline, avoid);
+    box.retryBudget.recordRequest();
+    const startedAt = this.clock.now();
+    const deadline = startedAt + this.situation.deadlineMs;
+    const triedUpstreams = new Set<string>();
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
+      const slot = await this.acquire(box, request, deadline, triedUpstreams);
       if (slot === undefined) {
         tally.refused += 1;
         return;
       }
-      const whole = await this.runHedged(box, demand, slot, avoid, started);
-      if (whole) {
+      const completed = await this.runHedged(
+        box,
+        request,
+        slot,
+        triedUpstreams,
+        startedAt,
+      );
+      if (completed) {
         tally.whole += 1;
         team.whole += 1;
         return;
       }
-      if (!box.retries.tryConsume()) {
+      if (!box.retryBudget.tryConsume()) {
         break;
       }
-      await this.clock.sleep(backoffDelayMs(turn, box.random));
+      await this.clock.sleep(backoffDelayMs(attempt, box.random));
     }
     tally.failed += 1;
   }
 
   private async acquire(
     box: BoxState,
-    demand: Demand,
+    request: WorkloadRequest,
     deadline: number,
     triedUpstreams: ReadonlySet<string>,
   ): Promise<UpstreamSlot | undefined> {
-    const acquired = await box.router.acquire({
+    const result = await box.router.acquire({
       triedUpstreams,
-      cost: demand.tokens,
+      cost: request.tokens,
       deadline,
-      blockHashes: demand.prefix,
-      priority: demand.priority,
-      team: demand.team,
+      blockHashes: request.prefix,
+      priority: request.priority,
+      team: request.team,
       weight: 1,
     });
-    return acquired.isOk() ? acquired.value : undefined;
+    return result.isOk() ? result.value : undefined;
   }
 
   private async runHedged(
     box: BoxState,
-    demand: Demand,
+    request: WorkloadRequest,
     slot: UpstreamSlot,
-    avoid: Set<string>,
-    started: number,
+    triedUpstreams: Set<string>,
+    startedAt: number,
   ): Promise<boolean> {
-    const first = this.runOn(box, demand, slot, avoid, started);
-    if (!this.decisions.hedges) {
-      return first.whole;
+    const primary = this.startAttempt(
+      box,
+      request,
+      slot,
+      triedUpstreams,
+      startedAt,
+    );
+    if (!this.strategy.hedgingEnabled) {
+      return primary.completed;
     }
-    const slow = await Promise.race([
-      first.begun.then(() => false),
-      this.clock.sleep(Math.min(box.hedge.delayMs, 1e9)).then(() => true),
+    const isSlow = await Promise.race([
+      primary.firstTokenReceived.then(() => false),
+      this.clock.sleep(Math.min(box.hedgePolicy.delayMs, 1e9)).then(() => true),
     ]);
-    if (!slow || !box.hedge.tryConsume()) {
-      return first.whole;
+    if (!isSlow || !box.hedgePolicy.tryConsume()) {
+      return primary.completed;
     }
-    avoid.add(slot.upstream.name);
-    const second = await this.acquire(box, demand, this.clock.now() + 1, avoid);
-    if (second === undefined) {
-      return first.whole;
+    triedUpstreams.add(slot.upstream.name);
+    const hedgeSlot = await this.acquire(
+      box,
+      request,
+      this.clock.now() + 1,
+      triedUpstreams,
+    );
+    if (hedgeSlot === undefined) {
+      return primary.completed;
     }
-    const other = this.runOn(box, demand, second, avoid, started);
+    const hedge = this.startAttempt(
+      box,
+      request,
+      hedgeSlot,
+      triedUpstreams,
+      startedAt,
+    );
     const winner = await Promise.race([
-      first.begun.then((good) => (good ? first : other)),
-      other.begun.then((good) => (good ? other : first)),
+      primary.firstTokenReceived.then((succeeded) =>
+        succeeded ? primary : hedge,
+      ),
+      hedge.firstTokenReceived.then((succeeded) =>
+        succeeded ? hedge : primary,
+      ),
     ]);
-    (winner === first ? other : first).cancel();
-    return winner.whole;
+    (winner === primary ? hedge : primary).cancel();
+    return winner.completed;
   }
 
-  private runOn(
+  private startAttempt(
     box: BoxState,
-    demand: Demand,
+    request: WorkloadRequest,
     slot: UpstreamSlot,
-    avoid: Set<string>,
-    started: number,
-  ): {begun: Promise<boolean>; whole: Promise<boolean>; cancel: () => void} {
-    const engine = this.engineOf(slot);
+    triedUpstreams: Set<string>,
+    startedAt: number,
+  ): {
+    firstTokenReceived: Promise<boolean>;
+    completed: Promise<boolean>;
+    cancel: () => void;
+  } {
+    const engine = this.engineOfSlot(slot);
     const sentAt = this.clock.now();
-    let made = 0;
-    let cancelled = false;
+    let generatedTokens = 0;
+    let isCancelled = false;
     let cancelEngine: () => void = () => undefined;
-    let begin: (good: boolean) => void = () => undefined;
-    let finish: (whole: boolean) => void = () => undefined;
-    const begun = new Promise<boolean>((resolve) => (begin = resolve));
-    const whole = new Promise<boolean>((resolve) => (finish = resolve));
-    let firstAt = 0;
+    let resolveFirstToken: (succeeded: boolean) => void = () => undefined;
+    let resolveCompleted: (completed: boolean) => void = () => undefined;
+    const firstTokenReceived = new Promise<boolean>(
+      (resolve) => (resolveFirstToken = resolve),
+    );
+    const completed = new Promise<boolean>(
+      (resolve) => (resolveCompleted = resolve),
+    );
+    let firstTokenAt = 0;
     cancelEngine = engine.submit({
-      onEnd: (good) => {
+      onEnd: (succeeded) => {
         slot[Symbol.dispose]();
-        if (!good) {
+        if (!succeeded) {
           slot.recordFailure();
-          avoid.add(slot.upstream.name);
+          triedUpstreams.add(slot.upstream.name);
         }
-        if (good && !cancelled) {
-          this.noteWhole(firstAt - started, made);
+        if (succeeded && !isCancelled) {
+          this.recordCompletion(firstTokenAt - startedAt, generatedTokens);
         }
-        begin(good);
-        finish(good);
+        resolveFirstToken(succeeded);
+        resolveCompleted(succeeded);
       },
       onFirstToken: () => {
-        made = 1;
-        firstAt = this.clock.now();
-        slot.recordFirstToken(firstAt - sentAt);
-        box.hedge.recordFirstToken(firstAt - sentAt);
-        box.prefixes.recordPrompt(slot.upstream.name, demand.prefix);
-        begin(true);
+        generatedTokens = 1;
+        firstTokenAt = this.clock.now();
+        slot.recordFirstToken(firstTokenAt - sentAt);
+        box.hedgePolicy.recordFirstToken(firstTokenAt - sentAt);
+        box.prefixIndex.recordPrompt(slot.upstream.name, request.prefix);
+        resolveFirstToken(true);
       },
-      onToken: (gap) => {
-        made += 1;
-        this.tally.between.add(gap);
+      onToken: (gapMs) => {
+        generatedTokens += 1;
+        this.tally.betweenTokens.record(gapMs);
       },
-      prefix: demand.prefix,
-      priority: demand.priority,
-      tokens: demand.tokens,
+      prefix: request.prefix,
+      priority: request.priority,
+      tokens: request.tokens,
     });
     const cancel = (): void => {
-      cancelled = true;
+      isCancelled = true;
       cancelEngine();
       slot[Symbol.dispose]();
-      finish(false);
+      resolveCompleted(false);
     };
-    return {begun, cancel, whole};
+    return {firstTokenReceived, cancel, completed};
   }
 
-  private noteWhole(firstMs: number, tokens: number): void {
-    this.tally.firstToken.add(firstMs);
-    this.tally.delivered += tokens;
-    if (firstMs <= this.situation.targetMs) {
+  private recordCompletion(firstTokenMs: number, tokens: number): void {
+    this.tally.firstToken.record(firstTokenMs);
+    this.tally.deliveredTokens += tokens;
+    if (firstTokenMs <= this.situation.firstTokenTargetMs) {
       this.tally.inTarget += 1;
     }
   }
 
-  private engineOf(slot: UpstreamSlot): VirtualEngine {
-    const at = Number(slot.upstream.name.slice('engine-'.length));
-    return this.engines[at] as VirtualEngine;
+  private engineOfSlot(slot: UpstreamSlot): SimulatedEngine {
+    const index = Number(slot.upstream.name.slice('engine-'.length));
+    return this.engines[index] as SimulatedEngine;
   }
 
-  /** What heartbeats do: boxes learn what the others have in flight. */
-  private async shareNews(): Promise<void> {
-    while (!this.over) {
-      await this.clock.sleep(NEWS_EVERY_MS);
-      this.engines.forEach((_, at) => {
+  /** Exchanges in-flight counts between boxes, as heartbeats do. */
+  private async exchangeInFlightCounts(): Promise<void> {
+    while (!this.isFinished) {
+      await this.clock.sleep(IN_FLIGHT_EXCHANGE_INTERVAL_MS);
+      this.engines.forEach((_, index) => {
         const counts = this.boxes.map(
-          ({router}) => router.upstreams[at]?.inFlight ?? 0,
+          ({router}) => router.upstreams[index]?.inFlight ?? 0,
         );
         const sum = counts.reduce((total, count) => total + count, 0);
-        this.boxes.forEach(({router}, box) => {
-          const upstream = router.upstreams[at];
+        this.boxes.forEach(({router}, boxIndex) => {
+          const upstream = router.upstreams[index];
           if (upstream !== undefined) {
-            upstream.otherBoxesInFlight = sum - (counts[box] ?? 0);
+            upstream.otherBoxesInFlight = sum - (counts[boxIndex] ?? 0);
           }
         });
       });
@@ -413,17 +462,19 @@
     }
   }
 
-  /** Engines' own reports, late, and one may lie. */
-  private async reportLoads(): Promise<void> {
-    const {liar, loadLagMs} = this.situation;
-    while (!this.over) {
-      const loads = this.engines.map((engine, at) =>
-        at === liar ? {running: 0, waiting: 0} : {...engine.load},
+  /** Delivers the load reports of the engines to all boxes after a delay. */
+  private async publishLoadReports(): Promise<void> {
+    const {misreportingEngine, loadReportDelayMs} = this.situation;
+    while (!this.isFinished) {
+      const loads = this.engines.map((engine, index) =>
+        index === misreportingEngine
+          ? {running: 0, waiting: 0}
+          : {...engine.load},
       );
-      void this.clock.sleep(loadLagMs).then(() => {
+      void this.clock.sleep(loadReportDelayMs).then(() => {
         for (const {router} of this.boxes) {
-          router.upstreams.forEach((upstream, at) => {
-            const load = loads[at];
+          router.upstreams.forEach((upstream, index) => {
+            const load = loads[index];
             if (load !== undefined) {
               upstream.recordLoadReport({
                 ...load,
@@ -437,23 +488,32 @@
     }
   }
 
-  private figures(): Figures {
+  private collectResult(): RoutingResult {
     const {tally} = this;
-    const tokens = this.engines.reduce((sum, engine) => sum + engine.tokens, 0);
-    const cached = this.engines.reduce((sum, one) => sum + one.cachedBlocks, 0);
-    const blocks = this.engines.reduce((sum, one) => sum + one.blocks, 0);
+    const tokens = this.engines.reduce(
+      (sum, engine) => sum + engine.generatedTokens,
+      0,
+    );
+    const cached = this.engines.reduce(
+      (sum, engine) => sum + engine.cachedPromptBlocks,
+      0,
+    );
+    const blocks = this.engines.reduce(
+      (sum, engine) => sum + engine.promptBlocks,
+      0,
+    );
     const shares = [...tally.teams.values()].map(
       ({asked, whole}) => whole / asked,
     );
     return {
       asked: tally.asked,
-      betweenTokens: tally.between.summary(),
+      betweenTokens: tally.betweenTokens.summary(),
       failed: tally.failed,
       firstToken: tally.firstToken.summary(),
       hitShare: cached / Math.max(1, blocks),
       inTarget: tally.inTarget,
       refused: tally.refused,
-      wastedShare: 1 - tally.delivered / Math.max(1, tokens),
+      wastedShare: 1 - tally.deliveredTokens / Math.max(1, tokens),
       whole: tally.whole,
       worstTeam: Math.min(...shares),
     };
--- a/packages/puffinturn-bench/src/RoutingWorkload.ts
+++ b/packages/puffinturn-bench/src/RoutingWorkload.ts
@@ -5,13 +5,13 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Seeded demand like that of the brief's users: teams, prompts, shifts. */
+/** Generates a reproducible open-loop workload from a seed. */
 import {Random} from 'shared';
 
 /** One request of the workload. */
-export interface Demand {
-  /** ms from the start. */
-  readonly at: number;
+export interface WorkloadRequest {
+  /** Time of arrival since the start, ms. */
+  readonly arrivalMs: number;
   readonly box: number;
   readonly team: string;
   readonly priority: number;
@@ -19,67 +19,70 @@
   readonly prefix: readonly string[];
 }
 
-/** What a workload is made from. */
+/** Parameters of a workload. */
 export interface WorkloadOptions {
   readonly seed: number;
   readonly durationMs: number;
-  /** Requests a second. */
-  readonly rate: number;
-  readonly boxes: number;
-  readonly teams: number;
-  /** Share of one large team. */
-  readonly largeShare: number;
-  /** Rate in a burst in the middle fifth, relative to the rest. */
-  readonly burst: number;
+  readonly requestsPerSecond: number;
+  readonly boxCount: number;
+  readonly teamCount: number;
+  /** Share of the requests that one large team sends. */
+  readonly largeTeamShare: number;
+  /** Factor on the request rate during the middle fifth of the run. */
+  readonly burstFactor: number;
 }
 
-const PROMPT_FAMILIES = 24;
-const SHARED_BLOCKS = 16;
-const OWN_BLOCKS = 4;
-const MIN_TOKENS = 20;
-const MAX_TOKENS = 180;
+const PROMPT_FAMILY_COUNT = 24;
+const SHARED_BLOCKS_PER_PROMPT = 16;
+const MAX_UNIQUE_BLOCKS = 4;
+const MIN_COMPLETION_TOKENS = 20;
+const MAX_COMPLETION_TOKENS = 180;
 
-/** Requests in order of time; the same options give the same ones. */
-export function makeWorkload(options: WorkloadOptions): Demand[] {
-  const {boxes, burst, durationMs, rate, seed} = options;
+/** Returns requests in order of arrival; equal options give equal requests. */
+export function generateWorkload(options: WorkloadOptions): WorkloadRequest[] {
+  const {boxCount, burstFactor, durationMs, requestsPerSecond, seed} = options;
   const random = new Random(seed);
-  const demands: Demand[] = [];
-  let at = 0;
+  const requests: WorkloadRequest[] = [];
+  let arrivalMs = 0;
   for (;;) {
-    const inBurst = at > durationMs * 0.4 && at < durationMs * 0.6;
-    const now = rate * (inBurst ? burst : 1);
-    at += (-Math.log(1 - random.fraction()) * 1_000) / now;
-    if (at >= durationMs) {
-      return demands;
+    const inBurst =
+      arrivalMs > durationMs * 0.4 && arrivalMs < durationMs * 0.6;
+    const currentRate = requestsPerSecond * (inBurst ? burstFactor : 1);
+    arrivalMs += (-Math.log(1 - random.fraction()) * 1_000) / currentRate;
+    if (arrivalMs >= durationMs) {
+      return requests;
     }
-    demands.push({
-      at,
-      box: random.integer(0, boxes - 1),
-      prefix: makePrefix(random, demands.length),
+    requests.push({
+      arrivalMs,
+      box: random.integer(0, boxCount - 1),
+      prefix: generatePrefix(random, requests.length),
       priority: random.fraction() < 0.2 ? 2 : 5,
-      team: teamOf(random, options),
-      tokens: random.integer(MIN_TOKENS, MAX_TOKENS),
+      team: pickTeam(random, options),
+      tokens: random.integer(MIN_COMPLETION_TOKENS, MAX_COMPLETION_TOKENS),
     });
   }
 }
 
-function teamOf(random: Random, {largeShare, teams}: WorkloadOptions): string {
-  return random.fraction() < largeShare
+function pickTeam(
+  random: Random,
+  {largeTeamShare, teamCount}: WorkloadOptions,
+): string {
+  return random.fraction() < largeTeamShare
     ? 'team-0'
-    : `team-${random.integer(1, teams - 1)}`;
+    : `team-${random.integer(1, teamCount - 1)}`;
 }
 
-/** A long prompt shared by a family, then blocks of its own. */
-function makePrefix(random: Random, id: number): string[] {
-  // Families are used unequally, as some prompts are in every label check.
-  const family = Math.floor(PROMPT_FAMILIES * random.fraction() ** 2);
+/** Returns prompt blocks shared by a prompt family, then unique blocks. */
+function generatePrefix(random: Random, id: number): string[] {
+  // Squaring makes some families more frequent than others.
+  const family = Math.floor(PROMPT_FAMILY_COUNT * random.fraction() ** 2);
   const shared = Array.from(
-    {length: SHARED_BLOCKS},
+    {length: SHARED_BLOCKS_PER_PROMPT},
     (_, block) => `family-${family}-${block}`,
   );
-  const own = Array.from(
-    {length: random.integer(0, OWN_BLOCKS)},
+  const unique = Array.from(
+    {length: random.integer(0, MAX_UNIQUE_BLOCKS)},
     (_, block) => `own-${id}-${block}`,
   );
-  return [...shared, ...own];
+  return [...shared, ...unique];
 }
--- a/packages/puffinturn-bench/src/index.ts
+++ b/packages/puffinturn-bench/src/index.ts
@@ -5,5 +5,5 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Load and experiment tool. */
-export {Quantiles} from './Quantiles';
+/** Benchmarks and simulation experiments. */
+export {LatencyHistogram} from './LatencyHistogram';
--- a/packages/puffinturn-bench/src/main.ts
+++ b/packages/puffinturn-bench/src/main.ts
@@ -6,7 +6,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Entry point: `npm run bench -- NAME [--json] [--seed N] [--seconds N]`. */
+/** Command line: `npm run bench -- NAME [--json] [--seed N] [--seconds N]`. */
 import {cac} from 'cac';
 import Table from 'cli-table3';
 
@@ -25,32 +25,38 @@
   readonly seed: number;
 }
 
-/** No lines between rows. */
-const NO_LINES = {'left-mid': '', mid: '', 'mid-mid': '', 'right-mid': ''};
+const NO_ROW_SEPARATORS = {
+  'left-mid': '',
+  mid: '',
+  'mid-mid': '',
+  'right-mid': '',
+};
 
 const cli = cac('puffinturn-bench');
 
-function show(rows: readonly object[], options: Options): void {
+function printRows(rows: readonly object[], options: Options): void {
   if (options.json === true) {
     process.stdout.write(`${JSON.stringify(rows, null, 2)}\n`);
     return;
   }
-  const flat = rows as readonly Record<string, number | string>[];
-  const head = Object.keys(flat[0] ?? {});
+  const records = rows as readonly Record<string, number | string>[];
+  const columns = Object.keys(records[0] ?? {});
   const table = new Table({
-    chars: NO_LINES,
-    head,
+    chars: NO_ROW_SEPARATORS,
+    head: columns,
     style: {border: [], head: []},
   });
-  table.push(...flat.map((row) => head.map((name) => String(row[name] ?? ''))));
+  table.push(
+    ...records.map((row) => columns.map((name) => String(row[name] ?? ''))),
+  );
   process.stdout.write(`${table.toString()}\n`);
 }
 
-function percent(share: number): string {
-  return `${(100 * share).toFixed(1)}%`;
+function formatPercent(fraction: number): string {
+  return `${(100 * fraction).toFixed(1)}%`;
 }
 
-function routingTable(rows: readonly RoutingRow[]): object[] {
+function toRoutingTable(rows: readonly RoutingRow[]): object[] {
   return rows.map(({decisions, figures, situation}) => ({
     situation,
     decisions,
@@ -62,13 +68,13 @@
     'in target': figures.inTarget,
     refused: figures.refused,
     failed: figures.failed,
-    'prefix hits': percent(figures.hitShare),
-    wasted: percent(figures.wastedShare),
-    'worst team': percent(figures.worstTeam),
+    'prefix hits': formatPercent(figures.hitShare),
+    wasted: formatPercent(figures.wastedShare),
+    'worst team': formatPercent(figures.worstTeam),
   }));
 }
 
-function command(
+function addCommand(
   name: string,
   description: string,
   run: (options: Options) => Promise<void>,
@@ -81,31 +87,70 @@
   .option('--seed <n>', 'Seed', {default: 1})
   .option('--seconds <n>', 'Length of a measurement', {default: 60});
 
-command('routing', 'Choice, limits and retries in virtual time', async (o) => {
-  const rows = await benchRouting(Number(o.seed), Number(o.seconds) * 1_000);
-  show(o.json === true ? rows : routingTable(rows), o);
-});
-command('overload', 'Load beyond the capacity in virtual time', async (o) => {
-  const rows = await benchOverload(Number(o.seed), Number(o.seconds) * 1_000);
-  show(o.json === true ? rows : routingTable(rows), o);
-});
+addCommand(
+  'routing',
+  'Choice, limits and retries in virtual time',
+  async (options) => {
+    const rows = await benchRouting(
+      Number(options.seed),
+      Number(options.seconds) * 1_000,
+    );
+    printRows(options.json === true ? rows : toRoutingTable(rows), options);
+  },
+);
+addCommand(
+  'overload',
+  'Load beyond the capacity in virtual time',
+  async (options) => {
+    const rows = await benchOverload(
+      Number(options.seed),
+      Number(options.seconds) * 1_000,
+    );
+    printRows(options.json === true ? rows : toRoutingTable(rows), options);
+  },
+);
 
-command('budgets', 'False refusals and overspend of two regions', async (o) => {
-  show(await benchBudgets(Number(o.seed)), o);
-});
-command('path', 'What one box adds and carries', async (o) => {
-  const seconds = Math.min(10, Number(o.seconds));
-  show([...(await benchPath(seconds)), ...(await benchEdge(seconds))], o);
-});
-command('edge', 'Processor time that requests cost an edge', async (o) => {
-  show(await benchEdge(Math.min(10, Number(o.seconds))), o);
-});
-command('faults', 'Time without admissions after faults', async (o) => {
-  show(await benchFaults(Math.ceil(Number(o.seconds) / 12)), o);
-});
-command('ledger', 'Admissions and settlements of a group', async (o) => {
-  show(await benchLedger(Math.min(10, Number(o.seconds))), o);
+addCommand(
+  'budgets',
+  'False refusals and overspend of two regions',
+  async (options) => {
+    printRows(await benchBudgets(Number(options.seed)), options);
+  },
+);
+addCommand('path', 'What one box adds and carries', async (options) => {
+  const seconds = Math.min(10, Number(options.seconds));
+  printRows(
+    [...(await benchPath(seconds)), ...(await benchEdge(seconds))],
+    options,
+  );
 });
+addCommand(
+  'edge',
+  'Processor time that requests cost an edge',
+  async (options) => {
+    printRows(await benchEdge(Math.min(10, Number(options.seconds))), options);
+  },
+);
+addCommand(
+  'faults',
+  'Time without admissions after faults',
+  async (options) => {
+    printRows(
+      await benchFaults(Math.ceil(Number(options.seconds) / 12)),
+      options,
+    );
+  },
+);
+addCommand(
+  'ledger',
+  'Admissions and settlements of a group',
+  async (options) => {
+    printRows(
+      await benchLedger(Math.min(10, Number(options.seconds))),
+      options,
+    );
+  },
+);
 
 cli
   .command('edge-process <settings>', 'The edge that `edge` measures')
