--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -63,9 +63,12 @@
       ],
       'no-restricted-syntax': [
         'error',
-        {message: 'Use a constant object.', selector: 'TSEnumDeclaration'},
         {
-          message: 'Failures are typed, never bare strings.',
+          message: 'Use a constant object instead of an enum.',
+          selector: 'TSEnumDeclaration',
+        },
+        {
+          message: 'Use a typed error instead of a string.',
           selector: "CallExpression[callee.name='err'] > Literal",
         },
       ],
@@ -79,17 +82,27 @@
     rules: {
       'no-restricted-imports': [
         'error',
-        {patterns: [{group: ['**/platform/**'], message: 'It depends on us.'}]},
+        {
+          patterns: [
+            {
+              group: ['**/platform/**'],
+              message: 'Packages must not import from platform/.',
+            },
+          ],
+        },
       ],
       'no-restricted-syntax': [
         'error',
-        {message: 'Use a constant object.', selector: 'TSEnumDeclaration'},
         {
-          message: 'Failures are typed, never bare strings.',
+          message: 'Use a constant object instead of an enum.',
+          selector: 'TSEnumDeclaration',
+        },
+        {
+          message: 'Use a typed error instead of a string.',
           selector: "CallExpression[callee.name='err'] > Literal",
         },
         {
-          message: 'Names of the platform stay in platform/.',
+          message: 'Platform-specific names are allowed only in platform/.',
           selector: `Literal[value=/${PLATFORM_NAMES}/i]`,
         },
       ],
--- a/jest.config.mjs
+++ b/jest.config.mjs
@@ -10,7 +10,7 @@
     '<rootDir>/platform/__tests__/**/*.test.ts',
   ],
   testPathIgnorePatterns: ['/node_modules/', '/dist/', '/target/'],
-  // A guard against hanging only: a busy machine must not change the verdict.
+  // Catches hung tests only; slow tests on a busy machine must not fail.
   testTimeout: 300_000,
   transform: {
     '^.+\\.ts$': [
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,16 +1,16 @@
 /**
- * Builds every package to packages/NAME/dist. Workspace and registry imports
- * stay external, so that each package is loaded once at run time.
+ * Bundles every package into packages/NAME/dist. Imports of other packages stay
+ * external, so that each package is loaded once at run time.
  */
 import {build} from 'esbuild';
 import {existsSync, readdirSync, rmSync} from 'node:fs';
 
-const ENTRIES = ['index', 'main'];
+const ENTRY_NAMES = ['index', 'main'];
 
 const entryPoints = readdirSync('packages').flatMap((name) =>
-  ENTRIES.filter((entry) => existsSync(`packages/${name}/src/${entry}.ts`)).map(
-    (entry) => ({entry, name}),
-  ),
+  ENTRY_NAMES.filter((entry) =>
+    existsSync(`packages/${name}/src/${entry}.ts`),
+  ).map((entry) => ({entry, name})),
 );
 
 for (const {name} of entryPoints) {
--- a/scripts/countReporter.mjs
+++ b/scripts/countReporter.mjs
@@ -1,18 +1,15 @@
-/** Prints the counts of all tests as the last line. */
+/** Jest reporter that prints the test counts as the last line of output. */
 import {writeSync} from 'node:fs';
 
-const STANDARD_OUTPUT = 1;
+const STDOUT_FD = 1;
 
 export default class CountReporter {
   onRunComplete(_contexts, results) {
     const {numFailedTests, numPassedTests, numRuntimeErrorTestSuites} = results;
     const failed = numFailedTests + numRuntimeErrorTestSuites;
-    // The summary of jest's own reporter comes after this call.
+    // Jest's default reporter prints its summary after this call.
     process.once('exit', () =>
-      writeSync(
-        STANDARD_OUTPUT,
-        `${numPassedTests} passed, ${failed} failed\n`,
-      ),
+      writeSync(STDOUT_FD, `${numPassedTests} passed, ${failed} failed\n`),
     );
   }
 }
--- a/scripts/example.mjs
+++ b/scripts/example.mjs
@@ -1,6 +1,6 @@
 /**
- * Starts one of the examples on loopback, each box and the stand-ins as a
- * process of its own: `npm run example -- cascadia` (or valtrebbia).
+ * Starts an example on loopback: `npm run example -- cascadia` (or valtrebbia).
+ * Each box is one process, and all stand-ins share one.
  */
 import {spawn} from 'node:child_process';
 import {mkdirSync, readdirSync, readFileSync, writeFileSync} from 'node:fs';
@@ -8,19 +8,21 @@
 import {request} from 'undici';
 
 const name = process.argv[2] ?? 'cascadia';
-const root = join('examples', name);
-const data = join('.data', name);
-const READY_MS = 40_000;
+const exampleDirectory = join('examples', name);
+const dataDirectory = join('.data', name);
+const READY_TIMEOUT_MS = 40_000;
 
-mkdirSync(data, {mode: 0o700, recursive: true});
-writeFileSync(join(data, 'fleet.key'), `example-${name}-`.repeat(4), {
+mkdirSync(dataDirectory, {mode: 0o700, recursive: true});
+writeFileSync(join(dataDirectory, 'fleet.key'), `example-${name}-`.repeat(4), {
+  mode: 0o600,
+});
+writeFileSync(join(dataDirectory, 'operator.key'), `pt-${name}-operator`, {
   mode: 0o600,
 });
-writeFileSync(join(data, 'operator.key'), `pt-${name}-operator`, {mode: 0o600});
 
 const children = [];
 
-function start(file, ...args) {
+function startProcess(file, ...args) {
   const child = spawn(process.execPath, [file, ...args], {
     stdio: ['ignore', 'ignore', 'inherit'],
   });
@@ -28,18 +30,18 @@
   return new Promise((resolve) => child.once('exit', resolve));
 }
 
-function run(...args) {
-  const tool = join('packages', 'puffinturn-cli', 'dist', 'main.js');
-  const child = spawn(process.execPath, [tool, ...args], {stdio: 'inherit'});
+function runCli(...args) {
+  const cli = join('packages', 'puffinturn-cli', 'dist', 'main.js');
+  const child = spawn(process.execPath, [cli, ...args], {stdio: 'inherit'});
   return new Promise((resolve) => child.once('exit', resolve));
 }
 
-async function waitFor(url) {
-  const end = Date.now() + READY_MS;
-  while (Date.now() < end) {
-    const answer = await request(url).catch(() => undefined);
-    await answer?.body.dump();
-    if (answer?.statusCode === 200) {
+async function waitUntilReady(url) {
+  const deadline = Date.now() + READY_TIMEOUT_MS;
+  while (Date.now() < deadline) {
+    const response = await request(url).catch(() => undefined);
+    await response?.body.dump();
+    if (response?.statusCode === 200) {
       return;
     }
     await new Promise((resolve) => setTimeout(resolve, 100));
@@ -47,33 +49,45 @@
   throw new Error(`${url} is not ready`);
 }
 
-const files = readdirSync(join(root, 'settings')).map((file) =>
-  join(root, 'settings', file),
+const settingsFiles = readdirSync(join(exampleDirectory, 'settings')).map(
+  (file) => join(exampleDirectory, 'settings', file),
+);
+const settings = settingsFiles.map((file) =>
+  JSON.parse(readFileSync(file, 'utf8')),
 );
-const settings = files.map((file) => JSON.parse(readFileSync(file, 'utf8')));
 const exits = [
-  start(
+  startProcess(
     'packages/puffinturn-stand-in/dist/main.js',
-    join(root, 'stand-ins.json'),
+    join(exampleDirectory, 'stand-ins.json'),
   ),
-  ...files.map((file) =>
-    start('packages/puffinturn-daemon/dist/main.js', file),
+  ...settingsFiles.map((file) =>
+    startProcess('packages/puffinturn-daemon/dist/main.js', file),
   ),
 ];
 process.on('SIGINT', () => {});
 process.once('SIGTERM', () => children.forEach((child) => child.kill()));
 
-const operator = `http://127.0.0.1:${settings[0].operators.port}`;
-await waitFor(`${operator}/healthz`);
-const access = ['--url', operator, '--key-file', join(data, 'operator.key')];
-await run('apply', '-f', join(root, 'declarations'), ...access);
+const operatorUrl = `http://127.0.0.1:${settings[0].operators.port}`;
+await waitUntilReady(`${operatorUrl}/healthz`);
+const cliOptions = [
+  '--url',
+  operatorUrl,
+  '--key-file',
+  join(dataDirectory, 'operator.key'),
+];
+await runCli(
+  'apply',
+  '-f',
+  join(exampleDirectory, 'declarations'),
+  ...cliOptions,
+);
 for (const {callers} of settings) {
-  await waitFor(`http://127.0.0.1:${callers.port}/readyz`);
+  await waitUntilReady(`http://127.0.0.1:${callers.port}/readyz`);
 }
 const ports = settings.map(({callers}) => callers.port).join(', ');
 process.stdout.write(`
 ${name} is ready: callers on 127.0.0.1 ports ${ports}
-  npx puffinturn status ${access.join(' ')}
+  npx puffinturn status ${cliOptions.join(' ')}
 Ctrl-C stops everything.
 `);
 await Promise.all(exits);
--- a/scripts/licence.mjs
+++ b/scripts/licence.mjs
@@ -1,4 +1,4 @@
-/** Puts the licence header on every source file that lacks it. */
+/** Adds the licence header to every source file that lacks it. */
 import {readdirSync, readFileSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
 
--- a/scripts/quickstart.mjs
+++ b/scripts/quickstart.mjs
@@ -1,6 +1,6 @@
 /**
- * Starts one box with two stand-in engines and a stand-in service on loopback
- * and prints a request to try. Everything lives in .data/quickstart.
+ * Starts one box with two stand-in engines and a stand-in service on loopback,
+ * and prints an example request. All files are written to .data/quickstart.
  */
 import {mkdirSync, readFileSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
@@ -11,29 +11,29 @@
 import {digestBytes} from 'shared';
 import {request} from 'undici';
 
-const FOLDER = join('.data', 'quickstart');
+const DIRECTORY = join('.data', 'quickstart');
 const CALLER_PORT = 7080;
 const OPERATOR_PORT = 7081;
 const LINK_PORT = 7082;
-const READY_MS = 20_000;
+const READY_TIMEOUT_MS = 20_000;
 const TEAM_KEY = 'pt-quickstart-team';
 const OPERATOR_KEY = 'pt-quickstart-operator';
 
-function fail(message) {
+function exitWithError(message) {
   process.stderr.write(`${message}\n`);
   process.exit(1);
 }
 
 function unwrap(result) {
-  return result.isOk() ? result.value : fail(result.error.message);
+  return result.isOk() ? result.value : exitWithError(result.error.message);
 }
 
 function writeSettings() {
-  mkdirSync(FOLDER, {mode: 0o700, recursive: true});
-  const fleetKey = join(FOLDER, 'fleet.key');
-  writeFileSync(fleetKey, 'quickstart-only-'.repeat(4), {mode: 0o600});
-  writeFileSync(join(FOLDER, 'operator.key'), OPERATOR_KEY, {mode: 0o600});
-  const file = join(FOLDER, 'settings.json');
+  mkdirSync(DIRECTORY, {mode: 0o700, recursive: true});
+  const fleetKeyFile = join(DIRECTORY, 'fleet.key');
+  writeFileSync(fleetKeyFile, 'quickstart-only-'.repeat(4), {mode: 0o600});
+  writeFileSync(join(DIRECTORY, 'operator.key'), OPERATOR_KEY, {mode: 0o600});
+  const file = join(DIRECTORY, 'settings.json');
   const settings = {
     box: 'box-1',
     callers: {host: '127.0.0.1', port: CALLER_PORT},
@@ -64,7 +64,7 @@
   return file;
 }
 
-function declarations(engines, service) {
+function buildDeclarations(engines, service) {
   const template = readFileSync(
     'examples/quickstart/declarations.json',
     'utf8',
@@ -77,32 +77,33 @@
   return JSON.parse(text);
 }
 
-/** Sends each declaration with the number after the one in force. */
-async function apply(list) {
+/** Sends each declaration, numbered one above its current version. */
+async function applyDeclarations(declarations) {
   const headers = {
     authorization: `Bearer ${OPERATOR_KEY}`,
     'content-type': 'application/json',
   };
-  const base = `http://127.0.0.1:${OPERATOR_PORT}`;
-  const config = await request(`${base}/v1/config`, {headers});
-  const {entries} = await config.body.json();
-  for (const item of list) {
-    const known = entries.find(
-      ({declaration: {kind, name}}) => kind === item.kind && name === item.name,
+  const baseUrl = `http://127.0.0.1:${OPERATOR_PORT}`;
+  const configResponse = await request(`${baseUrl}/v1/config`, {headers});
+  const {entries} = await configResponse.body.json();
+  for (const declaration of declarations) {
+    const current = entries.find(
+      ({declaration: {kind, name}}) =>
+        kind === declaration.kind && name === declaration.name,
     );
-    const number = (known?.declaration.number ?? 0) + 1;
+    const number = (current?.declaration.number ?? 0) + 1;
     const body = unwrap(
-      checkValue(DeclarationSchema, {...item, number}, 'quickstart'),
+      checkValue(DeclarationSchema, {...declaration, number}, 'quickstart'),
     );
-    const answer = await request(`${base}/v1/declarations`, {
+    const response = await request(`${baseUrl}/v1/declarations`, {
       body: JSON.stringify(body),
       headers,
       method: 'POST',
     });
-    if (answer.statusCode !== 200) {
-      fail(await answer.body.text());
+    if (response.statusCode !== 200) {
+      exitWithError(await response.body.text());
     }
-    await answer.body.dump();
+    await response.body.dump();
   }
 }
 
@@ -114,8 +115,8 @@
   process.once('SIGINT', resolve);
   process.once('SIGTERM', resolve);
 });
-await apply(declarations(engines, service));
-unwrap(await waitReady(daemon, READY_MS));
+await applyDeclarations(buildDeclarations(engines, service));
+unwrap(await waitReady(daemon, READY_TIMEOUT_MS));
 
 process.stdout.write(`
 puffinturn is ready: callers on 127.0.0.1:${CALLER_PORT}, operators on 127.0.0.1:${OPERATOR_PORT}
@@ -124,7 +125,7 @@
     -H 'Authorization: Bearer ${TEAM_KEY}' -H 'Content-Type: application/json' \\
     -d '{"model":"demo","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"hello"}]}'
 
-  npx puffinturn budget --key-file ${join(FOLDER, 'operator.key')}
+  npx puffinturn budget --key-file ${join(DIRECTORY, 'operator.key')}
 
 Ctrl-C stops everything.
 `);
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -1,29 +1,29 @@
 /**
- * Runs jest with the arguments given. Tests that KNOWN-RED.txt names may fail:
- * they are printed, and the run passes if nothing else failed. One that passes
- * is an error too, so that the list is never longer than what is red.
+ * Runs Jest with the given arguments. Tests listed in KNOWN-RED.txt are printed
+ * and may fail. The run fails if any other test fails, or if a listed test
+ * passes, so that fixed tests are removed from the list.
  */
 import {spawnSync} from 'node:child_process';
 import {existsSync, mkdtempSync, readFileSync, rmSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
 
-const LIST = 'KNOWN-RED.txt';
-const MAX_KNOWN = 3;
+const KNOWN_FAILURES_FILE = 'KNOWN-RED.txt';
+const MAX_KNOWN_FAILURES = 3;
 
-/** One line of the list: the full name of a test, its cause and its issue. */
-function readKnown() {
-  if (!existsSync(LIST)) {
+/** Parses the lines of the list: full test name, cause and issue. */
+function readKnownFailures() {
+  if (!existsSync(KNOWN_FAILURES_FILE)) {
     return [];
   }
-  return readFileSync(LIST, 'utf8')
+  return readFileSync(KNOWN_FAILURES_FILE, 'utf8')
     .split('\n')
     .filter((line) => line.trim() !== '')
     .map((line) => line.split(' | ').map((field) => field.trim()))
     .map(([name, cause, issue]) => ({cause, issue, name}));
 }
 
-function runJest(report) {
+function runJest(reportFile) {
   const {status} = spawnSync(
     process.execPath,
     [
@@ -31,7 +31,7 @@
       '--disable-warning=ExperimentalWarning',
       'node_modules/jest/bin/jest.js',
       '--json',
-      `--outputFile=${report}`,
+      `--outputFile=${reportFile}`,
       ...process.argv.slice(2),
     ],
     {stdio: 'inherit'},
@@ -39,37 +39,39 @@
   return status ?? 1;
 }
 
-function judge(status, known, report) {
-  if (known.length > MAX_KNOWN) {
-    console.error(`${LIST} names more than ${MAX_KNOWN} tests`);
+function computeExitCode(status, knownFailures, reportFile) {
+  if (knownFailures.length > MAX_KNOWN_FAILURES) {
+    console.error(
+      `${KNOWN_FAILURES_FILE} names more than ${MAX_KNOWN_FAILURES} tests`,
+    );
     return 1;
   }
-  if (known.length === 0 || !existsSync(report)) {
+  if (knownFailures.length === 0 || !existsSync(reportFile)) {
     return status;
   }
   const {numRuntimeErrorTestSuites, testResults} = JSON.parse(
-    readFileSync(report, 'utf8'),
+    readFileSync(reportFile, 'utf8'),
   );
   const tests = testResults.flatMap(({assertionResults}) => assertionResults);
-  const named = new Set(known.map(({name}) => name));
-  const isKnown = ({fullName}) => named.has(fullName);
+  const knownNames = new Set(knownFailures.map(({name}) => name));
+  const isKnown = ({fullName}) => knownNames.has(fullName);
   const failed = tests.filter(({status: outcome}) => outcome === 'failed');
   const passed = tests.filter(({status: outcome}) => outcome === 'passed');
-  for (const {cause, issue, name} of known) {
+  for (const {cause, issue, name} of knownFailures) {
     console.error(`known red: ${name}: ${cause} (${issue})`);
   }
   for (const {fullName} of passed.filter(isKnown)) {
-    console.error(`passes, take it off ${LIST}: ${fullName}`);
+    console.error(`passes, take it off ${KNOWN_FAILURES_FILE}: ${fullName}`);
   }
-  const sound =
+  const isAcceptable =
     numRuntimeErrorTestSuites === 0 &&
     failed.every(isKnown) &&
     !passed.some(isKnown);
-  return sound ? 0 : 1;
+  return isAcceptable ? 0 : 1;
 }
 
-const folder = mkdtempSync(join(tmpdir(), 'puffinturn-tests-'));
-const report = join(folder, 'report.json');
-const status = runJest(report);
-process.exitCode = judge(status, readKnown(), report);
-rmSync(folder, {recursive: true});
+const directory = mkdtempSync(join(tmpdir(), 'puffinturn-tests-'));
+const reportFile = join(directory, 'report.json');
+const status = runJest(reportFile);
+process.exitCode = computeExitCode(status, readKnownFailures(), reportFile);
+rmSync(directory, {recursive: true});
