--- a/packages/puffinturn-fuzz/src/FuzzFleet.ts
+++ b/packages/puffinturn-fuzz/src/FuzzFleet.ts
@@ -21,8 +21,8 @@
 import {invariant, ManualClock, Random, ScaledClock} from 'shared';
 
 import {CLOCK_RATES} from './ClockRates';
+import {UpstreamWorld, WorldClient} from './FakeUpstreams';
 import {PausableClock} from './PausableClock';
-import {UpstreamWorld, WorldClient} from './UpstreamWorld';
 
 /** Boxes of the fuzzed fleet: two regions, every hall without a quorum. */
 export const FUZZ_BOXES: readonly FleetBox[] = [
--- a/packages/puffinturn-fuzz/src/Oracle.ts
+++ b/packages/puffinturn-fuzz/src/Oracle.ts
@@ -11,11 +11,11 @@
  */
 import type {Outcome} from 'puffinturn-gateway';
 
+import type {UpstreamWorld} from './FakeUpstreams';
+import {STREAM_TOKENS} from './FakeUpstreams';
 import {FIRST_PRICE} from './FuzzDeclarations';
 import type {RequestKind} from './Step';
 import {REQUEST_KIND} from './Step';
-import type {UpstreamWorld} from './UpstreamWorld';
-import {STREAM_TOKENS} from './UpstreamWorld';
 
 /** One try of a caller and what it was told. */
 export interface CallerTry {
--- a/packages/puffinturn-fuzz/src/Step.ts
+++ b/packages/puffinturn-fuzz/src/Step.ts
@@ -8,9 +8,9 @@
 /** What a fuzzing run can do to a fleet. */
 import fc from 'fast-check';
 
+import type {Mode} from './FakeUpstreams';
+import {MODE} from './FakeUpstreams';
 import {FUZZ_BOXES} from './FuzzFleet';
-import type {Mode} from './UpstreamWorld';
-import {MODE} from './UpstreamWorld';
 
 /** Requests: few names, so that retries and racing keys are common. */
 export const REQUEST_NAMES = [
--- a/packages/puffinturn-fuzz/src/__tests__/unit/CrashingRequests.test.ts
+++ b/packages/puffinturn-fuzz/src/__tests__/unit/CrashingRequests.test.ts
@@ -12,7 +12,7 @@
  */
 import type {RunReport, Step} from '../../index';
 import {FuzzRun} from '../../index';
-import {ask, engines} from '../utils/Story';
+import {ask, engines} from '../utils/Scenarios';
 
 const SEED = 7;
 
--- a/packages/puffinturn-fuzz/src/__tests__/unit/Fuzz.test.ts
+++ b/packages/puffinturn-fuzz/src/__tests__/unit/Fuzz.test.ts
@@ -7,7 +7,7 @@
 
 import type {Step} from '../../index';
 import {BREAKAGES, fuzz, FuzzRun} from '../../index';
-import {ask} from '../utils/Story';
+import {ask} from '../utils/Scenarios';
 
 describe('fuzz', () => {
   test('a short fixed part keeps every promise', async () => {
--- a/packages/puffinturn-fuzz/src/__tests__/unit/Golden.test.ts
+++ b/packages/puffinturn-fuzz/src/__tests__/unit/Golden.test.ts
@@ -11,7 +11,7 @@
  */
 import type {Step} from '../../index';
 import {FuzzRun} from '../../index';
-import {ask, storyOf} from '../utils/Story';
+import {ask, storyOf} from '../utils/Scenarios';
 
 const SEED = 5;
 
--- a/packages/puffinturn-fuzz/src/__tests__/unit/LimitedUpstreams.test.ts
+++ b/packages/puffinturn-fuzz/src/__tests__/unit/LimitedUpstreams.test.ts
@@ -10,10 +10,10 @@
  * three boxes is asked for something every 300 ms. A box that keeps to that by itself
  * lets three times as much through.
  */
+import {LIMIT_PER_S} from '../../FakeUpstreams';
 import type {Step} from '../../index';
 import {FuzzRun} from '../../index';
-import {LIMIT_PER_S} from '../../UpstreamWorld';
-import {ask, engines} from '../utils/Story';
+import {ask, engines} from '../utils/Scenarios';
 
 const BOXES = ['n1', 'n2', 'n4'];
 const ENGINES = 2;
--- a/packages/puffinturn-fuzz/src/__tests__/unit/RestingUpstreams.test.ts
+++ b/packages/puffinturn-fuzz/src/__tests__/unit/RestingUpstreams.test.ts
@@ -10,10 +10,10 @@
  * asked for something every 300 ms. Without a memory of what they asked for, each
  * request is sent to both of them.
  */
+import {REST_S} from '../../FakeUpstreams';
 import type {Step} from '../../index';
 import {FuzzRun} from '../../index';
-import {REST_S} from '../../UpstreamWorld';
-import {ask, engines} from '../utils/Story';
+import {ask, engines} from '../utils/Scenarios';
 
 const SEED = 7;
 
--- a/packages/puffinturn-fuzz/src/__tests__/utils/Story.ts
+++ b/packages/puffinturn-fuzz/src/__tests__/utils/Scenarios.ts
@@ -6,9 +6,9 @@
  */
 
 /** Words a run's time line for golden files: no ids, no times. */
+import type {Mode} from '../../FakeUpstreams';
 import type {RunReport, Step} from '../../index';
 import {ENGINE_URLS} from '../../Step';
-import type {Mode} from '../../UpstreamWorld';
 
 /** Kinds of events that tell nothing about a story. */
 const SILENT = new Set(['box-registered', 'config-changed', 'started']);
