--- a/packages/puffinturn-stand-in/bin/puffinturn-stand-in.mjs
+++ b/packages/puffinturn-stand-in/bin/puffinturn-stand-in.mjs
@@ -1,3 +1,3 @@
 #!/usr/bin/env node
-// Built by `npm run build`; this file is here so that npm can link it.
+// npm links this file before `npm run build` creates the bundle.
 import '../dist/main.js';
--- a/packages/puffinturn-stand-in/src/Engine.ts
+++ b/packages/puffinturn-stand-in/src/Engine.ts
@@ -6,10 +6,9 @@
  */
 
 /**
- * A small model engine: batches continuously, caches prompt prefixes in
- * bounded memory, honours priorities, reports its load with a lag, and takes
- * fenced orders. The n-th token of every answer is `tN `, so that anybody can
- * tell a whole answer from a damaged one.
+ * A fake model engine with continuous batching, a bounded prefix cache, request
+ * priorities, delayed load reports and orders with fencing tokens. Token N of each
+ * response is `tN `, so that a caller can detect missing or repeated tokens.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
@@ -17,25 +16,25 @@
 
 import {sendJson, StandInServer} from './StandInServer';
 
-/** How fast an engine is and what it holds. */
+/** Speed and capacity of an engine. */
 export interface EngineProfile {
-  /** Requests in one batch at most. */
+  /** Maximum number of requests in a batch. */
   readonly slots: number;
-  /** Time of one step with one request, ms. */
+  /** Base duration of a step, ms. */
   readonly stepMs: number;
-  /** Time that each further request adds to a step, ms. */
+  /** Time that each request in the batch adds to a step, ms. */
   readonly stepPerRequestMs: number;
-  /** Time for one uncached prompt token, ms. */
+  /** Prefill time of an uncached prompt token, ms. */
   readonly prefillMsPerToken: number;
-  /** Blocks of prompt that the cache holds. */
+  /** Capacity of the prefix cache, prompt blocks. */
   readonly cacheBlocks: number;
-  /** Age of load reports, ms. */
+  /** Delay of load reports, ms. */
   readonly loadLagMs: number;
-  /** Whether orders with an old fence are refused. */
+  /** Whether orders with a stale fencing token are rejected. */
   readonly checksFences: boolean;
 }
 
-/** An engine of medium speed. */
+/** The profile of an engine of medium speed. */
 export const DEFAULT_PROFILE: EngineProfile = {
   cacheBlocks: 2_000,
   checksFences: true,
@@ -46,10 +45,10 @@
   stepPerRequestMs: 0.5,
 };
 
-const BLOCK_CHARACTERS = 512;
+const CHARACTERS_PER_BLOCK = 512;
 const BYTES_PER_TOKEN = 4;
-const CACHED_PREFILL_SHARE = 0.02;
-const DEFAULT_TOKENS = 16;
+const CACHED_PREFILL_COST_RATIO = 0.02;
+const DEFAULT_MAX_TOKENS = 16;
 
 interface CompletionRequest {
   readonly model?: string;
@@ -66,16 +65,16 @@
   readonly chat: boolean;
   readonly response: ServerResponse;
   readonly promptTokens: number;
-  readonly firstToken: number;
-  readonly wanted: number;
+  readonly firstTokenIndex: number;
+  readonly maxTokens: number;
   readonly priority: number;
-  /** When the prompt is computed, ms. */
-  readyAt: number;
-  made: number;
+  /** Time at which the prefill ends, ms. */
+  prefillEndsAt: number;
+  generatedTokens: number;
   text: string;
-  gone: boolean;
-  /** Tokens after which the connection is dropped. */
-  readonly dropAfter: number;
+  isDisconnected: boolean;
+  /** Number of tokens after which the connection is closed. */
+  readonly dropAfterTokens: number;
 }
 
 interface Order {
@@ -84,15 +83,15 @@
   readonly model?: string;
 }
 
-/** See the module comment. */
+/** A fake model engine. */
 export class Engine extends StandInServer {
-  /** Requests that began to run. */
+  /** Number of requests that entered a batch. */
   started = 0;
-  /** Tokens made in all, for measuring wasted work. */
+  /** Total number of generated tokens. */
   tokens = 0;
-  /** Prompt tokens that were found in the cache. */
+  /** Total number of prompt tokens found in the prefix cache. */
   cachedTokens = 0;
-  /** Prompt tokens in all. */
+  /** Total number of prompt tokens. */
   promptTokens = 0;
   private readonly waiting: Sequence[] = [];
   private readonly running: Sequence[] = [];
@@ -101,25 +100,25 @@
     [];
   private readonly models = new Set<string>();
   private highestFence = 0;
-  private stepping = false;
+  private isStepping = false;
 
   constructor(private readonly profile: EngineProfile = DEFAULT_PROFILE) {
     super();
     this.cache = new LRUCache({max: Math.max(1, profile.cacheBlocks)});
   }
 
-  protected override async answer(
+  protected override async handleRequest(
     request: IncomingMessage,
     body: string,
     response: ServerResponse,
   ): Promise<void> {
     switch (request.url) {
       case '/v1/chat/completions':
-        return this.complete(body, true, response);
+        return this.handleCompletion(body, true, response);
       case '/v1/completions':
-        return this.complete(body, false, response);
+        return this.handleCompletion(body, false, response);
       case '/orders':
-        return this.order(JSON.parse(body) as Order, response);
+        return this.handleOrder(JSON.parse(body) as Order, response);
       case '/stats':
         return sendJson(response, 200, this.stats());
       default:
@@ -140,9 +139,9 @@
     };
   }
 
-  private order(order: Order, response: ServerResponse): void {
-    const stale = order.fence < this.highestFence;
-    if (stale && this.profile.checksFences) {
+  private handleOrder(order: Order, response: ServerResponse): void {
+    const isStale = order.fence < this.highestFence;
+    if (isStale && this.profile.checksFences) {
       sendJson(response, 409, {error: {message: 'an old fence'}});
       return;
     }
@@ -155,40 +154,40 @@
     sendJson(response, 200, {models: [...this.models]});
   }
 
-  private async complete(
+  private async handleCompletion(
     text: string,
     chat: boolean,
     response: ServerResponse,
   ): Promise<void> {
     const {faults} = this;
-    this.writeLoad(response);
+    this.writeLoadHeaders(response);
     if (faults.leaving) {
       response.setHeader('puffinturn-leaving', 'true');
       response.setHeader('puffinturn-not-run', 'true');
       return sendJson(response, 503, {error: {message: 'leaving'}});
     }
-    if (this.strikes(faults.dropBefore)) {
+    if (this.shouldInjectFault(faults.dropBefore)) {
       response.destroy();
       return;
     }
-    if (this.strikes(faults.fail)) {
+    if (this.shouldInjectFault(faults.fail)) {
       return sendJson(response, 500, {error: {message: 'broken'}});
     }
     if (faults.hang) {
       return;
     }
     const body = JSON.parse(text) as CompletionRequest;
-    const sequence = this.sequenceOf(body, chat, response);
-    response.on('close', () => (sequence.gone = true));
+    const sequence = this.createSequence(body, chat, response);
+    response.on('close', () => (sequence.isDisconnected = true));
     this.waiting.push(sequence);
     this.waiting.sort((a, b) => a.priority - b.priority);
-    if (!this.stepping) {
-      this.stepping = true;
-      void this.runSteps();
+    if (!this.isStepping) {
+      this.isStepping = true;
+      void this.runBatchLoop();
     }
   }
 
-  private sequenceOf(
+  private createSequence(
     body: CompletionRequest,
     chat: boolean,
     response: ServerResponse,
@@ -196,39 +195,49 @@
     const prompt = chat
       ? JSON.stringify(body.messages ?? [])
       : (body.prompt ?? '');
-    const last = String(body.messages?.at(-1)?.content ?? body.prompt ?? '');
-    const continued = body.continue_final_message === true || !chat;
-    const made = continued ? (last.match(/\bt\d+ /g)?.length ?? 0) : 0;
+    const lastText = String(
+      body.messages?.at(-1)?.content ?? body.prompt ?? '',
+    );
+    const isContinuation = body.continue_final_message === true || !chat;
+    const previousTokens = isContinuation
+      ? (lastText.match(/\bt\d+ /g)?.length ?? 0)
+      : 0;
     return {
       body,
       chat,
-      dropAfter: this.strikes(this.faults.dropAfter) ? 3 : Infinity,
-      firstToken: made,
-      gone: false,
-      made: 0,
+      dropAfterTokens: this.shouldInjectFault(this.faults.dropAfter)
+        ? 3
+        : Infinity,
+      firstTokenIndex: previousTokens,
+      generatedTokens: 0,
+      isDisconnected: false,
+      maxTokens: body.max_tokens ?? DEFAULT_MAX_TOKENS,
+      prefillEndsAt: 0,
       priority: body.priority ?? 5,
       promptTokens: Math.ceil(Buffer.byteLength(prompt) / BYTES_PER_TOKEN),
-      readyAt: 0,
       response,
       text: '',
-      wanted: body.max_tokens ?? DEFAULT_TOKENS,
     };
   }
 
-  /** One step makes one token for each request in the batch. */
-  private async runSteps(): Promise<void> {
+  /** Runs steps while there are requests; each generates one token per request. */
+  private async runBatchLoop(): Promise<void> {
     const {profile} = this;
-    let due = performance.now();
+    let nextStepAt = performance.now();
     while (this.running.length + this.waiting.length > 0) {
       this.fillBatch();
-      const batch = this.running.length;
-      const length = profile.stepMs + profile.stepPerRequestMs * batch;
-      due = Math.max(due + length, performance.now() - length);
-      const pause = due - performance.now();
-      await new Promise((resolve) => setTimeout(resolve, Math.max(0, pause)));
-      this.step();
+      const batchSize = this.running.length;
+      const stepDurationMs =
+        profile.stepMs + profile.stepPerRequestMs * batchSize;
+      nextStepAt = Math.max(
+        nextStepAt + stepDurationMs,
+        performance.now() - stepDurationMs,
+      );
+      const delayMs = nextStepAt - performance.now();
+      await new Promise((resolve) => setTimeout(resolve, Math.max(0, delayMs)));
+      this.runStep();
     }
-    this.stepping = false;
+    this.isStepping = false;
   }
 
   private fillBatch(): void {
@@ -237,74 +246,75 @@
       if (next === undefined) {
         return;
       }
-      if (!next.gone) {
-        this.prefill(next);
+      if (!next.isDisconnected) {
+        this.startPrefill(next);
         this.running.push(next);
         this.started += 1;
       }
     }
   }
 
-  private prefill(sequence: Sequence): void {
+  private startPrefill(sequence: Sequence): void {
     const {body, promptTokens} = sequence;
     const prompt = body.prompt ?? JSON.stringify(body.messages ?? []);
-    const blocks = Math.floor(prompt.length / BLOCK_CHARACTERS);
-    let cached = 0;
-    for (let at = 1; at <= blocks; at += 1) {
-      const prefix = prompt.slice(0, at * BLOCK_CHARACTERS);
-      if (this.cache.get(prefix) === true && cached === at - 1) {
-        cached = at;
+    const blocks = Math.floor(prompt.length / CHARACTERS_PER_BLOCK);
+    let cachedBlocks = 0;
+    for (let block = 1; block <= blocks; block += 1) {
+      const prefix = prompt.slice(0, block * CHARACTERS_PER_BLOCK);
+      if (this.cache.get(prefix) === true && cachedBlocks === block - 1) {
+        cachedBlocks = block;
       }
       this.cache.set(prefix, true);
     }
-    const share = blocks === 0 ? 0 : cached / blocks;
-    const work = promptTokens * (1 - share * (1 - CACHED_PREFILL_SHARE));
-    this.cachedTokens += Math.round(promptTokens * share);
+    const cachedRatio = blocks === 0 ? 0 : cachedBlocks / blocks;
+    const tokensToCompute =
+      promptTokens * (1 - cachedRatio * (1 - CACHED_PREFILL_COST_RATIO));
+    this.cachedTokens += Math.round(promptTokens * cachedRatio);
     this.promptTokens += promptTokens;
-    sequence.readyAt =
+    sequence.prefillEndsAt =
       performance.now() +
-      work * this.profile.prefillMsPerToken +
+      tokensToCompute * this.profile.prefillMsPerToken +
       this.faults.slowMs;
   }
 
-  private step(): void {
+  private runStep(): void {
     const now = performance.now();
     for (const sequence of [...this.running]) {
-      if (sequence.gone) {
-        this.leave(sequence);
-      } else if (sequence.readyAt <= now) {
-        this.makeToken(sequence);
+      if (sequence.isDisconnected) {
+        this.removeFromBatch(sequence);
+      } else if (sequence.prefillEndsAt <= now) {
+        this.generateToken(sequence);
       }
     }
   }
 
-  private makeToken(sequence: Sequence): void {
+  private generateToken(sequence: Sequence): void {
     const {body, response} = sequence;
-    const token = `t${sequence.firstToken + sequence.made} `;
-    sequence.made += 1;
+    const token = `t${sequence.firstTokenIndex + sequence.generatedTokens} `;
+    sequence.generatedTokens += 1;
     sequence.text += token;
     this.tokens += 1;
-    if (sequence.made > sequence.dropAfter) {
+    if (sequence.generatedTokens > sequence.dropAfterTokens) {
       response.destroy();
-      this.leave(sequence);
+      this.removeFromBatch(sequence);
       return;
     }
     if (body.stream === true) {
       if (!response.headersSent) {
         response.writeHead(200, {'content-type': 'text/event-stream'});
       }
-      response.write(`data: ${chunkOf(sequence, token)}\n\n`);
+      response.write(`data: ${formatChunk(sequence, token)}\n\n`);
     }
-    if (sequence.made >= sequence.wanted) {
+    if (sequence.generatedTokens >= sequence.maxTokens) {
       this.finish(sequence);
     }
   }
 
   private finish(sequence: Sequence): void {
     const {body, response} = sequence;
-    this.leave(sequence);
+    this.removeFromBatch(sequence);
     if (body.stream === true) {
-      const usage = JSON.stringify({choices: [], usage: usageOf(sequence)});
+      const usage = JSON.stringify({choices: [], usage: tokenUsage(sequence)});
       response.end(`data: ${usage}\n\ndata: [DONE]\n\n`);
       return;
     }
@@ -316,19 +326,19 @@
       choices: [{...choice, finish_reason: 'length', index: 0}],
       model: body.model,
       object: chat ? 'chat.completion' : 'text_completion',
-      usage: usageOf(sequence),
+      usage: tokenUsage(sequence),
     });
   }
 
-  private leave(sequence: Sequence): void {
-    const at = this.running.indexOf(sequence);
-    if (at >= 0) {
-      this.running.splice(at, 1);
+  private removeFromBatch(sequence: Sequence): void {
+    const index = this.running.indexOf(sequence);
+    if (index >= 0) {
+      this.running.splice(index, 1);
     }
   }
 
-  /** Writes a load report that is as old as the profile says. */
-  private writeLoad(response: ServerResponse): void {
+  /** Sets the load headers to the load of `loadLagMs` ago. */
+  private writeLoadHeaders(response: ServerResponse): void {
     const now = performance.now();
     const {reports} = this;
     reports.push({
@@ -339,28 +349,28 @@
     while ((reports[1]?.at ?? Infinity) <= now - this.profile.loadLagMs) {
       reports.shift();
     }
-    const hidden = this.faults.hidesLoad;
+    const isHidden = this.faults.hidesLoad;
     const report = reports[0];
     response.setHeader(
       'puffinturn-running',
-      String(hidden ? 0 : (report?.running ?? 0)),
+      String(isHidden ? 0 : (report?.running ?? 0)),
     );
     response.setHeader(
       'puffinturn-waiting',
-      String(hidden ? 0 : (report?.waiting ?? 0)),
+      String(isHidden ? 0 : (report?.waiting ?? 0)),
     );
   }
 }
 
-function usageOf({made, promptTokens}: Sequence) {
+function tokenUsage({generatedTokens, promptTokens}: Sequence) {
   return {
-    completion_tokens: made,
+    completion_tokens: generatedTokens,
     prompt_tokens: promptTokens,
-    total_tokens: made + promptTokens,
+    total_tokens: generatedTokens + promptTokens,
   };
 }
 
-function chunkOf({body, chat}: Sequence, token: string): string {
+function formatChunk({body, chat}: Sequence, token: string): string {
   const choice = chat ? {delta: {content: token}} : {text: token};
   return JSON.stringify({
     choices: [{...choice, index: 0}],
--- a/packages/puffinturn-stand-in/src/Faults.ts
+++ b/packages/puffinturn-stand-in/src/Faults.ts
@@ -5,27 +5,27 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Faults that a control call switches on, for engines and services alike. */
+/** Faults of a stand-in, set by `POST /control`. */
 
-/** What a stand-in does wrong. */
+/** Faults that a stand-in injects. */
 export interface Faults {
-  /** Extra time before each answer, ms. */
+  /** Extra latency before each response, ms. */
   slowMs: number;
-  /** Share of requests whose connection ends before the first byte. */
+  /** Fraction of requests whose connection is closed before the request runs. */
   dropBefore: number;
-  /** Share of requests whose connection ends in the middle of the answer. */
+  /** Fraction of requests whose connection is closed after the request started to run. */
   dropAfter: number;
-  /** Share of requests answered with status 500. */
+  /** Fraction of requests that fail with status 500. */
   fail: number;
-  /** Takes requests and never answers. */
+  /** Accepts requests and never responds. */
   hang: boolean;
-  /** Refuses new work and says so. */
+  /** Rejects new requests with a header that says that it is draining. */
   leaving: boolean;
-  /** Reports no load whatever it has. */
+  /** Reports a load of zero. */
   hidesLoad: boolean;
 }
 
-/** No faults. */
+/** Creates a set of faults in which none is enabled. */
 export function noFaults(): Faults {
   return {
     dropAfter: 0,
--- a/packages/puffinturn-stand-in/src/PlainService.ts
+++ b/packages/puffinturn-stand-in/src/PlainService.ts
@@ -5,26 +5,25 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** A plain service that counts every execution by business key. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
 import {sendJson, StandInServer} from './StandInServer';
 
-/** See the module comment. */
+/** A plain service that counts executions by business key. */
 export class PlainService extends StandInServer {
-  /** Executions by the `order` field of the body (or the path without one). */
+  /** Number of executions by the `order` field of the body, or by path without one. */
   readonly executions = new Map<string, number>();
 
-  constructor(private readonly workMs = 5) {
+  constructor(private readonly latencyMs = 5) {
     super();
   }
 
-  /** Executions in all. */
+  /** Total number of executions. */
   get total(): number {
     return [...this.executions.values()].reduce((sum, count) => sum + count, 0);
   }
 
-  protected override async answer(
+  protected override async handleRequest(
     request: IncomingMessage,
     body: string,
     response: ServerResponse,
@@ -39,31 +38,31 @@
       response.setHeader('puffinturn-not-run', 'true');
       return sendJson(response, 503, {error: 'leaving'});
     }
-    if (this.strikes(faults.dropBefore)) {
+    if (this.shouldInjectFault(faults.dropBefore)) {
       response.destroy();
       return;
     }
-    const key = orderOf(body) ?? request.url ?? '';
-    const count = (this.executions.get(key) ?? 0) + 1;
-    this.executions.set(key, count);
+    const key = parseOrder(body) ?? request.url ?? '';
+    const executionCount = (this.executions.get(key) ?? 0) + 1;
+    this.executions.set(key, executionCount);
     await new Promise((resolve) =>
-      setTimeout(resolve, this.workMs + faults.slowMs),
+      setTimeout(resolve, this.latencyMs + faults.slowMs),
     );
     if (faults.hang) {
       return;
     }
-    if (this.strikes(faults.dropAfter)) {
+    if (this.shouldInjectFault(faults.dropAfter)) {
       response.destroy();
       return;
     }
-    if (this.strikes(faults.fail)) {
+    if (this.shouldInjectFault(faults.fail)) {
       return sendJson(response, 500, {error: 'broken'});
     }
-    sendJson(response, 200, {execution: count, order: key});
+    sendJson(response, 200, {execution: executionCount, order: key});
   }
 }
 
-function orderOf(body: string): string | undefined {
+function parseOrder(body: string): string | undefined {
   try {
     const {order} = JSON.parse(body) as {order?: unknown};
     return typeof order === 'string' ? order : undefined;
--- a/packages/puffinturn-stand-in/src/PlatformStandIn.ts
+++ b/packages/puffinturn-stand-in/src/PlatformStandIn.ts
@@ -5,38 +5,37 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The platform's list of members, which shows changes late. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
 import {sendJson, StandInServer} from './StandInServer';
 
-/** A member as the list shows it. */
+/** A member of the platform's list. */
 export interface ListedMember {
   readonly name: string;
   readonly state: 'gone' | 'leaving' | 'live';
 }
 
-/** See the module comment. */
+/** The member list of the platform; changes become visible after a delay. */
 export class PlatformStandIn extends StandInServer {
-  private shown: readonly ListedMember[] = [];
+  private visibleMembers: readonly ListedMember[] = [];
 
-  constructor(private readonly lagMs = 2_000) {
+  constructor(private readonly delayMs = 2_000) {
     super();
   }
 
-  /** Changes the list; callers see it after the lag. */
-  set(members: readonly ListedMember[]): void {
-    setTimeout(() => (this.shown = members), this.lagMs).unref();
+  /** Replaces the list; the change becomes visible after `delayMs`. */
+  setMembers(members: readonly ListedMember[]): void {
+    setTimeout(() => (this.visibleMembers = members), this.delayMs).unref();
   }
 
-  protected override async answer(
+  protected override async handleRequest(
     request: IncomingMessage,
     body: string,
     response: ServerResponse,
   ): Promise<void> {
     if (request.method === 'PUT') {
-      this.set((JSON.parse(body) as {members: ListedMember[]}).members);
+      this.setMembers((JSON.parse(body) as {members: ListedMember[]}).members);
     }
-    sendJson(response, 200, {members: this.shown});
+    sendJson(response, 200, {members: this.visibleMembers});
   }
 }
--- a/packages/puffinturn-stand-in/src/StandInServer.ts
+++ b/packages/puffinturn-stand-in/src/StandInServer.ts
@@ -5,22 +5,21 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The HTTP server that all stand-ins share. */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {createServer} from 'node:http';
 
 import type {Faults} from './Faults';
 import {noFaults} from './Faults';
 
-/** Answers requests on loopback; `/control` changes its faults. */
+/** Base class of the stand-ins: an HTTP server; `POST /control` sets its faults. */
 export abstract class StandInServer implements AsyncDisposable {
-  /** Faults at the moment. */
+  /** Faults that are currently injected. */
   readonly faults: Faults = noFaults();
   private readonly server = createServer((request, response) => {
-    void this.receive(request, response);
+    void this.readAndHandle(request, response);
   });
 
-  /** Starts to listen; port 0 takes a free one. */
+  /** Starts to listen; port 0 selects a free port. */
   async listen(port = 0, host = '127.0.0.1'): Promise<this> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -29,7 +28,7 @@
     return this;
   }
 
-  /** The address for upstream declarations. */
+  /** The base URL on loopback, as upstream declarations need it. */
   get url(): string {
     const address = this.server.address();
     const port = typeof address === 'object' ? address?.port : undefined;
@@ -42,41 +41,41 @@
     await closed;
   }
 
-  /** Answers a request whose body has been read. */
-  protected abstract answer(
+  /** Responds to a request whose body has been read. */
+  protected abstract handleRequest(
     request: IncomingMessage,
     body: string,
     response: ServerResponse,
   ): Promise<void>;
 
-  /** True with the given probability. */
-  protected strikes(share: number): boolean {
-    return share > 0 && Math.random() < share;
+  /** Returns true with the given probability. */
+  protected shouldInjectFault(probability: number): boolean {
+    return probability > 0 && Math.random() < probability;
   }
 
-  private async receive(
+  private async readAndHandle(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    const parts: Buffer[] = [];
+    const chunks: Buffer[] = [];
     try {
-      for await (const part of request) {
-        parts.push(part);
+      for await (const chunk of request) {
+        chunks.push(chunk);
       }
     } catch {
       return;
     }
-    const body = Buffer.concat(parts).toString();
+    const body = Buffer.concat(chunks).toString();
     if (request.url === '/control') {
       Object.assign(this.faults, JSON.parse(body || '{}'));
       sendJson(response, 200, this.faults);
       return;
     }
-    await this.answer(request, body, response);
+    await this.handleRequest(request, body, response);
   }
 }
 
-/** Sends a JSON answer. */
+/** Sends a JSON response. */
 export function sendJson(
   response: ServerResponse,
   status: number,
--- a/packages/puffinturn-stand-in/src/index.ts
+++ b/packages/puffinturn-stand-in/src/index.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Small stand-ins for engines, plain services and the platform's list. */
+/** Small fake servers: model engines, plain services and the platform's member list. */
 export type {EngineProfile} from './Engine';
 export {DEFAULT_PROFILE, Engine} from './Engine';
 export type {Faults} from './Faults';
--- a/packages/puffinturn-stand-in/src/main.ts
+++ b/packages/puffinturn-stand-in/src/main.ts
@@ -6,10 +6,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/**
- * Entry point: `puffinturn-stand-in FILE` starts the stand-ins that a JSON
- * file lists, for trying things out on loopback.
- */
+/** Entry point: `puffinturn-stand-in FILE` starts the servers listed in a JSON file. */
 import {readFile} from 'node:fs/promises';
 
 import {z} from 'zod';
@@ -19,7 +16,7 @@
 import {PlatformStandIn} from './PlatformStandIn';
 import type {StandInServer} from './StandInServer';
 
-const FileSchema = z.strictObject({
+const ConfigSchema = z.strictObject({
   engines: z
     .array(
       z.strictObject({
@@ -38,19 +35,19 @@
 });
 
 async function main(file: string): Promise<void> {
-  const plan = FileSchema.parse(JSON.parse(await readFile(file, 'utf8')));
+  const config = ConfigSchema.parse(JSON.parse(await readFile(file, 'utf8')));
   const servers: StandInServer[] = [];
-  for (const {port, profile = {}} of plan.engines) {
+  for (const {port, profile = {}} of config.engines) {
     const {slots = DEFAULT_PROFILE.slots, stepMs = DEFAULT_PROFILE.stepMs} =
       profile;
     const engine = new Engine({...DEFAULT_PROFILE, slots, stepMs});
     servers.push(await engine.listen(port));
   }
-  for (const {port} of plan.services) {
+  for (const {port} of config.services) {
     servers.push(await new PlainService().listen(port));
   }
-  if (plan.platform !== undefined) {
-    servers.push(await new PlatformStandIn().listen(plan.platform.port));
+  if (config.platform !== undefined) {
+    servers.push(await new PlatformStandIn().listen(config.platform.port));
   }
   process.stdout.write(`${servers.length} stand-ins are ready\n`);
   await new Promise<void>((resolve) => {
