--- a/packages/puffinturn-fuzz/src/CallerRequests.ts
+++ b/packages/puffinturn-fuzz/src/CallerRequests.ts
@@ -5,12 +5,12 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Requests of the fuzzed team, as the HTTP side would hand them on. */
+/** Builds caller requests in the form that the HTTP server passes to the gateway. */
 import type {CallerRequest} from 'puffinturn-gateway';
 import {validateCompletion} from 'puffinturn-gateway';
 import type {BoxMember} from 'puffinturn-membership';
 
-import {MODEL, SERVICE, TEAM_KEY} from './FuzzDeclarations';
+import {MODEL_NAME, SERVICE_NAME, TEAM_KEY} from './FuzzDeclarations';
 import type {RequestKind} from './Step';
 import {REQUEST_KIND} from './Step';
 
@@ -20,7 +20,7 @@
   unkeyed: '/look-up',
 };
 
-/** A request by name; undefined while the box does not know the team. */
+/** Creates a request by name; undefined while the box has no configuration of the team. */
 export function callerRequest(
   {config}: BoxMember,
   kind: RequestKind,
@@ -30,25 +30,25 @@
   if (team === undefined) {
     return undefined;
   }
-  const streams = kind === REQUEST_KIND.stream;
-  const json = streams
+  const isStream = kind === REQUEST_KIND.stream;
+  const json = isStream
     ? {
         max_tokens: 10,
         messages: [{content: name, role: 'user'}],
-        model: MODEL,
+        model: MODEL_NAME,
         stream: true,
       }
     : {order: name};
-  const completion = streams ? validateCompletion(json, 'chat') : undefined;
+  const completion = isStream ? validateCompletion(json, 'chat') : undefined;
   return {
     body: Buffer.from(JSON.stringify(json)),
     completion: completion?.unwrapOr(undefined as never),
     headers: {'content-type': 'application/json'},
     json,
-    key: streams ? name : '',
+    key: isStream ? name : '',
     method: 'POST',
     path: PATHS[kind],
-    service: streams ? '' : SERVICE,
+    service: isStream ? '' : SERVICE_NAME,
     team,
   };
 }
--- a/packages/puffinturn-fuzz/src/ClockRates.ts
+++ b/packages/puffinturn-fuzz/src/ClockRates.ts
@@ -5,10 +5,10 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** How fast the clocks of boxes run; real ones differ by far less. */
+/** Simulated clock drift between boxes, far larger than that of real clocks. */
 
-/** The rate of each box by its place in the list, and again from the start. */
+/** Clock rate of each box by its index in the fleet; longer fleets reuse the list. */
 export const CLOCK_RATES = [1, 1.05, 0.95, 1.02, 1, 0.97, 1.04];
 
-/** A wait of any box is over after this part of it at the earliest. */
-export const FASTEST_CLOCK = Math.max(...CLOCK_RATES);
+/** A timer of any box fires no earlier than its delay divided by this rate. */
+export const FASTEST_CLOCK_RATE = Math.max(...CLOCK_RATES);
--- a/packages/puffinturn-fuzz/src/FakeUpstreams.ts
+++ b/packages/puffinturn-fuzz/src/FakeUpstreams.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Upstreams in memory that count what they really execute. */
+/** In-memory upstreams that record each execution. */
 import type {ResultAsync} from 'neverthrow';
 import {err, ok, ResultAsync as Async} from 'neverthrow';
 import type {
@@ -18,153 +18,161 @@
 import {LISTENER_STATE} from 'puffinturn-quarantine';
 import type {Clock} from 'shared';
 
-import {FASTEST_CLOCK} from './ClockRates';
+import {FASTEST_CLOCK_RATE} from './ClockRates';
 
-/** How an upstream behaves. */
+/** Behaviours of a fake upstream. */
 export const MODE = {
-  /** Executes, then the connection ends in the middle of the answer. */
+  /** Executes the request, then closes the connection in the middle of the response. */
   breakAfter: 'break-after',
-  /** Executes, then the connection ends before the answer. */
+  /** Executes the request, then closes the connection before the response. */
   breakBefore: 'break-before',
-  /** Executes, and ends for a while under each request. */
+  /** Executes the request, crashes, and is down for CRASH_DOWNTIME_MS. */
   crash: 'crash',
-  /** Executes and never answers. */
+  /** Executes the request and never responds. */
   hang: 'hang',
-  /** Says that it is leaving and executes nothing. */
+  /** Rejects requests with a header that says that it is draining. */
   leaving: 'leaving',
-  /** Executes, and names how many requests a second it takes from all boxes. */
+  /** Executes the request and announces a rate limit shared by all boxes. */
   limited: 'limited',
   ok: 'ok',
-  /** Takes no connections. */
+  /** Refuses connections. */
   refuse: 'refuse',
-  /** Turns requests away, asks for rest, and executes nothing. */
+  /** Rejects requests with a Retry-After header. */
   resting: 'resting',
   slow: 'slow',
 } as const;
 
-/** One of MODE. */
+/** A value of MODE. */
 export type Mode = (typeof MODE)[keyof typeof MODE];
 
-/** One execution at an upstream. */
+/** A request executed by an upstream. */
 export interface Execution {
   readonly url: string;
-  /** What the request's body names itself. */
+  /** Name of the request, taken from its body. */
   readonly name: string;
-  readonly at: number;
+  readonly atMs: number;
 }
 
 const LATENCY_MS = 20;
 
-/** What an upstream asks for when it turns a request away, s. */
-export const REST_S = 4;
+/** Value of the Retry-After header, s. */
+export const RETRY_AFTER_S = 4;
 
-/** That rest by the clock of a box that runs as fast as any here, ms. */
-const SHORTEST_REST_MS = (REST_S * 1_000) / FASTEST_CLOCK;
+/** Duration of a RETRY_AFTER_S back-off on the box with the fastest clock, ms. */
+const MIN_RETRY_AFTER_MS = (RETRY_AFTER_S * 1_000) / FASTEST_CLOCK_RATE;
 
-/** What a limited upstream names, requests a second. */
-export const LIMIT_PER_S = 1;
+/** Rate limit that a limited upstream announces, requests per second. */
+export const RATE_LIMIT_PER_S = 1;
 
-/** The span in which its requests are counted, ms, and the most that it may get. */
-const LIMIT_SPAN_MS = 4_000;
-const MOST_IN_SPAN = (1.5 * LIMIT_PER_S * LIMIT_SPAN_MS) / 1_000 + 5;
+/** Length of the sliding window in which requests are counted, ms. */
+const RATE_WINDOW_MS = 4_000;
+/** Allows short bursts above the rate limit. */
+const MAX_REQUESTS_PER_WINDOW =
+  (1.5 * RATE_LIMIT_PER_S * RATE_WINDOW_MS) / 1_000 + 5;
 
-/** Boxes have this time from the first answer that names a limit, ms. */
-const LIMIT_FIRST_MS = 3_000;
+/** Requests this soon after the first announcement of the limit aren't counted, ms. */
+const RATE_LIMIT_START_GRACE_MS = 3_000;
 
-/** Requests count from boxes that had got such an answer for so long, ms. */
-const LIMIT_HEARD_MS = 500;
+/** Requests this soon after the first limit sent to their box aren't counted, ms. */
+const RATE_LIMIT_BOX_GRACE_MS = 500;
 
-/** Requests that were on their way when an upstream asked for rest, ms. */
-const CROSSING_MS = 500;
-const SLOW_MS = 2_500;
+/** Requests that arrive this soon after a Retry-After response were in flight, ms. */
+const IN_FLIGHT_GRACE_MS = 500;
+const SLOW_LATENCY_MS = 2_500;
 
-/** How long an upstream that crashed takes no connections, ms. */
-const CRASHED_MS = 800;
+/** Time for which a crashed upstream refuses connections, ms. */
+const CRASH_DOWNTIME_MS = 800;
 const encoder = new TextEncoder();
 
-/** All upstreams of a run. */
-export class UpstreamWorld {
-  /** Addresses that got a request of a box that they had asked for rest. */
-  readonly disturbed: string[] = [];
-  /** Addresses that got more requests than they had said that they take. */
-  readonly overrun: string[] = [];
-  /** When limited upstreams named their limit first, by address. */
-  private readonly limitedSince = new Map<string, number>();
-  /** When they got requests that count. */
-  private readonly limitedArrivals = new Map<string, number[]>();
-  /** Every execution, in order. */
+/** All fake upstreams of a run. */
+export class FakeUpstreams {
+  /** URLs that got a request from a box during the back-off they had asked it for. */
+  readonly retryAfterViolations: string[] = [];
+  /** Descriptions of upstreams that got more requests than their rate limit allows. */
+  readonly rateLimitViolations: string[] = [];
+  /** Time at which each limited upstream first announced its limit, ms, by URL. */
+  private readonly limitAnnouncedAt = new Map<string, number>();
+  /** Arrival times of the requests that the rate check counts, ms, by URL. */
+  private readonly countedArrivals = new Map<string, number[]>();
+  /** All executions, in order. */
   readonly executions: Execution[] = [];
   private readonly modes = new Map<string, Mode>();
   private readonly crashedUntil = new Map<string, number>();
 
   constructor(readonly clock: Clock) {}
 
-  /** Changes how an upstream behaves. */
+  /** Sets the behaviour of an upstream. */
   setMode(url: string, mode: Mode): void {
     this.modes.set(url, mode);
     if (mode !== MODE.limited) {
-      this.limitedSince.delete(url);
-      this.limitedArrivals.delete(url);
+      this.limitAnnouncedAt.delete(url);
+      this.countedArrivals.delete(url);
     }
   }
 
-  /** Notes a request to a limited upstream, of a box that heard its limit then. */
-  arrivedAtLimited(url: string, heardAt: number | undefined): void {
+  /** Records a request to a limited upstream and checks the rate limit. */
+  recordLimitedRequest(url: string, limitReceivedAt: number | undefined): void {
     const now = this.clock.now();
-    const since = this.limitedSince.get(url) ?? now;
-    this.limitedSince.set(url, since);
-    const counts =
-      heardAt !== undefined &&
-      heardAt >= since &&
-      now >= heardAt + LIMIT_HEARD_MS &&
-      now >= since + LIMIT_FIRST_MS;
-    if (!counts) {
+    const announcedAt = this.limitAnnouncedAt.get(url) ?? now;
+    this.limitAnnouncedAt.set(url, announcedAt);
+    const isCounted =
+      limitReceivedAt !== undefined &&
+      limitReceivedAt >= announcedAt &&
+      now >= limitReceivedAt + RATE_LIMIT_BOX_GRACE_MS &&
+      now >= announcedAt + RATE_LIMIT_START_GRACE_MS;
+    if (!isCounted) {
       return;
     }
-    const before = this.limitedArrivals.get(url) ?? [];
-    const inSpan = [...before.filter((at) => at > now - LIMIT_SPAN_MS), now];
-    this.limitedArrivals.set(url, inSpan);
-    if (inSpan.length > MOST_IN_SPAN) {
-      this.overrun.push(`${url} got ${inSpan.length} at ${now} ms`);
+    const previousArrivals = this.countedArrivals.get(url) ?? [];
+    const arrivalsInWindow = [
+      ...previousArrivals.filter((at) => at > now - RATE_WINDOW_MS),
+      now,
+    ];
+    this.countedArrivals.set(url, arrivalsInWindow);
+    if (arrivalsInWindow.length > MAX_REQUESTS_PER_WINDOW) {
+      this.rateLimitViolations.push(
+        `${url} got ${arrivalsInWindow.length} at ${now} ms`,
+      );
     }
   }
 
-  /** How an upstream behaves. */
-  modeOf(url: string): Mode {
+  /** The current behaviour of an upstream; one that has crashed refuses connections. */
+  getMode(url: string): Mode {
     const crashedUntil = this.crashedUntil.get(url) ?? -Infinity;
     return this.clock.now() < crashedUntil
       ? MODE.refuse
       : (this.modes.get(url) ?? MODE.ok);
   }
 
-  /** Ends an upstream for a while. */
+  /** Makes an upstream refuse connections for CRASH_DOWNTIME_MS. */
   crash(url: string): void {
-    this.crashedUntil.set(url, this.clock.now() + CRASHED_MS);
+    this.crashedUntil.set(url, this.clock.now() + CRASH_DOWNTIME_MS);
   }
 
-  /** All upstreams work again. */
+  /** Returns all upstreams to normal behaviour. */
   repair(): void {
     this.modes.clear();
   }
 
-  /** Executions by name. */
-  countOf(name: string): number {
-    return this.executions.filter((one) => one.name === name).length;
+  /** Number of executions of the named request. */
+  countExecutions(name: string): number {
+    return this.executions.filter((execution) => execution.name === name)
+      .length;
   }
 }
 
-/** The client of one life of one box. */
-export class WorldClient extends UpstreamClient {
-  private readonly ended = new AbortController();
-  /** When upstreams asked this life of the box for rest last. */
-  private readonly askedForRestAt = new Map<string, number>();
-  /** When upstreams named a limit to this life of the box first. */
-  private readonly heardLimitAt = new Map<string, number>();
+/** The upstream client of one incarnation of a box. */
+export class FakeUpstreamClient extends UpstreamClient {
+  private readonly disposal = new AbortController();
+  /** Time of the last Retry-After response to this incarnation, ms, by URL. */
+  private readonly lastRetryAfterAt = new Map<string, number>();
+  /** Time of the first rate limit sent to this incarnation, ms, by URL. */
+  private readonly limitReceivedAt = new Map<string, number>();
 
   constructor(
-    private readonly world: UpstreamWorld,
-    /** Stops a frozen box from sending. */
-    private readonly gate: () => Promise<void>,
+    private readonly upstreams: FakeUpstreams,
+    /** Prevents a frozen box from sending. */
+    private readonly waitUntilResumed: () => Promise<void>,
   ) {
     super();
   }
@@ -172,43 +180,43 @@
   override send(
     request: UpstreamRequest,
   ): ResultAsync<UpstreamResponse, UpstreamFailure> {
-    return new Async(this.exchange(request));
+    return new Async(this.sendRequest(request));
   }
 
   override async probe(url: string): Promise<ListenerState> {
-    await this.gate();
-    return this.world.modeOf(url) === MODE.refuse
+    await this.waitUntilResumed();
+    return this.upstreams.getMode(url) === MODE.refuse
       ? LISTENER_STATE.refused
       : LISTENER_STATE.listening;
   }
 
   override async [Symbol.asyncDispose](): Promise<void> {
-    this.ended.abort();
+    this.disposal.abort();
   }
 
-  private turnAway(url: string): UpstreamResponse {
-    const now = this.world.clock.now();
-    const passedMs = now - (this.askedForRestAt.get(url) ?? -Infinity);
-    if (passedMs > CROSSING_MS && passedMs < SHORTEST_REST_MS) {
-      this.world.disturbed.push(url);
+  private rejectWithRetryAfter(url: string): UpstreamResponse {
+    const now = this.upstreams.clock.now();
+    const elapsedMs = now - (this.lastRetryAfterAt.get(url) ?? -Infinity);
+    if (elapsedMs > IN_FLIGHT_GRACE_MS && elapsedMs < MIN_RETRY_AFTER_MS) {
+      this.upstreams.retryAfterViolations.push(url);
     }
-    this.askedForRestAt.set(url, now);
+    this.lastRetryAfterAt.set(url, now);
     const headers = {
       'puffinturn-not-run': 'true',
-      'retry-after': String(REST_S),
+      'retry-after': String(RETRY_AFTER_S),
     };
-    return {body: bodyOf([]), headers, status: 503};
+    return {body: createBody([]), headers, status: 503};
   }
 
-  private async exchange(request: UpstreamRequest) {
-    const {clock} = this.world;
-    await this.gate();
-    if (this.ended.signal.aborted) {
-      return err<UpstreamResponse, UpstreamFailure>(failure('not-sent'));
+  private async sendRequest(request: UpstreamRequest) {
+    const {clock} = this.upstreams;
+    await this.waitUntilResumed();
+    if (this.disposal.signal.aborted) {
+      return err<UpstreamResponse, UpstreamFailure>(createFailure('not-sent'));
     }
-    const mode = this.world.modeOf(request.url);
+    const mode = this.upstreams.getMode(request.url);
     if (mode === MODE.refuse) {
-      return err<UpstreamResponse, UpstreamFailure>(failure('not-sent'));
+      return err<UpstreamResponse, UpstreamFailure>(createFailure('not-sent'));
     }
     await clock.sleep(LATENCY_MS / 2);
     if (mode === MODE.leaving) {
@@ -217,104 +225,107 @@
         'puffinturn-not-run': 'true',
       };
       return ok<UpstreamResponse, UpstreamFailure>({
-        body: bodyOf([]),
+        body: createBody([]),
         headers,
         status: 503,
       });
     }
     if (mode === MODE.resting) {
-      return ok<UpstreamResponse, UpstreamFailure>(this.turnAway(request.url));
+      return ok<UpstreamResponse, UpstreamFailure>(
+        this.rejectWithRetryAfter(request.url),
+      );
     }
     if (mode === MODE.limited) {
-      const heardAt = this.heardLimitAt.get(request.url);
-      this.world.arrivedAtLimited(request.url, heardAt);
+      const receivedAt = this.limitReceivedAt.get(request.url);
+      this.upstreams.recordLimitedRequest(request.url, receivedAt);
     }
     const body = JSON.parse(String(Buffer.from(request.body ?? '{}')));
-    this.execute(request.url, nameIn(body));
-    await clock.sleep(mode === MODE.slow ? SLOW_MS : LATENCY_MS / 2);
+    this.recordExecution(request.url, requestName(body));
+    await clock.sleep(mode === MODE.slow ? SLOW_LATENCY_MS : LATENCY_MS / 2);
     if (mode === MODE.hang) {
-      await untilAborted(request.signal, clock);
+      await waitForAbort(request.signal, clock);
     }
     if (mode === MODE.crash) {
-      this.world.crash(request.url);
-      return err<UpstreamResponse, UpstreamFailure>(failure('broken'));
+      this.upstreams.crash(request.url);
+      return err<UpstreamResponse, UpstreamFailure>(createFailure('broken'));
     }
     if (mode === MODE.breakBefore || request.signal.aborted) {
-      return err<UpstreamResponse, UpstreamFailure>(failure('broken'));
+      return err<UpstreamResponse, UpstreamFailure>(createFailure('broken'));
     }
     return ok<UpstreamResponse, UpstreamFailure>({
-      body: this.answerBody(body, mode),
+      body: this.responseBody(body, mode),
       headers: {
         'content-type': 'application/json',
-        ...this.limitHeaders(request.url, mode),
+        ...this.rateLimitHeaders(request.url, mode),
       },
       status: 200,
     });
   }
 
-  private limitHeaders(url: string, mode: Mode): Record<string, string> {
+  private rateLimitHeaders(url: string, mode: Mode): Record<string, string> {
     if (mode !== MODE.limited) {
-      this.heardLimitAt.delete(url);
+      this.limitReceivedAt.delete(url);
       return {};
     }
-    const heardAt = this.heardLimitAt.get(url) ?? this.world.clock.now();
-    this.heardLimitAt.set(url, heardAt);
-    return {'puffinturn-limit': String(LIMIT_PER_S)};
+    const receivedAt =
+      this.limitReceivedAt.get(url) ?? this.upstreams.clock.now();
+    this.limitReceivedAt.set(url, receivedAt);
+    return {'puffinturn-limit': String(RATE_LIMIT_PER_S)};
   }
 
-  private execute(url: string, name: string): void {
-    const at = this.world.clock.now();
-    this.world.executions.push({at, name, url});
+  private recordExecution(url: string, name: string): void {
+    const atMs = this.upstreams.clock.now();
+    this.upstreams.executions.push({atMs, name, url});
   }
 
-  private answerBody(
+  private responseBody(
     body: Record<string, unknown>,
     mode: Mode,
   ): AsyncIterable<Uint8Array> {
     const parts =
       body.stream === true
-        ? streamParts(body)
-        : [encoder.encode(JSON.stringify({echo: nameIn(body)}))];
+        ? createStreamEvents(body)
+        : [encoder.encode(JSON.stringify({echo: requestName(body)}))];
     return mode === MODE.breakAfter
-      ? brokenBody(parts.slice(0, Math.floor(parts.length / 2)))
-      : bodyOf(parts);
+      ? createInterruptedBody(parts.slice(0, Math.floor(parts.length / 2)))
+      : createBody(parts);
   }
 }
 
-function failure(kind: 'broken' | 'not-sent'): UpstreamFailure {
+function createFailure(kind: 'broken' | 'not-sent'): UpstreamFailure {
   return {kind, message: kind};
 }
 
-/** Time after which a client gives up on an upstream that hangs, ms. */
+/** Time after which a client closes a connection that got no response, ms. */
 const CLIENT_TIMEOUT_MS = 20_000;
 
-async function untilAborted(signal: AbortSignal, clock: Clock): Promise<void> {
+async function waitForAbort(signal: AbortSignal, clock: Clock): Promise<void> {
   await clock.sleep(CLIENT_TIMEOUT_MS, signal);
 }
 
-/** The name that a body gives its request. */
-export function nameIn(body: Record<string, unknown>): string {
+/** Reads the name of a request from its body. */
+export function requestName(body: Record<string, unknown>): string {
   const messages = body.messages as {content: string}[] | undefined;
   return String(body.order ?? messages?.[0]?.content ?? '');
 }
 
-/** Tokens that every stream has. */
+/** Number of tokens in a complete stream. */
 export const STREAM_TOKENS = 6;
 
-function streamParts(body: Record<string, unknown>): Uint8Array[] {
+function createStreamEvents(body: Record<string, unknown>): Uint8Array[] {
   const messages = body.messages as {content: string; role: string}[];
-  const last = messages.at(-1);
-  const continues = body.continue_final_message === true;
-  const made = continues
-    ? (last?.content.split(' ').filter(Boolean).length ?? 0)
+  const lastMessage = messages.at(-1);
+  const isContinuation = body.continue_final_message === true;
+  const generatedTokens = isContinuation
+    ? (lastMessage?.content.split(' ').filter(Boolean).length ?? 0)
     : 0;
   const parts: string[] = [];
-  for (let token = made; token < STREAM_TOKENS; token += 1) {
-    const choices = [{delta: {content: `${nameIn(body)}.${token} `}}];
+  for (let token = generatedTokens; token < STREAM_TOKENS; token += 1) {
+    const choices = [{delta: {content: `${requestName(body)}.${token} `}}];
     parts.push(`data: ${JSON.stringify({choices})}\n\n`);
   }
   const usage = {
-    completion_tokens: STREAM_TOKENS - made,
+    completion_tokens: STREAM_TOKENS - generatedTokens,
     prompt_tokens: 5,
   };
   parts.push(`data: ${JSON.stringify({choices: [], usage})}\n\n`);
@@ -322,15 +333,15 @@
   return parts.map((part) => encoder.encode(part));
 }
 
-async function* bodyOf(
+async function* createBody(
   parts: readonly Uint8Array[],
 ): AsyncGenerator<Uint8Array> {
   yield* parts;
 }
 
-async function* brokenBody(
+async function* createInterruptedBody(
   parts: readonly Uint8Array[],
 ): AsyncGenerator<Uint8Array> {
   yield* parts;
-  throw new Error('the connection ended');
+  throw new Error('connection closed before the end of the response body');
 }
--- a/packages/puffinturn-fuzz/src/Fuzz.ts
+++ b/packages/puffinturn-fuzz/src/Fuzz.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Stateful fuzzing by fast-check: many runs, shrunk when one fails. */
+/** Runs random step sequences with fast-check and shrinks a failing one. */
 import fc from 'fast-check';
 import {invariant} from 'shared';
 
@@ -15,7 +15,7 @@
 import type {Step} from './Step';
 import {stepArbitrary} from './Step';
 
-/** Deliberate breakages; each must be found. */
+/** Deliberate faults in the code under test, by name; the fuzzer must detect each. */
 export const BREAKAGES: Readonly<Record<string, FuzzBreakage>> = {
   'commit-without-quorum': {commitWithoutQuorum: true},
   'forget-tombstone': {forgetTombstone: true},
@@ -27,17 +27,17 @@
   'vote-without-log-check': {voteWithoutLogCheck: true},
 };
 
-/** What to run. */
+/** Options of a fuzzing session. */
 export interface FuzzOptions {
   readonly seed: number;
   readonly runs: number;
   readonly steps: number;
   readonly breakage?: string | undefined;
-  /** Whether a failure is shrunk; takes many runs. */
-  readonly shrinks?: boolean;
+  /** Whether a failing sequence is shrunk, which takes many more runs. */
+  readonly shouldShrink?: boolean;
 }
 
-/** What was run and found. */
+/** The result of a fuzzing session. */
 export interface FuzzReport {
   readonly failed: boolean;
   readonly runs: number;
@@ -48,23 +48,23 @@
   readonly text: string;
 }
 
-/** Runs the fuzzer; the same options give the same report. */
+/** Runs the fuzzer. The report depends only on the options, unless the time limit ends it. */
 export async function fuzz(options: FuzzOptions): Promise<FuzzReport> {
   const {breakage: name, runs, seed, steps: maxSteps} = options;
   const breakage = name === undefined ? {} : BREAKAGES[name];
-  invariant(breakage !== undefined, `there is no breakage ${name}`);
+  invariant(breakage !== undefined, `unknown breakage: ${name}`);
   const counts: Counts = new Map();
-  let ran = 0;
+  let runCount = 0;
   let steps = 0;
   let breaches: readonly Breach[] = [];
   const property = fc.asyncProperty(
     fc.integer({max: 1_000_000, min: 1}),
     fc.array(stepArbitrary, {maxLength: maxSteps, minLength: 5, size: 'max'}),
-    async (fleetSeed, list: Step[]) => {
-      const report = await FuzzRun.run(fleetSeed, list, breakage);
-      ran += 1;
-      steps += list.length;
-      addCounts(counts, report.counts);
+    async (fleetSeed, sequence: Step[]) => {
+      const report = await FuzzRun.run(fleetSeed, sequence, breakage);
+      runCount += 1;
+      steps += sequence.length;
+      mergeCounts(counts, report.counts);
       if (report.breaches.length > 0) {
         breaches = report.breaches;
       }
@@ -72,29 +72,31 @@
     },
   );
   const details = await fc.check(property, {
-    endOnFailure: options.shrinks === false,
+    endOnFailure: options.shouldShrink === false,
     numRuns: runs,
     seed,
-    ...(options.shrinks === false ? {} : {interruptAfterTimeLimit: 300_000}),
+    ...(options.shouldShrink === false
+      ? {}
+      : {interruptAfterTimeLimit: 300_000}),
   });
   const summary = {
     breaches,
     counterexample: details.counterexample,
     counts: Object.fromEntries([...counts].sort()),
     failed: details.failed,
-    runs: ran,
+    runs: runCount,
     steps,
   };
-  return {...summary, text: textOf(summary, options)};
+  return {...summary, text: formatReport(summary, options)};
 }
 
-function addCounts(sum: Counts, more: Counts): void {
-  for (const [name, count] of more) {
-    sum.set(name, (sum.get(name) ?? 0) + count);
+function mergeCounts(total: Counts, added: Counts): void {
+  for (const [name, count] of added) {
+    total.set(name, (total.get(name) ?? 0) + count);
   }
 }
 
-function textOf(
+function formatReport(
   report: Omit<FuzzReport, 'text'>,
   {breakage, seed}: FuzzOptions,
 ): string {
--- a/packages/puffinturn-fuzz/src/FuzzDeclarations.ts
+++ b/packages/puffinturn-fuzz/src/FuzzDeclarations.ts
@@ -5,90 +5,89 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The declarations that every run starts with. */
+/** The configuration that every run starts with, and the changes that steps make to it. */
 import type {Declaration} from 'puffinturn-settings';
 import {checkValue, DeclarationSchema} from 'puffinturn-settings';
 import {digestBytes, invariant} from 'shared';
 
 import {ENGINE_URLS, SERVICE_URLS} from './Step';
 
-/** The bearer key of the only team. */
+/** The bearer token of the only team. */
 export const TEAM_KEY = 'fuzz-team-key';
-/** The team's name. */
-export const TEAM = 'team-1';
-/** The budget that all requests draw on; its home is the first region. */
+export const TEAM_NAME = 'team-1';
+/** The budget that all requests are charged to; its home is the first region. */
 export const BUDGET = 'budget-1';
-/** The plain service. */
-export const SERVICE = 'orders';
-/** The pool of engines. */
-export const POOL = 'engines';
-/** The only model. */
-export const MODEL = 'model-1';
-/** Small, so that runs reach its end. */
-export const FIRST_LIMIT = 400;
-/** The service's first price for a call. */
+export const SERVICE_NAME = 'orders';
+export const POOL_NAME = 'engines';
+export const MODEL_NAME = 'model-1';
+/** Initial budget limit, units; small enough for runs to exhaust it. */
+export const INITIAL_LIMIT = 400;
+/** Initial price of a call to the service, units. */
 export const FIRST_PRICE = 20;
 
-function declaration(value: unknown): Declaration {
-  const checked = checkValue(DeclarationSchema, value, 'fuzz');
-  invariant(checked.isOk(), 'the fuzzed declarations must be valid');
-  return checked.value;
+function parseDeclaration(value: unknown): Declaration {
+  const parsed = checkValue(DeclarationSchema, value, 'fuzz');
+  invariant(parsed.isOk(), `invalid declaration: ${JSON.stringify(value)}`);
+  return parsed.value;
 }
 
-/** The budget with a limit. */
-export function budget(number: number, limit: number): Declaration {
-  const spec = {home: 'north', limit, team: TEAM};
-  return declaration({kind: 'budget', name: BUDGET, number, spec});
+/** Declares the budget with a limit, units. */
+export function budgetDeclaration(number: number, limit: number): Declaration {
+  const spec = {home: 'north', limit, team: TEAM_NAME};
+  return parseDeclaration({kind: 'budget', name: BUDGET, number, spec});
 }
 
-/** The service with a price that tells which change was in force. */
-export function service(number: number, callPrice: number): Declaration {
-  const upstreams = SERVICE_URLS.map((url, at) => ({
+/** Declares the service; its price shows which change a request was billed under. */
+export function serviceDeclaration(
+  number: number,
+  callPrice: number,
+): Declaration {
+  const upstreams = SERVICE_URLS.map((url, index) => ({
     hall: 'hall-1',
-    name: `service-${at + 1}`,
+    name: `service-${index + 1}`,
     slots: 8,
     url,
   }));
   const spec = {callPrice, upstreams};
-  return declaration({kind: 'service', name: SERVICE, number, spec});
+  return parseDeclaration({kind: 'service', name: SERVICE_NAME, number, spec});
 }
 
-/** A drain of the first upstream of the service. */
-export function drainFirst(number: number, on: boolean): Declaration {
-  const spec = {on, target: {pool: SERVICE, upstream: 'service-1'}};
-  return declaration({kind: 'drain', name: 'first', number, spec});
+/** Starts or ends the drain of the first upstream of the service. */
+export function drainDeclaration(number: number, on: boolean): Declaration {
+  const spec = {on, target: {pool: SERVICE_NAME, upstream: 'service-1'}};
+  return parseDeclaration({kind: 'drain', name: 'first', number, spec});
 }
 
-/** Everything that does not change in a run. */
-export function firstDeclarations(limit = FIRST_LIMIT): Declaration[] {
+/** The initial declarations of a run. */
+export function firstDeclarations(limit = INITIAL_LIMIT): Declaration[] {
   const sha256 = digestBytes(TEAM_KEY);
-  const upstreams = ENGINE_URLS.map((url, at) => ({
+  const upstreams = ENGINE_URLS.map((url, index) => ({
     hall: 'hall-1',
-    name: `engine-${at + 1}`,
+    name: `engine-${index + 1}`,
     slots: 4,
     url,
   }));
   const rule = {action: 'allow', budget: `'${BUDGET}'`, deadlineMs: 5_000};
   return [
-    declaration({
+    parseDeclaration({
       kind: 'team',
-      name: TEAM,
+      name: TEAM_NAME,
       number: 1,
       spec: {keys: [{name: 'k', sha256}]},
     }),
-    budget(1, limit),
-    service(1, FIRST_PRICE),
-    declaration({
+    budgetDeclaration(1, limit),
+    serviceDeclaration(1, FIRST_PRICE),
+    parseDeclaration({
       kind: 'pool',
-      name: POOL,
+      name: POOL_NAME,
       number: 1,
       spec: {
-        models: [MODEL],
+        models: [MODEL_NAME],
         price: {completion: 2, prompt: 0},
         upstreams,
       },
     }),
-    declaration({
+    parseDeclaration({
       kind: 'policy',
       name: 'all',
       number: 1,
@@ -98,21 +97,21 @@
             ...rule,
             key: 'request.body.order',
             name: 'orders',
-            pool: SERVICE,
+            pool: SERVICE_NAME,
             repeat: 'never',
-            when: `request.service == '${SERVICE}' && request.path == '/place'`,
+            when: `request.service == '${SERVICE_NAME}' && request.path == '/place'`,
           },
           {
             ...rule,
             name: 'lookups',
-            pool: SERVICE,
-            when: `request.service == '${SERVICE}'`,
+            pool: SERVICE_NAME,
+            when: `request.service == '${SERVICE_NAME}'`,
           },
           {
             ...rule,
             name: 'models',
-            pool: POOL,
-            when: `request.model == '${MODEL}'`,
+            pool: POOL_NAME,
+            when: `request.model == '${MODEL_NAME}'`,
           },
         ],
       },
--- a/packages/puffinturn-fuzz/src/FuzzFleet.ts
+++ b/packages/puffinturn-fuzz/src/FuzzFleet.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Real boxes of two regions in one process, over fakes for all outside. */
+/** A fleet of real boxes in one process, with fake clock, network, disks and upstreams. */
 import type {ResultAsync} from 'neverthrow';
 import {errAsync, ResultAsync as Async} from 'neverthrow';
 import type {BoxBreakage, FleetPlace} from 'puffinturn-daemon';
@@ -21,26 +21,26 @@
 import {invariant, ManualClock, Random, ScaledClock} from 'shared';
 
 import {CLOCK_RATES} from './ClockRates';
-import {UpstreamWorld, WorldClient} from './FakeUpstreams';
+import {FakeUpstreamClient, FakeUpstreams} from './FakeUpstreams';
 import {PausableClock} from './PausableClock';
 
-/** Boxes of the fuzzed fleet: two regions, every hall without a quorum. */
+/** Boxes of the fleet: two regions; no hall holds a quorum of its region. */
 export const FUZZ_BOXES: readonly FleetBox[] = [
-  boxLine('n1', 'north', 'hall-1', true),
-  boxLine('n2', 'north', 'hall-2', true),
-  boxLine('n3', 'north', 'hall-3', true),
-  boxLine('n4', 'north', 'hall-1', false),
-  boxLine('s1', 'south', 'hall-4', true),
-  boxLine('s2', 'south', 'hall-5', true),
-  boxLine('s3', 'south', 'hall-6', true),
+  createFleetBox('n1', 'north', 'hall-1', true),
+  createFleetBox('n2', 'north', 'hall-2', true),
+  createFleetBox('n3', 'north', 'hall-3', true),
+  createFleetBox('n4', 'north', 'hall-1', false),
+  createFleetBox('s1', 'south', 'hall-4', true),
+  createFleetBox('s2', 'south', 'hall-5', true),
+  createFleetBox('s3', 'south', 'hall-6', true),
 ];
 
-const SNAPSHOT_EVERY = 60;
-const DRIVE_LIMIT_MS = 60_000;
-const DRIVE_STEP_MS = 50;
-const KEEP_MS = 3_600_000;
+const SNAPSHOT_INTERVAL_ENTRIES = 60;
+const SETTLE_TIMEOUT_MS = 60_000;
+const CLOCK_STEP_MS = 50;
+const RETENTION_MS = 3_600_000;
 
-function boxLine(
+function createFleetBox(
   name: string,
   region: string,
   hall: string,
@@ -49,76 +49,79 @@
   return {control, hall, host: '127.0.0.1', name, port: 1, region};
 }
 
-/** What a fleet does otherwise than in production. */
+/** Differences between a simulated fleet and a production fleet. */
 export interface FleetOptions {
   readonly breakage?: BoxBreakage & {readonly skipSync?: boolean};
-  /** How budgets are split between regions. */
+  /** Computes the units of a budget that the home region grants to another region. */
   readonly computeGrantTarget?: (
     home: RegionSupply,
     other: RegionSupply,
   ) => number;
-  /** Refuses at once near the end of a budget. */
+  /** Rejects requests without waiting when a budget is nearly exhausted. */
   readonly disableAdmissionQueue?: boolean;
 }
 
-/** One life of one box. */
-export interface Life {
+/** One incarnation of a box: a single run of its process. */
+export interface BoxIncarnation {
   readonly box: Box;
   readonly clock: PausableClock;
-  readonly client: WorldClient;
-  readonly disk: LifeDisk;
+  readonly client: FakeUpstreamClient;
+  readonly disk: IncarnationDisk;
   readonly operators: OperatorApi;
 }
 
-/** The disk as one life of a box sees it; dead processes cannot write. */
-class LifeDisk extends MemoryDisk {
+/** Disk access of one incarnation; writes fail once its process has been killed. */
+class IncarnationDisk extends MemoryDisk {
   constructor(
-    private readonly real: MemoryDisk,
-    private readonly gate: () => Promise<void>,
+    private readonly persistentDisk: MemoryDisk,
+    private readonly waitUntilResumed: () => Promise<void>,
   ) {
     super();
   }
 
   override list() {
-    return this.real.list();
+    return this.persistentDisk.list();
   }
 
   override read(name: string) {
-    return this.real.read(name);
+    return this.persistentDisk.read(name);
   }
 
   override append(name: string, bytes: Buffer) {
-    return this.whileAlive(() => this.real.append(name, bytes));
+    return this.writeIfAlive(() => this.persistentDisk.append(name, bytes));
   }
 
   override replace(name: string, bytes: Buffer) {
-    return this.whileAlive(() => this.real.replace(name, bytes));
+    return this.writeIfAlive(() => this.persistentDisk.replace(name, bytes));
   }
 
   override remove(name: string) {
-    return this.whileAlive(() => this.real.remove(name));
+    return this.writeIfAlive(() => this.persistentDisk.remove(name));
   }
 
-  private whileAlive(
+  private writeIfAlive(
     write: () => ResultAsync<void, DiskFailure>,
   ): ResultAsync<void, DiskFailure> {
-    return Async.fromSafePromise(this.gate()).andThen(() =>
+    return Async.fromSafePromise(this.waitUntilResumed()).andThen(() =>
       this.fault.refuse
-        ? errAsync<void, DiskFailure>({kind: 'disk', message: 'dead'})
+        ? errAsync<void, DiskFailure>({
+            kind: 'disk',
+            message: 'the process was killed',
+          })
         : write(),
     );
   }
 }
 
-/** See the module comment. */
+/** Runs, kills and restarts the boxes of a simulated fleet. */
 export class FuzzFleet implements AsyncDisposable {
   readonly clock = new ManualClock();
   readonly network: MemoryNetwork;
-  readonly world: UpstreamWorld;
-  readonly lives = new Map<string, Life>();
-  private readonly pastEvents: TimelineEvent[][] = [];
+  readonly upstreams: FakeUpstreams;
+  readonly lives = new Map<string, BoxIncarnation>();
+  private readonly stoppedBoxEvents: TimelineEvent[][] = [];
   private readonly disks = new Map<string, MemoryDisk>();
-  private names = 0;
+  private nameCount = 0;
   private readonly random: Random;
 
   constructor(
@@ -128,10 +131,10 @@
   ) {
     this.random = new Random(seed);
     this.network = new MemoryNetwork(this.clock, new Random(seed + 1));
-    this.world = new UpstreamWorld(this.clock);
+    this.upstreams = new FakeUpstreams(this.clock);
   }
 
-  /** Starts every box and waits until the groups stand. */
+  /** Starts every box and waits until each region has elected a leader. */
   async startAll(): Promise<void> {
     for (const {name} of this.boxes) {
       await this.start(name);
@@ -139,21 +142,21 @@
     await this.clock.advance(4_000);
   }
 
-  /** Starts a box with the disk that it has. */
+  /** Starts a box on its existing disk; does nothing if it is running. */
   async start(name: string): Promise<void> {
     if (this.lives.has(name)) {
       return;
     }
-    const real = this.disks.get(name) ?? new MemoryDisk();
-    real.fault.skipSync = this.options.breakage?.skipSync === true;
-    this.disks.set(name, real);
+    const persistentDisk = this.disks.get(name) ?? new MemoryDisk();
+    persistentDisk.fault.skipSync = this.options.breakage?.skipSync === true;
+    this.disks.set(name, persistentDisk);
     const position = this.boxes.findIndex((box) => box.name === name);
     const rate = CLOCK_RATES[position % CLOCK_RATES.length] ?? 1;
     const clock = new PausableClock(new ScaledClock(this.clock, rate));
-    const gate = (): Promise<void> => clock.whileRunning();
-    const client = new WorldClient(this.world, gate);
-    const disk = new LifeDisk(real, gate);
-    const link = this.network.connect(name, gate);
+    const waitUntilResumed = (): Promise<void> => clock.waitUntilResumed();
+    const client = new FakeUpstreamClient(this.upstreams, waitUntilResumed);
+    const disk = new IncarnationDisk(persistentDisk, waitUntilResumed);
+    const link = this.network.connect(name, waitUntilResumed);
     const place: FleetPlace = {
       box: name,
       boxes: this.boxes,
@@ -169,45 +172,45 @@
       client,
       clock,
       disk,
-      responseRetentionMs: KEEP_MS,
-      atMostOnceRetentionMs: KEEP_MS,
+      responseRetentionMs: RETENTION_MS,
+      atMostOnceRetentionMs: RETENTION_MS,
       link,
       metrics: new GatewayMetrics(),
-      newName: () => this.newName(),
+      newName: () => this.nextName(),
       place,
       random: new Random(this.random.integer(0, 1_000_000)),
-      snapshotEvery: SNAPSHOT_EVERY,
+      snapshotEvery: SNAPSHOT_INTERVAL_ENTRIES,
       ...(disableAdmissionQueue === undefined ? {} : {disableAdmissionQueue}),
       ...(computeGrantTarget === undefined ? {} : {computeGrantTarget}),
     });
-    invariant(started.isOk(), `${name} must start`);
+    invariant(started.isOk(), `box ${name} failed to start`);
     const box = started.value;
     const operators = new OperatorApi(box, place, link, clock);
     this.lives.set(name, {box, client, clock, disk, operators});
   }
 
-  /** Ends a box at once; what it had not synced is lost. */
+  /** Kills a box without a shutdown; writes that were not synced are lost. */
   kill(name: string): void {
-    const life = this.lives.get(name);
-    if (life === undefined) {
+    const incarnation = this.lives.get(name);
+    if (incarnation === undefined) {
       return;
     }
     this.lives.delete(name);
-    this.pastEvents.push(life.box.timeline.events());
+    this.stoppedBoxEvents.push(incarnation.box.timeline.events());
     this.network.disconnect(name);
-    life.disk.fault.refuse = true;
+    incarnation.disk.fault.refuse = true;
     this.disks.get(name)?.crash();
-    void life.client[Symbol.asyncDispose]();
-    life.clock.resume();
-    void life.box[Symbol.asyncDispose]();
+    void incarnation.client[Symbol.asyncDispose]();
+    incarnation.clock.resume();
+    void incarnation.box[Symbol.asyncDispose]();
   }
 
   /**
-   * Loses a box's disk, if its group can bear it: all its other members run
-   * and have their disks, and an earlier loss is repaired.
+   * Erases the disk of a box and restarts it. Returns false and does nothing unless all
+   * replicas of its group run and are voters, because the group could lose data.
    */
   async loseDisk(name: string): Promise<boolean> {
-    if (!this.mayLoseDisk(name)) {
+    if (!this.canLoseDisk(name)) {
       return false;
     }
     this.kill(name);
@@ -216,7 +219,7 @@
     return true;
   }
 
-  /** Ledgers of all control boxes that run. */
+  /** Ledgers of all running control boxes, optionally of one region. */
   ledgers(region?: string): Ledger[] {
     return [...this.lives.values()]
       .filter(({box}) => region === undefined || box.self.region === region)
@@ -224,17 +227,17 @@
       .filter((ledger) => ledger !== undefined);
   }
 
-  /** The time line of all boxes, those that are gone included. */
+  /** The merged timeline of all boxes, stopped incarnations included. */
   events(): TimelineEvent[] {
-    const present = [...this.lives.values()].map(({box}) =>
+    const runningBoxEvents = [...this.lives.values()].map(({box}) =>
       box.timeline.events(),
     );
-    return mergeTimelines([...this.pastEvents, ...present]);
+    return mergeTimelines([...this.stoppedBoxEvents, ...runningBoxEvents]);
   }
 
-  /** The ledger that has applied most in a region. */
+  /** The ledger of a region with the highest applied index. */
   newestLedger(region: string): Ledger | undefined {
-    const newest = [...this.lives.values()]
+    const mostAdvanced = [...this.lives.values()]
       .filter(({box}) => box.self.region === region)
       .map(({box}) => box.control)
       .filter((control) => control !== undefined)
@@ -242,14 +245,14 @@
         (a, b) =>
           b.replica.status().appliedIndex - a.replica.status().appliedIndex,
       )[0];
-    return newest?.ledger;
+    return mostAdvanced?.ledger;
   }
 
-  /** Heals everything, restarts everything and lets it settle. */
+  /** Removes all faults, restarts stopped boxes and lets `ms` of virtual time pass. */
   async repair(ms: number): Promise<void> {
     this.network.heal();
     this.network.delay = {highMs: 2, lowMs: 1};
-    this.world.repair();
+    this.upstreams.repair();
     for (const {name} of this.boxes) {
       this.lives.get(name)?.clock.resume();
       await this.start(name);
@@ -257,22 +260,25 @@
     await this.clock.advance(ms);
   }
 
-  /** Moves time until a promise is there. */
+  /** Advances the clock until a promise settles; fails after SETTLE_TIMEOUT_MS. */
   async drive<Value>(promise: Promise<Value>): Promise<Value> {
-    const end = this.clock.now() + DRIVE_LIMIT_MS;
-    let open = true;
-    void promise.finally(() => (open = false));
-    while (open && this.clock.now() < end) {
-      await this.clock.advance(DRIVE_STEP_MS);
+    const deadlineMs = this.clock.now() + SETTLE_TIMEOUT_MS;
+    let isPending = true;
+    void promise.finally(() => (isPending = false));
+    while (isPending && this.clock.now() < deadlineMs) {
+      await this.clock.advance(CLOCK_STEP_MS);
     }
-    invariant(!open, 'a promise must be there in time');
+    invariant(
+      !isPending,
+      `promise still pending after ${SETTLE_TIMEOUT_MS} ms`,
+    );
     return promise;
   }
 
-  /** Sends a change at any box; resolves with what the operator sees. */
+  /** Sends a declaration to a box; resolves with the reply, or undefined if it is down. */
   async declare(name: string, declaration: Declaration, operator: string) {
-    const life = this.lives.get(name);
-    return life?.operators.declare(declaration, operator);
+    const incarnation = this.lives.get(name);
+    return incarnation?.operators.declare(declaration, operator);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -282,27 +288,27 @@
     await this.clock.advance(40_000);
   }
 
-  private newName(): string {
-    this.names += 1;
-    return `name-${this.names}`;
+  private nextName(): string {
+    this.nameCount += 1;
+    return `name-${this.nameCount}`;
   }
 
-  private mayLoseDisk(name: string): boolean {
-    const own = this.boxes.find((box) => box.name === name);
-    const group = this.boxes.filter(
-      (box) => box.control && box.region === own?.region,
+  private canLoseDisk(name: string): boolean {
+    const target = this.boxes.find((box) => box.name === name);
+    const controlBoxes = this.boxes.filter(
+      (box) => box.control && box.region === target?.region,
     );
-    const replicas = group.map(
+    const replicas = controlBoxes.map(
       (box) => this.lives.get(box.name)?.box.control?.replica,
     );
     return (
-      own?.control === true &&
+      target?.control === true &&
       replicas.every((replica) => replica !== undefined) &&
       replicas.some((replica) => {
         const voters = replica?.status().members.voters ?? [];
         return (
           replica?.isLeader === true &&
-          voters.length === group.length &&
+          voters.length === controlBoxes.length &&
           replicas.every((other) => voters.includes(other?.id ?? ''))
         );
       })
--- a/packages/puffinturn-fuzz/src/FuzzRun.ts
+++ b/packages/puffinturn-fuzz/src/FuzzRun.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Runs a list of steps against a fleet and checks the promises. */
+/** Runs a sequence of steps against a fleet and checks the invariants. */
 import type {BoxBreakage} from 'puffinturn-daemon';
 import type {CallerRequest, Gateway} from 'puffinturn-gateway';
 import type {DeclareReply} from 'puffinturn-ledger';
@@ -17,61 +17,61 @@
 import {callerRequest} from './CallerRequests';
 import {
   BUDGET,
-  budget,
-  drainFirst,
-  FIRST_LIMIT,
+  budgetDeclaration,
+  drainDeclaration,
   FIRST_PRICE,
   firstDeclarations,
-  service,
+  INITIAL_LIMIT,
+  serviceDeclaration,
 } from './FuzzDeclarations';
 import {FUZZ_BOXES, FuzzFleet} from './FuzzFleet';
-import type {Breach, CallerTry} from './Oracle';
+import type {Breach, CallerAttempt} from './Oracle';
 import {Oracle} from './Oracle';
 import type {Step} from './Step';
 import {REQUEST_KIND, SERVICE_URLS} from './Step';
 
-/** Breakages that the fuzzer can switch on. */
+/** Deliberate faults in the code under test that the fuzzer can enable. */
 export type FuzzBreakage = BoxBreakage & {readonly skipSync?: boolean};
 
-/** How often each fault and promise was exercised. */
+/** Number of occurrences of each step and outcome, by name. */
 export type Counts = Map<string, number>;
 
-/** What a run found. */
+/** The result of a run. */
 export interface RunReport {
   readonly breaches: readonly Breach[];
   readonly counts: Counts;
-  /** Events of all boxes, in order. */
+  /** Events of all boxes, in order of time. */
   readonly timeline: readonly TimelineEvent[];
-  /** What callers were told, in the order in which they asked. */
-  readonly tries: readonly CallerTry[];
+  /** Attempts of callers, in the order in which they were sent. */
+  readonly attempts: readonly CallerAttempt[];
 }
 
-const SETTLE_MS = 100_000;
-const TRY_TIMEOUT_MS = 30_000;
+const REPAIR_SETTLE_MS = 100_000;
+const ATTEMPT_TIMEOUT_MS = 30_000;
 const REGIONS = ['north', 'south'] as const;
 
-/** One run over one fleet. */
+/** A single run on a new fleet. */
 export class FuzzRun {
   private readonly fleet: FuzzFleet;
   private readonly oracle: Oracle;
   private readonly counts: Counts = new Map();
   private readonly breaches: Breach[] = [];
-  private readonly open = new Set<Promise<void>>();
-  private unkeyed = 0;
+  private readonly pending = new Set<Promise<void>>();
+  private unkeyedCount = 0;
   private priceNumber = 1;
   private price = FIRST_PRICE;
   private limitNumber = 1;
-  private limit = FIRST_LIMIT;
+  private limit = INITIAL_LIMIT;
   private drainNumber = 0;
   private drainedSince: number | undefined;
 
   private constructor(seed: number, breakage: FuzzBreakage) {
     this.fleet = new FuzzFleet(seed, {breakage});
-    this.oracle = new Oracle(this.fleet.world);
-    this.oracle.highestLimit = FIRST_LIMIT;
+    this.oracle = new Oracle(this.fleet.upstreams);
+    this.oracle.highestLimit = INITIAL_LIMIT;
   }
 
-  /** Runs all steps, repairs everything and checks. */
+  /** Runs all steps, removes all faults and checks the invariants. */
   static async run(
     seed: number,
     steps: readonly Step[],
@@ -82,8 +82,8 @@
     try {
       await run.prepare();
       for (const step of steps) {
-        run.count(step.kind);
-        await run.take(step);
+        run.increment(step.kind);
+        await run.applyStep(step);
         await run.fleet.clock.advance(step.afterMs);
         run.checkBudgets();
       }
@@ -93,14 +93,14 @@
       run.breaches.push({detail, promise: 'no invariant fails'});
     }
     return {
+      attempts: run.oracle.attempts,
       breaches: run.breaches,
       counts: run.counts,
       timeline: run.fleet.events(),
-      tries: run.oracle.tries,
     };
   }
 
-  private count(name: string): void {
+  private increment(name: string): void {
     this.counts.set(name, (this.counts.get(name) ?? 0) + 1);
   }
 
@@ -109,32 +109,35 @@
     for (const declaration of firstDeclarations()) {
       const reply = this.fleet.declare('n1', declaration, 'setup');
       const accepted = await this.fleet.drive(reply);
-      invariant(accepted?.isOk(), `${declaration.name} must be accepted`);
+      invariant(
+        accepted?.isOk(),
+        `initial declaration ${declaration.name} was not accepted`,
+      );
     }
     await this.fleet.clock.advance(1_500);
   }
 
   private async finish(): Promise<void> {
-    await this.fleet.repair(SETTLE_MS);
-    await this.fleet.drive(Promise.all(this.open));
-    this.endDrain();
+    await this.fleet.repair(REPAIR_SETTLE_MS);
+    await this.fleet.drive(Promise.all(this.pending));
+    this.recordDrainEnd();
     this.checkBudgets();
-    this.checkClosed();
-    this.breaches.push(...this.oracle.checkCallers());
-    this.countPromises();
+    this.checkFinalState();
+    this.breaches.push(...this.oracle.findBreaches());
+    this.countOutcomes();
   }
 
-  private async take(step: Step): Promise<void> {
+  private async applyStep(step: Step): Promise<void> {
     const {fleet} = this;
     switch (step.kind) {
       case 'request':
-        return this.request(step);
+        return this.startRequest(step);
       case 'kill':
         return fleet.kill(step.box);
       case 'start':
         return fleet.start(step.box);
       case 'lose-disk':
-        this.count(
+        this.increment(
           (await fleet.loseDisk(step.box)) ? 'disk lost' : 'disk kept',
         );
         return;
@@ -150,15 +153,18 @@
       case 'one-way-cut':
         return fleet.network.cut(step.from, step.to);
       case 'part-regions':
-        return fleet.network.partition(boxesIn('north'), boxesIn('south'));
+        return fleet.network.partition(
+          boxNamesIn('north'),
+          boxNamesIn('south'),
+        );
       case 'heal':
         return fleet.network.heal();
       case 'delay':
         fleet.network.delay = {highMs: step.highMs, lowMs: 1};
         return;
       case 'upstream':
-        this.count(`upstream ${step.mode}`);
-        return fleet.world.setMode(step.url, step.mode);
+        this.increment(`upstream ${step.mode}`);
+        return fleet.upstreams.setMode(step.url, step.mode);
       case 'price':
         return this.changePrice([step.box]);
       case 'racing-price':
@@ -166,65 +172,69 @@
       case 'top-up':
         return this.topUp(step.box);
       case 'drain':
-        return this.drain(step.box, step.on);
+        return this.changeDrain(step.box, step.on);
     }
   }
 
   // Requests
 
-  private request(step: Extract<Step, {kind: 'request'}>): void {
+  private startRequest(step: Extract<Step, {kind: 'request'}>): void {
     const gateway = this.fleet.lives.get(step.box)?.box.gateway;
     if (gateway === undefined) {
       return;
     }
-    this.unkeyed += 1;
-    const suffix = step.request === REQUEST_KIND.unkeyed ? this.unkeyed : '';
-    const one: CallerTry = {
+    this.unkeyedCount += 1;
+    const suffix =
+      step.request === REQUEST_KIND.unkeyed ? this.unkeyedCount : '';
+    const attempt: CallerAttempt = {
       kind: step.request,
-      left: step.leavesAfterMs !== null,
+      isAbandoned: step.leavesAfterMs !== null,
       name: `${step.request}-${step.name}${suffix}`,
       priceAtStart: this.oracle.acceptedPrice,
       region: FUZZ_BOXES.find(({name}) => name === step.box)?.region ?? '',
     };
-    this.oracle.tries.push(one);
-    const served = this.serve(gateway, step, one);
-    this.open.add(served);
-    void served.finally(() => this.open.delete(served));
+    this.oracle.attempts.push(attempt);
+    const completion = this.runAttempt(gateway, step, attempt);
+    this.pending.add(completion);
+    void completion.finally(() => this.pending.delete(completion));
   }
 
-  /** One caller; one whose box dies learns nothing. */
-  private async serve(
+  /** Sends one attempt; it gets no response if its box is killed. */
+  private async runAttempt(
     gateway: Gateway,
     step: Extract<Step, {kind: 'request'}>,
-    one: CallerTry,
+    attempt: CallerAttempt,
   ): Promise<void> {
     const member = this.fleet.lives.get(step.box)?.box.member;
-    const request = member && callerRequest(member, one.kind, one.name);
+    const request = member && callerRequest(member, attempt.kind, attempt.name);
     if (request === undefined) {
-      one.outcome = 'not-run';
-      one.code = 'invalid_key';
+      attempt.outcome = 'not-run';
+      attempt.code = 'invalid_key';
       return;
     }
-    const ended = this.fleet.clock.sleep(TRY_TIMEOUT_MS);
-    await Promise.race([this.follow(gateway, request, step, one), ended]);
+    const timeout = this.fleet.clock.sleep(ATTEMPT_TIMEOUT_MS);
+    await Promise.race([
+      this.recordResponse(gateway, request, step, attempt),
+      timeout,
+    ]);
   }
 
-  private async follow(
+  private async recordResponse(
     gateway: Gateway,
     request: CallerRequest,
     step: Extract<Step, {kind: 'request'}>,
-    one: CallerTry,
+    attempt: CallerAttempt,
   ): Promise<void> {
-    const handled = await gateway.handle(request);
-    if (!this.isAlive(step.box, gateway)) {
+    const result = await gateway.handle(request);
+    if (!this.isSameIncarnation(step.box, gateway)) {
       return;
     }
-    if (handled.isErr()) {
-      one.outcome = handled.error.outcome;
-      one.code = handled.error.kind;
+    if (result.isErr()) {
+      attempt.outcome = result.error.outcome;
+      attempt.code = result.error.kind;
       return;
     }
-    const {response} = handled.value;
+    const {response} = result.value;
     const reader = response.createReader();
     if (step.leavesAfterMs !== null) {
       void this.fleet.clock
@@ -232,62 +242,70 @@
         .then(() => reader[Symbol.dispose]());
       return;
     }
-    const parts: Uint8Array[] = [];
+    const receivedChunks: Uint8Array[] = [];
     for (;;) {
       const chunks = await reader.readAvailable();
       if (chunks.length === 0) {
         break;
       }
-      parts.push(...chunks);
+      receivedChunks.push(...chunks);
     }
     reader[Symbol.dispose]();
-    if (!this.isAlive(step.box, gateway)) {
+    if (!this.isSameIncarnation(step.box, gateway)) {
       return;
     }
     const {end, head} = response;
-    one.whole = end?.kind === 'whole';
-    one.outcome =
+    attempt.isComplete = end?.kind === 'whole';
+    attempt.outcome =
       end?.kind === 'failed'
         ? end.failure.outcome
         : (head?.outcome ?? 'unknown');
-    one.code = end?.kind === 'failed' ? end.failure.kind : 'ok';
-    one.billed = head?.billed;
-    one.body = textOf(Buffer.concat(parts).toString(), one);
+    attempt.code = end?.kind === 'failed' ? end.failure.kind : 'ok';
+    attempt.billed = head?.billed;
+    attempt.body = responseText(
+      Buffer.concat(receivedChunks).toString(),
+      attempt,
+    );
   }
 
-  /** A dead box's last words reach nobody. */
-  private isAlive(box: string, gateway: Gateway): boolean {
+  /** Whether the box still runs the incarnation that the attempt was sent to. */
+  private isSameIncarnation(box: string, gateway: Gateway): boolean {
     return this.fleet.lives.get(box)?.box.gateway === gateway;
   }
 
-  // Changes
+  // Operator changes
 
   private changePrice(boxes: readonly string[]): void {
     this.priceNumber += 1;
     const number = this.priceNumber;
     let accepted = 0;
-    for (const [at, box] of boxes.entries()) {
+    for (const [index, box] of boxes.entries()) {
       this.price += 1;
       const {price} = this;
-      this.send(box, service(number, price), `operator-${at}`, (reply) => {
-        if (reply.outcome.kind !== 'accepted') {
-          this.count(`change ${reply.outcome.kind}`);
-          return;
-        }
-        accepted += 1;
-        if (accepted > 1 && box !== boxes[0]) {
-          this.breaches.push({
-            detail: `number ${number} was accepted twice`,
-            promise: 'one of several racing changes wins',
-          });
-        }
-        if (reply.pending.length === 0) {
-          this.oracle.acceptedPrice = Math.max(
-            this.oracle.acceptedPrice,
-            price,
-          );
-        }
-      });
+      this.sendDeclaration(
+        box,
+        serviceDeclaration(number, price),
+        `operator-${index}`,
+        (reply) => {
+          if (reply.outcome.kind !== 'accepted') {
+            this.increment(`change ${reply.outcome.kind}`);
+            return;
+          }
+          accepted += 1;
+          if (accepted > 1 && box !== boxes[0]) {
+            this.breaches.push({
+              detail: `number ${number} was accepted twice`,
+              promise: 'one of several racing changes wins',
+            });
+          }
+          if (reply.pending.length === 0) {
+            this.oracle.acceptedPrice = Math.max(
+              this.oracle.acceptedPrice,
+              price,
+            );
+          }
+        },
+      );
     }
   }
 
@@ -295,54 +313,69 @@
     this.limitNumber += 1;
     this.limit += 50;
     this.oracle.highestLimit = this.limit;
-    this.send(box, budget(this.limitNumber, this.limit), 'top-up', () => {});
+    this.sendDeclaration(
+      box,
+      budgetDeclaration(this.limitNumber, this.limit),
+      'top-up',
+      () => {},
+    );
   }
 
-  private drain(box: string, on: boolean): void {
+  private changeDrain(box: string, on: boolean): void {
     this.drainNumber += 1;
-    // From the moment of the request on, either state may hold.
-    this.endDrain();
+    // Until the reply arrives the upstream may be drained or not, so nothing is checked.
+    this.recordDrainEnd();
     const number = this.drainNumber;
-    this.send(box, drainFirst(number, on), 'drain', ({outcome, pending}) => {
-      const newest = number === this.drainNumber;
-      if (outcome.kind === 'accepted' && pending.length === 0 && newest && on) {
-        this.drainedSince = this.fleet.clock.now();
-      }
-    });
+    this.sendDeclaration(
+      box,
+      drainDeclaration(number, on),
+      'drain',
+      ({outcome, pending}) => {
+        const isNewest = number === this.drainNumber;
+        if (
+          outcome.kind === 'accepted' &&
+          pending.length === 0 &&
+          isNewest &&
+          on
+        ) {
+          this.drainedSince = this.fleet.clock.now();
+        }
+      },
+    );
   }
 
-  private endDrain(): void {
+  private recordDrainEnd(): void {
     if (this.drainedSince !== undefined) {
       this.oracle.drains.push({
-        from: this.drainedSince,
-        until: this.fleet.clock.now(),
+        fromMs: this.drainedSince,
+        untilMs: this.fleet.clock.now(),
         url: SERVICE_URLS[0],
       });
     }
     this.drainedSince = undefined;
   }
 
-  private send(
+  private sendDeclaration(
     box: string,
     declaration: Declaration,
     operator: string,
     onReply: (reply: DeclareReply) => void,
   ): void {
-    const sent = this.fleet
+    const completion = this.fleet
       .declare(box, declaration, operator)
       .then((reply) => {
         if (reply?.isOk() === true) {
-          this.count('change answered');
+          this.increment('change answered');
           onReply(reply.value);
         }
       });
-    this.open.add(sent);
-    void sent.finally(() => this.open.delete(sent));
+    this.pending.add(completion);
+    void completion.finally(() => this.pending.delete(completion));
   }
 
-  // Checks
+  // Invariants
 
-  /** Checks what all regions have charged and hold against the limit. */
+  /** Checks the charges and reservations of all regions against the limit. */
   private checkBudgets(): void {
     let spent = 0;
     for (const region of REGIONS) {
@@ -356,8 +389,8 @@
     this.breaches.push(...this.oracle.checkSpend(spent));
   }
 
-  /** When all is repaired nothing may be reserved, and charges must add up. */
-  private checkClosed(): void {
+  /** Checks, once the fleet is repaired, that no reservation is left and charges add up. */
+  private checkFinalState(): void {
     for (const region of REGIONS) {
       const ledger = this.fleet.newestLedger(region);
       const state = ledger?.budgets.get(BUDGET);
@@ -369,14 +402,15 @@
         const detail = `${region} still reserves ${state.reserved}`;
         this.breaches.push({detail, promise: 'reservations end'});
       }
-      const keyed = ledger.requests
+      const keyedCharge = ledger.requests
         .all()
         .reduce((sum, {charge}) => sum + charge, 0);
-      const {atLeast, atMost} = this.billedUnkeyed(region);
-      const fits =
-        state.settled >= keyed + atLeast && state.settled <= keyed + atMost;
-      if (!fits) {
-        const detail = `${region} has charged ${state.settled}; requests with keys add up to ${keyed}, those without to ${atLeast} or up to ${atMost}`;
+      const {atLeast, atMost} = this.unkeyedCharge(region);
+      const isWithinBounds =
+        state.settled >= keyedCharge + atLeast &&
+        state.settled <= keyedCharge + atMost;
+      if (!isWithinBounds) {
+        const detail = `${region} has charged ${state.settled}; requests with keys add up to ${keyedCharge}, those without to ${atLeast} or up to ${atMost}`;
         this.breaches.push({detail, promise: 'billed exactly once'});
       }
     }
@@ -384,7 +418,7 @@
     this.checkReplicas();
   }
 
-  /** A request with a key is billed in one region at most. */
+  /** Checks that a request with a key is billed in at most one region. */
   private checkBilledOnce(): void {
     const billed = new Map<string, string>();
     for (const region of REGIONS) {
@@ -402,19 +436,20 @@
   }
 
   /**
-   * What requests without keys have cost: what callers were told, and at most
-   * the last price for each that may have run without its caller knowing.
+   * Bounds of the charges for requests without a key, units. The upper bound adds the
+   * current price for each attempt whose outcome its caller doesn't know.
    */
-  private billedUnkeyed(region: string): {atLeast: number; atMost: number} {
-    const tries = this.oracle.tries.filter(
-      (one) => one.kind === REQUEST_KIND.unkeyed && one.region === region,
+  private unkeyedCharge(region: string): {atLeast: number; atMost: number} {
+    const attempts = this.oracle.attempts.filter(
+      (attempt) =>
+        attempt.kind === REQUEST_KIND.unkeyed && attempt.region === region,
     );
-    const atLeast = tries.reduce((sum, {billed = 0}) => sum + billed, 0);
-    const unsure = tries.filter(
-      ({billed, left, outcome}) =>
-        billed === undefined && (left || outcome !== 'not-run'),
+    const atLeast = attempts.reduce((sum, {billed = 0}) => sum + billed, 0);
+    const uncertain = attempts.filter(
+      ({billed, isAbandoned, outcome}) =>
+        billed === undefined && (isAbandoned || outcome !== 'not-run'),
     );
-    return {atLeast, atMost: atLeast + unsure.length * this.price};
+    return {atLeast, atMost: atLeast + uncertain.length * this.price};
   }
 
   private checkReplicas(): void {
@@ -429,25 +464,25 @@
     }
   }
 
-  private countPromises(): void {
-    for (const {code, kind, left, outcome} of this.oracle.tries) {
-      if (left) {
-        this.count(`${kind} caller left`);
+  private countOutcomes(): void {
+    for (const {code, kind, isAbandoned, outcome} of this.oracle.attempts) {
+      if (isAbandoned) {
+        this.increment(`${kind} caller left`);
         continue;
       }
-      this.count(`${kind} ${outcome ?? 'unanswered'} ${code ?? ''}`.trim());
+      this.increment(`${kind} ${outcome ?? 'unanswered'} ${code ?? ''}`.trim());
     }
   }
 }
 
-function boxesIn(region: string): string[] {
+function boxNamesIn(region: string): string[] {
   return FUZZ_BOXES.filter((box) => box.region === region).map(
     ({name}) => name,
   );
 }
 
-/** The text of a stream's events; other bodies as they are. */
-function textOf(body: string, {kind}: CallerTry): string {
+/** Joins the text of a stream's events; returns other bodies unchanged. */
+function responseText(body: string, {kind}: CallerAttempt): string {
   if (kind !== REQUEST_KIND.stream) {
     return body;
   }
--- a/packages/puffinturn-fuzz/src/Oracle.ts
+++ b/packages/puffinturn-fuzz/src/Oracle.ts
@@ -6,86 +6,93 @@
  */
 
 /**
- * What must hold, known without knowing how the fleet works: it sees what
- * callers and operators were told, what upstreams executed, and the budgets.
+ * The oracle of the fuzzer. It checks the invariants from the outside: from responses
+ * to callers and operators, executions at upstreams, and budgets.
  */
 import type {Outcome} from 'puffinturn-gateway';
 
-import type {UpstreamWorld} from './FakeUpstreams';
+import type {FakeUpstreams} from './FakeUpstreams';
 import {STREAM_TOKENS} from './FakeUpstreams';
 import {FIRST_PRICE} from './FuzzDeclarations';
 import type {RequestKind} from './Step';
 import {REQUEST_KIND} from './Step';
 
-/** One try of a caller and what it was told. */
-export interface CallerTry {
+/** One attempt of a caller and the response to it. */
+export interface CallerAttempt {
   readonly kind: RequestKind;
-  /** Unique by what is asked; retries have the same. */
+  /** Identifies the request; retries share it. */
   readonly name: string;
   readonly region: string;
-  /** Price of the newest change accepted before the try. */
+  /** Price of the newest change accepted before the attempt. */
   readonly priceAtStart: number;
-  readonly left: boolean;
-  /** Undefined while open. */
+  /** Whether the caller disconnects before the response ends. */
+  readonly isAbandoned: boolean;
+  /** Undefined until a response or an error arrives. */
   outcome?: Outcome;
   code?: string;
   billed?: number | undefined;
   body?: string;
-  whole?: boolean;
+  isComplete?: boolean;
 }
 
-/** A promise that was broken. */
+/** A violated invariant. */
 export interface Breach {
   readonly promise: string;
   readonly detail: string;
 }
 
-/** An upstream that was drained. */
+/** A time span in which an upstream was drained. */
 export interface DrainPeriod {
   readonly url: string;
-  readonly from: number;
-  readonly until: number;
+  readonly fromMs: number;
+  readonly untilMs: number;
 }
 
-/** Time in which a leaving upstream may still get work, ms. */
-const LEAVING_GRACE_MS = 5_000;
+/** Time after the start of a drain in which requests may still arrive, ms. */
+const DRAIN_GRACE_MS = 5_000;
 
-/** See the module comment. */
+/** Records what callers and operators observe, and finds violated invariants. */
 export class Oracle {
-  readonly tries: CallerTry[] = [];
+  readonly attempts: CallerAttempt[] = [];
   readonly drains: DrainPeriod[] = [];
-  /** Highest limit that was ever accepted or may have been. */
+  /** Highest budget limit that was sent by an operator, accepted or not. */
   highestLimit = 0;
-  /** Price of the newest change that an operator was told is in force. */
+  /** Highest price that all regions have confirmed to an operator. */
   acceptedPrice = FIRST_PRICE;
 
-  constructor(private readonly world: UpstreamWorld) {}
+  constructor(private readonly upstreams: FakeUpstreams) {}
 
-  /** Checks everything that callers were told against what was executed. */
-  checkCallers(): Breach[] {
+  /** Compares the responses to callers with the executions at upstreams. */
+  findBreaches(): Breach[] {
     const breaches: Breach[] = [];
-    for (const [name, tries] of this.byName()) {
-      breaches.push(...this.checkName(name, tries));
+    for (const [name, attempts] of this.groupByName()) {
+      breaches.push(...this.checkRequest(name, attempts));
     }
     return [
       ...breaches,
       ...this.checkDrains(),
-      ...this.checkLimits(),
-      ...this.checkRests(),
+      ...this.checkRateLimits(),
+      ...this.checkRetryAfter(),
     ];
   }
 
-  private checkLimits(): Breach[] {
+  private checkRateLimits(): Breach[] {
     const promise = 'an upstream gets no more than it says that it takes';
-    return this.world.overrun.map((detail) => ({detail, promise}));
+    return this.upstreams.rateLimitViolations.map((detail) => ({
+      detail,
+      promise,
+    }));
   }
 
-  private checkRests(): Breach[] {
+  private checkRetryAfter(): Breach[] {
     const promise = 'an upstream that asked for rest gets nothing meanwhile';
-    return this.world.disturbed.map((detail) => ({detail, promise}));
+    return this.upstreams.retryAfterViolations.map((detail) => ({
+      detail,
+      promise,
+    }));
   }
 
-  /** Checks what all regions have spent together. */
+  /** Checks the total spend of all regions, units, against the limit. */
   checkSpend(spent: number): Breach[] {
     return spent <= this.highestLimit
       ? []
@@ -97,78 +104,88 @@
         ];
   }
 
-  private byName(): Map<string, CallerTry[]> {
-    const names = new Map<string, CallerTry[]>();
-    for (const one of this.tries) {
-      names.set(one.name, [...(names.get(one.name) ?? []), one]);
+  private groupByName(): Map<string, CallerAttempt[]> {
+    const groups = new Map<string, CallerAttempt[]>();
+    for (const attempt of this.attempts) {
+      groups.set(attempt.name, [...(groups.get(attempt.name) ?? []), attempt]);
     }
-    return names;
+    return groups;
   }
 
-  private checkName(name: string, tries: readonly CallerTry[]): Breach[] {
+  private checkRequest(
+    name: string,
+    attempts: readonly CallerAttempt[],
+  ): Breach[] {
     const breaches: Breach[] = [];
-    const executions = this.world.countOf(name);
-    const {kind} = tries[0] as CallerTry;
+    const executions = this.upstreams.countExecutions(name);
+    const {kind} = attempts[0] as CallerAttempt;
     if (kind === REQUEST_KIND.marked && executions > 1) {
       breaches.push({
         detail: `${name} ran ${executions} times`,
         promise: 'never repeated',
       });
     }
-    const refused = tries.every(
-      ({left, outcome}) => outcome === 'not-run' && !left,
+    const isRejected = attempts.every(
+      ({isAbandoned, outcome}) => outcome === 'not-run' && !isAbandoned,
     );
-    if (refused && executions > 0) {
+    if (isRejected && executions > 0) {
       breaches.push({
-        detail: `${name} ran ${executions} times: ${tries.map(({code}) => code)}`,
+        detail: `${name} ran ${executions} times: ${attempts.map(({code}) => code)}`,
         promise: 'not-run is true',
       });
     }
-    for (const one of tries) {
-      breaches.push(...checkTry(one));
+    for (const attempt of attempts) {
+      breaches.push(...checkAttempt(attempt));
     }
     return breaches;
   }
 
   private checkDrains(): Breach[] {
-    return this.drains.flatMap(({from, until, url}) =>
-      this.world.executions
-        .filter((one) => one.url === url)
-        .filter(({at}) => at > from + LEAVING_GRACE_MS && at < until)
-        .map(({at, name}) => ({
-          detail: `${name} at ${at} ms, drained since ${from} ms`,
+    return this.drains.flatMap(({fromMs, untilMs, url}) =>
+      this.upstreams.executions
+        .filter((execution) => execution.url === url)
+        .filter(({atMs}) => atMs > fromMs + DRAIN_GRACE_MS && atMs < untilMs)
+        .map(({atMs, name}) => ({
+          detail: `${name} at ${atMs} ms, drained since ${fromMs} ms`,
           promise: 'a leaving upstream gets no new work',
         })),
     );
   }
 }
 
-function checkTry(one: CallerTry): Breach[] {
-  if (one.left || one.outcome !== 'ran' || one.whole !== true) {
+function checkAttempt(attempt: CallerAttempt): Breach[] {
+  if (
+    attempt.isAbandoned ||
+    attempt.outcome !== 'ran' ||
+    attempt.isComplete !== true
+  ) {
     return [];
   }
   const breaches: Breach[] = [];
-  if (one.body !== expectedBody(one)) {
+  if (attempt.body !== expectedBody(attempt)) {
     breaches.push({
-      detail: `${one.name} got ${one.body}`,
+      detail: `${attempt.name} got ${attempt.body}`,
       promise: 'whole answer to its own request',
     });
   }
-  const outdated =
-    one.kind === REQUEST_KIND.unkeyed &&
-    one.billed !== undefined &&
-    one.billed < one.priceAtStart;
-  if (outdated) {
+  const isOldPrice =
+    attempt.kind === REQUEST_KIND.unkeyed &&
+    attempt.billed !== undefined &&
+    attempt.billed < attempt.priceAtStart;
+  if (isOldPrice) {
     breaches.push({
-      detail: `${one.name} was billed ${one.billed} after ${one.priceAtStart} was in force`,
+      detail: `${attempt.name} was billed ${attempt.billed} after ${attempt.priceAtStart} was in force`,
       promise: 'an accepted change is in force and never reverts',
     });
   }
   return breaches;
 }
 
-function expectedBody({kind, name}: CallerTry): string {
+function expectedBody({kind, name}: CallerAttempt): string {
   return kind === REQUEST_KIND.stream
-    ? Array.from({length: STREAM_TOKENS}, (_, at) => `${name}.${at} `).join('')
+    ? Array.from(
+        {length: STREAM_TOKENS},
+        (_, index) => `${name}.${index} `,
+      ).join('')
     : JSON.stringify({echo: name});
 }
--- a/packages/puffinturn-fuzz/src/PausableClock.ts
+++ b/packages/puffinturn-fuzz/src/PausableClock.ts
@@ -5,12 +5,11 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** A clock that a test can stop, as a frozen process's clock seems to. */
 import {Clock, Condition} from 'shared';
 
-/** See the module comment. */
+/** A clock whose timers can be paused, to simulate a frozen process. */
 export class PausableClock extends Clock {
-  private paused = false;
+  private isPaused = false;
   private readonly resumed = new Condition();
 
   constructor(private readonly base: Clock) {
@@ -27,24 +26,24 @@
 
   override async sleep(ms: number, signal?: AbortSignal): Promise<void> {
     await this.base.sleep(ms, signal);
-    await this.whileRunning();
+    await this.waitUntilResumed();
   }
 
-  /** Resolves once the clock runs. */
-  async whileRunning(): Promise<void> {
-    while (this.paused) {
+  /** Resolves once the clock is not paused; at once if it is running. */
+  async waitUntilResumed(): Promise<void> {
+    while (this.isPaused) {
       await this.resumed.wait();
     }
   }
 
-  /** Stops all timers. */
+  /** Holds back all timers; time itself still passes. */
   pause(): void {
-    this.paused = true;
+    this.isPaused = true;
   }
 
-  /** Lets timers that are due go on. */
+  /** Fires the timers that became due while the clock was paused. */
   resume(): void {
-    this.paused = false;
+    this.isPaused = false;
     this.resumed.notify();
   }
 }
--- a/packages/puffinturn-fuzz/src/Step.ts
+++ b/packages/puffinturn-fuzz/src/Step.ts
@@ -5,14 +5,14 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** What a fuzzing run can do to a fleet. */
+/** The steps of a fuzzing run: caller requests, injected faults and operator changes. */
 import fc from 'fast-check';
 
 import type {Mode} from './FakeUpstreams';
 import {MODE} from './FakeUpstreams';
 import {FUZZ_BOXES} from './FuzzFleet';
 
-/** Requests: few names, so that retries and racing keys are common. */
+/** Request names; there are few, so that retries and concurrent duplicates are common. */
 export const REQUEST_NAMES = [
   'o1',
   'o2',
@@ -24,20 +24,20 @@
   'o8',
 ] as const;
 
-/** Kinds of requests. */
+/** Request kinds; they differ in whether a retry may execute the request again. */
 export const REQUEST_KIND = {
-  /** Never-repeated, with a business key. */
+  /** Must execute at most once; identified by a business key in the body. */
   marked: 'marked',
-  /** Repeatable, streamed, with the caller's key. */
+  /** Safe to repeat; a streamed completion with the caller's idempotency key. */
   stream: 'stream',
-  /** Repeatable, without a key. */
+  /** Safe to repeat; without an idempotency key. */
   unkeyed: 'unkeyed',
 } as const;
 
-/** One of REQUEST_KIND. */
+/** A value of REQUEST_KIND. */
 export type RequestKind = (typeof REQUEST_KIND)[keyof typeof REQUEST_KIND];
 
-/** One step; `afterMs` passes before the next one. */
+/** A step of a run; the next one starts `afterMs` later in virtual time. */
 export type Step = {readonly afterMs: number} & (
   | {
       readonly kind: 'request';
@@ -60,13 +60,13 @@
   | {readonly kind: 'drain'; readonly box: string; readonly on: boolean}
 );
 
-/** Addresses of the fake upstreams of the service and of the pool. */
+/** URLs of the fake upstreams of the plain service. */
 export const SERVICE_URLS = ['http://service-1', 'http://service-2'] as const;
-/** Addresses of the fake engines. */
+/** URLs of the fake engines. */
 export const ENGINE_URLS = ['http://engine-1', 'http://engine-2'] as const;
 
-/** Modes that runs draw; upstreams that crash or rest have stories of their own. */
-const DRAWN_MODES = Object.values(MODE).filter(
+/** Modes of random steps; separate tests cover crashes and retry-after responses. */
+const RANDOM_MODES = Object.values(MODE).filter(
   (mode) => mode !== MODE.crash && mode !== MODE.resting,
 );
 
@@ -76,7 +76,7 @@
   {arbitrary: fc.integer({max: 3_000, min: 100}), weight: 2},
 );
 
-const request = fc.record({
+const requestStep = fc.record({
   afterMs,
   box: boxName,
   kind: fc.constant('request' as const),
@@ -88,7 +88,7 @@
   request: fc.constantFrom(...Object.values(REQUEST_KIND)),
 });
 
-const fault = fc.oneof(
+const faultStep = fc.oneof(
   fc.record({
     afterMs,
     box: boxName,
@@ -125,12 +125,12 @@
   fc.record({
     afterMs,
     kind: fc.constant('upstream' as const),
-    mode: fc.constantFrom(...DRAWN_MODES),
+    mode: fc.constantFrom(...RANDOM_MODES),
     url: fc.constantFrom(...SERVICE_URLS, ...ENGINE_URLS),
   }),
 );
 
-const change = fc.oneof(
+const operatorStep = fc.oneof(
   fc.record({
     afterMs,
     box: boxName,
@@ -149,9 +149,9 @@
   }),
 );
 
-/** One random step. */
+/** Generates a random step. */
 export const stepArbitrary: fc.Arbitrary<Step> = fc.oneof(
-  {arbitrary: request, weight: 6},
-  {arbitrary: fault, weight: 4},
-  {arbitrary: change, weight: 1},
+  {arbitrary: requestStep, weight: 6},
+  {arbitrary: faultStep, weight: 4},
+  {arbitrary: operatorStep, weight: 1},
 );
--- a/packages/puffinturn-fuzz/src/__tests__/unit/Fuzz.test.ts
+++ b/packages/puffinturn-fuzz/src/__tests__/unit/Fuzz.test.ts
@@ -5,24 +5,25 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/** Guards against a fuzzer that misses planted faults or can't replay a run by its seed. */
 import type {Step} from '../../index';
 import {BREAKAGES, fuzz, FuzzRun} from '../../index';
-import {ask} from '../utils/Scenarios';
+import {requestStep} from '../utils/Scenarios';
 
 describe('fuzz', () => {
-  test('a short fixed part keeps every promise', async () => {
+  test('a short session with a fixed seed violates no invariant', async () => {
     const report = await fuzz({
       runs: 8,
       seed: 20_261_202,
-      shrinks: false,
+      shouldShrink: false,
       steps: 50,
     });
     expect(report.breaches).toEqual([]);
     expect(report.counts['marked ran ok']).toBeGreaterThan(5);
   }, 600_000);
 
-  test('the same seed gives the same run', async () => {
-    const options = {runs: 2, seed: 42, shrinks: false, steps: 30};
+  test('the same seed gives the same report', async () => {
+    const options = {runs: 2, seed: 42, shouldShrink: false, steps: 30};
     const first = await fuzz(options);
     expect(await fuzz(options)).toEqual(first);
   }, 600_000);
@@ -30,7 +31,7 @@
   test.each([
     [
       'forget-tombstone',
-      [ask('n1', 'o1', 'marked'), ask('n2', 'o1', 'marked')],
+      [requestStep('n1', 'o1', 'marked'), requestStep('n2', 'o1', 'marked')],
     ],
     [
       'repeat-marked',
@@ -41,13 +42,13 @@
           mode: 'slow',
           url,
         })),
-        ask('n4', 'o2', 'marked', 300),
+        requestStep('n4', 'o2', 'marked', 300),
         {afterMs: 3_000, box: 'n4', kind: 'kill'} as Step,
-        ask('n1', 'o2', 'marked', 5_000),
+        requestStep('n1', 'o2', 'marked', 5_000),
       ],
     ],
   ])(
-    'the breakage %s is found, and the same steps hold without it',
+    'the breakage %s is detected, and the same steps pass without it',
     async (name, steps) => {
       const broken = await FuzzRun.run(5, steps, BREAKAGES[name]);
       expect(broken.breaches.map(({promise}) => promise)).toContain(
--- a/packages/puffinturn-fuzz/src/__tests__/unit/LimitedUpstreams.test.ts
+++ b/packages/puffinturn-fuzz/src/__tests__/unit/LimitedUpstreams.test.ts
@@ -6,50 +6,55 @@
  */
 
 /**
- * Both engines name one request a second that they take from all boxes, while each of
- * three boxes is asked for something every 300 ms. A box that keeps to that by itself
- * lets three times as much through.
+ * Guards against boxes that apply an upstream's rate limit separately: three boxes would
+ * together send three times the rate.
  */
-import {LIMIT_PER_S} from '../../FakeUpstreams';
+import {RATE_LIMIT_PER_S} from '../../FakeUpstreams';
 import type {Step} from '../../index';
 import {FuzzRun} from '../../index';
-import {ask, engines} from '../utils/Scenarios';
+import {requestStep, setEngineModes} from '../utils/Scenarios';
 
 const BOXES = ['n1', 'n2', 'n4'];
-const ENGINES = 2;
+const ENGINE_COUNT = 2;
 
-/** Time between two requests, ms. */
-const BETWEEN_MS = 100;
+const REQUEST_INTERVAL_MS = 100;
 
-const REQUESTS = 150;
-const RUN_S = (REQUESTS * BETWEEN_MS) / 1_000;
+const REQUEST_COUNT = 150;
+const RUN_DURATION_S = (REQUEST_COUNT * REQUEST_INTERVAL_MS) / 1_000;
 
-function requests(first: number, count: number): Step[] {
-  return Array.from({length: count}, (_, turn) => {
-    const box = BOXES[turn % BOXES.length] ?? '';
-    return ask(box, `o${first + turn}`, 'stream', BETWEEN_MS);
+function createRequests(first: number, count: number): Step[] {
+  return Array.from({length: count}, (_, index) => {
+    const box = BOXES[index % BOXES.length] ?? '';
+    return requestStep(box, `o${first + index}`, 'stream', REQUEST_INTERVAL_MS);
   });
 }
 
-describe('Upstreams that name a limit', () => {
+describe('Upstreams that announce a rate limit', () => {
   test.each([3, 7])(
-    'get no more from all boxes together (seed %i)',
+    'get no more requests than that from all boxes together (seed %i)',
     async (seed) => {
       const report = await FuzzRun.run(seed, [
-        ...engines('limited'),
-        ...requests(0, REQUESTS),
-        ...engines('ok', 4_000),
-        ask('n1', 'once more', 'stream'),
-        ask('n1', 'last', 'stream'),
+        ...setEngineModes('limited'),
+        ...createRequests(0, REQUEST_COUNT),
+        ...setEngineModes('ok', 4_000),
+        requestStep('n1', 'once more', 'stream'),
+        requestStep('n1', 'last', 'stream'),
       ]);
       expect(report.breaches).toEqual([]);
-      const told = report.timeline.filter(
+      const limitEvents = report.timeline.filter(
         ({kind}) => kind === 'upstream-limited',
       );
-      expect(told.length).toBeGreaterThan(0);
-      const ran = report.tries.filter(({outcome}) => outcome === 'ran').length;
-      expect(ran).toBeGreaterThan(0.5 * ENGINES * LIMIT_PER_S * RUN_S);
-      expect(report.tries.at(-1)).toMatchObject({outcome: 'ran', whole: true});
+      expect(limitEvents.length).toBeGreaterThan(0);
+      const servedCount = report.attempts.filter(
+        ({outcome}) => outcome === 'ran',
+      ).length;
+      expect(servedCount).toBeGreaterThan(
+        0.5 * ENGINE_COUNT * RATE_LIMIT_PER_S * RUN_DURATION_S,
+      );
+      expect(report.attempts.at(-1)).toMatchObject({
+        isComplete: true,
+        outcome: 'ran',
+      });
     },
   );
 });
--- a/packages/puffinturn-fuzz/src/__tests__/unit/RestingUpstreams.test.ts
+++ b/packages/puffinturn-fuzz/src/__tests__/unit/RestingUpstreams.test.ts
@@ -6,45 +6,47 @@
  */
 
 /**
- * Both engines turn requests away and ask for four seconds of rest, while each box is
- * asked for something every 300 ms. Without a memory of what they asked for, each
- * request is sent to both of them.
+ * Guards against boxes that ignore the Retry-After header of an upstream and send it
+ * more requests before that time has passed.
  */
-import {REST_S} from '../../FakeUpstreams';
+import {RETRY_AFTER_S} from '../../FakeUpstreams';
 import type {Step} from '../../index';
 import {FuzzRun} from '../../index';
-import {ask, engines} from '../utils/Scenarios';
+import {requestStep, setEngineModes} from '../utils/Scenarios';
 
-const SEED = 7;
+const FLEET_SEED = 7;
 
 const BOXES = ['n1', 'n2', 'n4'];
 
-/** Time between two requests: every box gets some in each rest, ms. */
-const BETWEEN_MS = 100;
+/** Short enough for every box to get requests in each back-off, ms. */
+const REQUEST_INTERVAL_MS = 100;
 
-function requests(first: number, count: number): Step[] {
-  return Array.from({length: count}, (_, turn) => {
-    const box = BOXES[turn % BOXES.length] ?? '';
-    return ask(box, `o${first + turn}`, 'stream', BETWEEN_MS);
+function createRequests(first: number, count: number): Step[] {
+  return Array.from({length: count}, (_, index) => {
+    const box = BOXES[index % BOXES.length] ?? '';
+    return requestStep(box, `o${first + index}`, 'stream', REQUEST_INTERVAL_MS);
   });
 }
 
-describe('Upstreams that ask for rest', () => {
-  test('get nothing from any box that they asked, and then all again', async () => {
-    const report = await FuzzRun.run(SEED, [
-      ...engines('resting'),
-      ...requests(0, 90),
-      ...engines('ok', REST_S * 1_000),
-      ask('n1', 'last', 'stream'),
+describe('Upstreams that send Retry-After', () => {
+  test('get no requests during the back-off and serve again after it', async () => {
+    const report = await FuzzRun.run(FLEET_SEED, [
+      ...setEngineModes('resting'),
+      ...createRequests(0, 90),
+      ...setEngineModes('ok', RETRY_AFTER_S * 1_000),
+      requestStep('n1', 'last', 'stream'),
     ]);
     expect(report.breaches).toEqual([]);
-    const rests = report.timeline.filter(
+    const backoffEvents = report.timeline.filter(
       ({kind}) => kind === 'upstream-resting',
     );
-    expect(rests.length).toBeGreaterThan(BOXES.length);
-    expect(report.tries.at(-1)).toMatchObject({outcome: 'ran', whole: true});
-    expect(report.tries.slice(0, -1).map((each) => each.outcome)).toEqual(
-      Array(90).fill('not-run'),
-    );
+    expect(backoffEvents.length).toBeGreaterThan(BOXES.length);
+    expect(report.attempts.at(-1)).toMatchObject({
+      outcome: 'ran',
+      isComplete: true,
+    });
+    expect(
+      report.attempts.slice(0, -1).map((attempt) => attempt.outcome),
+    ).toEqual(Array(90).fill('not-run'));
   });
 });
--- a/packages/puffinturn-fuzz/src/__tests__/utils/Scenarios.ts
+++ b/packages/puffinturn-fuzz/src/__tests__/utils/Scenarios.ts
@@ -5,16 +5,20 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Words a run's time line for golden files: no ids, no times. */
+/** Steps for scenario tests, and timelines in the text form of golden files. */
 import type {Mode} from '../../FakeUpstreams';
 import type {RunReport, Step} from '../../index';
 import {ENGINE_URLS} from '../../Step';
 
-/** Kinds of events that tell nothing about a story. */
-const SILENT = new Set(['box-registered', 'config-changed', 'started']);
+/** Event kinds that the text form leaves out. */
+const OMITTED_EVENT_KINDS = new Set([
+  'box-registered',
+  'config-changed',
+  'started',
+]);
 
-/** A step that asks for something. */
-export function ask(
+/** Creates a step that sends a request. */
+export function requestStep(
   box: string,
   name: string,
   request: 'marked' | 'stream' | 'unkeyed',
@@ -24,24 +28,24 @@
   return {afterMs, box, kind, leavesAfterMs: null, name, request} as Step;
 }
 
-/** All engines behave in one way from now on. */
-export function engines(mode: Mode, afterMs = 0): Step[] {
+/** Creates steps that set the mode of all engines. */
+export function setEngineModes(mode: Mode, afterMs = 0): Step[] {
   return ENGINE_URLS.map((url) => ({afterMs, kind: 'upstream', mode, url}));
 }
 
-/** Lines of a story: what happened on each box, then what callers heard. */
-export function storyOf({timeline, tries}: RunReport): string {
+/** Formats the events of all boxes, then the outcomes of callers, without ids and times. */
+export function formatTimeline({timeline, attempts}: RunReport): string {
   const events = timeline
-    .filter(({kind}) => !SILENT.has(kind))
+    .filter(({kind}) => !OMITTED_EVENT_KINDS.has(kind))
     .map(({box, detail = '', kind, request = '', upstream = ''}) =>
       [box, kind, request.replace(/name-\d+/, 'KEY'), upstream, detail]
-        .filter((part) => part !== '')
+        .filter((field) => field !== '')
         .join(' '),
     );
-  const answers = tries.map(({billed, code, name, outcome, whole}) =>
-    `${name}: ${outcome ?? 'no answer'} ${code ?? ''} ${whole === true ? 'whole' : ''} ${billed ?? ''}`
+  const outcomes = attempts.map(({billed, code, name, outcome, isComplete}) =>
+    `${name}: ${outcome ?? 'no answer'} ${code ?? ''} ${isComplete === true ? 'whole' : ''} ${billed ?? ''}`
       .replace(/ +/g, ' ')
       .trimEnd(),
   );
-  return [...events, '', ...answers].join('\n');
+  return [...events, '', ...outcomes].join('\n');
 }
--- a/packages/puffinturn-fuzz/src/index.ts
+++ b/packages/puffinturn-fuzz/src/index.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** Stateful fuzzing of whole fleets in one process. */
+/** A stateful fuzzer that runs a whole fleet in one process, in virtual time. */
 export {callerRequest} from './CallerRequests';
 export type {FuzzOptions, FuzzReport} from './Fuzz';
 export {BREAKAGES, fuzz} from './Fuzz';
--- a/packages/puffinturn-fuzz/src/main.ts
+++ b/packages/puffinturn-fuzz/src/main.ts
@@ -14,11 +14,14 @@
 const cli = cac('puffinturn-fuzz');
 cli
   .option('--seed <n>', 'Seed of the first run', {default: 1})
-  .option('--runs <n>', 'Runs', {default: 20})
-  .option('--steps <n>', 'Steps of a run at most', {default: 60})
-  .option('--break <name>', `Breakage: ${Object.keys(BREAKAGES).join(', ')}`)
+  .option('--runs <n>', 'Number of runs', {default: 20})
+  .option('--steps <n>', 'Maximum number of steps in a run', {default: 60})
+  .option(
+    '--break <name>',
+    `Fault to plant in the code under test: ${Object.keys(BREAKAGES).join(', ')}`,
+  )
   .option('--fast', 'Stop at the first failure without shrinking it')
-  .option('--json', 'Print JSON');
+  .option('--json', 'Print the report as JSON');
 cli.help();
 
 const {options} = cli.parse();
@@ -27,7 +30,7 @@
     breakage: options.break,
     runs: Number(options.runs),
     seed: Number(options.seed),
-    shrinks: options.fast !== true,
+    shouldShrink: options.fast !== true,
     steps: Number(options.steps),
   });
   process.stdout.write(
