--- a/packages/puffinturn-edge/src/requests/RequestQuarantine.ts
+++ b/packages/puffinturn-edge/src/requests/RequestQuarantine.ts
@@ -52,7 +52,7 @@
 
 /** Quarantine state of this edge, and the reporter of crashes it has seen. */
 export class RequestQuarantine implements AsyncDisposable {
-  private readonly evidence: LocalQuarantine;
+  private readonly localQuarantine: LocalQuarantine;
   private readonly crashDetector: CrashDetector<EdgeUpstream>;
   private adopted = EMPTY_QUARANTINE;
   private readonly reportPending = new Condition();
@@ -60,7 +60,7 @@
 
   constructor(private readonly parts: RequestQuarantineParts) {
     const {clock} = parts;
-    this.evidence = new LocalQuarantine(clock);
+    this.localQuarantine = new LocalQuarantine(clock);
     this.crashDetector = new CrashDetector({
       clock,
       onCrash: (crash, upstream) => this.recordCrash(crash, upstream),
@@ -76,17 +76,17 @@
 
   /** Whether no request is quarantined or suspected, so that look-ups can be skipped. */
   get isEmpty(): boolean {
-    return this.evidence.isEmpty;
+    return this.localQuarantine.isEmpty;
   }
 
   /** Whether a request must not be sent to any upstream. */
   isQuarantined(fingerprint: string): boolean {
-    return this.evidence.isQuarantined(fingerprint);
+    return this.localQuarantine.isQuarantined(fingerprint);
   }
 
   /** Whether one more crash would quarantine a request. */
   isOneCrashFromQuarantine(fingerprint: string): boolean {
-    return this.evidence.isSuspect(fingerprint);
+    return this.localQuarantine.isSuspect(fingerprint);
   }
 
   /** Adopts the quarantine of another box if its revision is newer. */
@@ -98,7 +98,7 @@
     }
     const {fingerprints, revision, suspects} = update;
     this.adopted = update;
-    this.evidence.setRemoteQuarantine(update);
+    this.localQuarantine.setRemoteQuarantine(update);
     metrics.quarantined.set(fingerprints.length);
     log.note({
       count: fingerprints.length,
@@ -127,13 +127,13 @@
       upstream: record.id,
     });
     metrics.crashes.inc({service: record.service});
-    this.evidence.recordCrash(crash);
+    this.localQuarantine.recordCrash(crash);
     this.reportPending.notify();
   }
 
   /** Records a complete response, which clears the request of suspicion. */
   recordSuccess(fingerprint: string): void {
-    if (this.evidence.recordSuccess(fingerprint)) {
+    if (this.localQuarantine.recordSuccess(fingerprint)) {
       this.reportPending.notify();
     }
   }
@@ -144,10 +144,10 @@
   }
 
   private async sendReports(signal: AbortSignal): Promise<void> {
-    const {evidence} = this;
+    const {localQuarantine} = this;
     const {clock} = this.parts;
     while (!signal.aborted) {
-      const {pendingReport} = evidence;
+      const {pendingReport} = localQuarantine;
       if (pendingReport === undefined) {
         await sleepUnlessNotified(
           clock,
@@ -155,8 +155,10 @@
           MAX_IDLE_MS,
           signal,
         );
-      } else if (await this.sendReport(evidence.buildReport(pendingReport))) {
-        evidence.confirmReported(pendingReport);
+      } else if (
+        await this.sendReport(localQuarantine.buildReport(pendingReport))
+      ) {
+        localQuarantine.confirmReported(pendingReport);
       } else {
         await clock.sleep(RETRY_INTERVAL_MS, signal);
       }
--- a/packages/puffinturn-gateway/src/RequestQuarantine.ts
+++ b/packages/puffinturn-gateway/src/RequestQuarantine.ts
@@ -50,7 +50,7 @@
 
 /** Records crashes and decides which requests may run. */
 export class RequestQuarantine implements AsyncDisposable {
-  private readonly evidence: LocalQuarantine;
+  private readonly localQuarantine: LocalQuarantine;
   private readonly crashDetector: CrashDetector<MonitoredUpstream>;
   /** Cached because hashing a long body is expensive. */
   private readonly fingerprints = new WeakMap<CallerRequest, string>();
@@ -59,7 +59,7 @@
 
   constructor(private readonly parts: RequestQuarantineParts) {
     const {client, clock} = parts;
-    this.evidence = new LocalQuarantine(clock);
+    this.localQuarantine = new LocalQuarantine(clock);
     this.crashDetector = new CrashDetector({
       clock,
       onCrash: (crash) => this.recordCrash(crash),
@@ -70,40 +70,42 @@
 
   /** The quarantine and pending crash report for the next heartbeat. */
   nextHeartbeatReport(): CrashTelling {
-    const {evidence} = this;
-    const {quarantinedElsewhere: quarantined, pendingReport} = evidence;
+    const {localQuarantine} = this;
+    const {quarantinedElsewhere: quarantined, pendingReport} = localQuarantine;
     if (pendingReport === undefined) {
       return {news: {quarantined, report: undefined}, taken: () => undefined};
     }
-    const report = evidence.buildReport(pendingReport);
+    const report = localQuarantine.buildReport(pendingReport);
     return {
       news: {quarantined, report},
-      taken: () => evidence.confirmReported(pendingReport),
+      taken: () => localQuarantine.confirmReported(pendingReport),
     };
   }
 
   /** Applies the quarantine of all boxes. */
   applyQuarantine(quarantine: Quarantine): void {
-    this.evidence.setRemoteQuarantine(quarantine);
+    this.localQuarantine.setRemoteQuarantine(quarantine);
   }
 
   /** Whether a request is quarantined and must not run. */
   isQuarantined(request: CallerRequest): boolean {
-    const {evidence} = this;
+    const {localQuarantine} = this;
     return (
-      !evidence.isEmpty && evidence.isQuarantined(this.getFingerprint(request))
+      !localQuarantine.isEmpty &&
+      localQuarantine.isQuarantined(this.getFingerprint(request))
     );
   }
 
   /** Whether a request may be retried after its connection was lost. */
   canRetry(request: CallerRequest): boolean {
-    const {evidence} = this;
-    if (evidence.isEmpty) {
+    const {localQuarantine} = this;
+    if (localQuarantine.isEmpty) {
       return true;
     }
     const fingerprint = this.getFingerprint(request);
     return (
-      !evidence.isQuarantined(fingerprint) && !evidence.isSuspect(fingerprint)
+      !localQuarantine.isQuarantined(fingerprint) &&
+      !localQuarantine.isSuspect(fingerprint)
     );
   }
 
@@ -117,7 +119,7 @@
 
   /** Records that a request got a complete response. */
   recordSuccess(request: CallerRequest): void {
-    this.evidence.recordSuccess(this.getFingerprint(request));
+    this.localQuarantine.recordSuccess(this.getFingerprint(request));
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -131,7 +133,7 @@
     timeline.note(EVENT_KIND.upstreamCrashed, {detail, upstream: life});
     // Upstreams do not report incarnations, so each crash gets its own identifier.
     const crashId = `${life} ${box} ${this.crashCount}`;
-    this.evidence.recordCrash({fingerprints, life: crashId});
+    this.localQuarantine.recordCrash({fingerprints, life: crashId});
   }
 
   private getFingerprint(request: CallerRequest): string {
--- a/packages/puffinturn-quarantine/src/__tests__/unit/LocalQuarantine.test.ts
+++ b/packages/puffinturn-quarantine/src/__tests__/unit/LocalQuarantine.test.ts
@@ -21,50 +21,50 @@
  */
 describe('LocalQuarantine', () => {
   let clock: ManualClock;
-  let evidence: LocalQuarantine;
+  let localQuarantine: LocalQuarantine;
 
   beforeEach(() => {
     clock = new ManualClock();
-    evidence = new LocalQuarantine(clock);
+    localQuarantine = new LocalQuarantine(clock);
   });
 
   async function recordCrash(incarnation: string): Promise<void> {
-    evidence.recordCrash({fingerprints: ['f'], life: incarnation});
+    localQuarantine.recordCrash({fingerprints: ['f'], life: incarnation});
     await clock.advance(SECOND_MS);
   }
 
   test('is empty again after the lookup time since the last crash', async () => {
-    expect(evidence.isEmpty).toBe(true);
+    expect(localQuarantine.isEmpty).toBe(true);
     await recordCrash('a');
-    expect(evidence.isEmpty).toBe(false);
+    expect(localQuarantine.isEmpty).toBe(false);
     await clock.advance(LOOKUP_AFTER_CRASH_MS);
-    expect(evidence.isEmpty).toBe(true);
+    expect(localQuarantine.isEmpty).toBe(true);
   });
 
   test('clears a request that is suspected only by other boxes', () => {
-    evidence.setRemoteQuarantine({fingerprints: [], suspects: ['f']});
-    expect(evidence.isEmpty).toBe(false);
-    expect(evidence.isSuspect('f')).toBe(true);
-    expect(evidence.recordSuccess('f')).toBe(true);
-    expect(evidence.pendingReport?.answered).toEqual(['f']);
-    expect(evidence.recordSuccess('f')).toBe(false);
-    expect(evidence.recordSuccess('g')).toBe(false);
+    localQuarantine.setRemoteQuarantine({fingerprints: [], suspects: ['f']});
+    expect(localQuarantine.isEmpty).toBe(false);
+    expect(localQuarantine.isSuspect('f')).toBe(true);
+    expect(localQuarantine.recordSuccess('f')).toBe(true);
+    expect(localQuarantine.pendingReport?.answered).toEqual(['f']);
+    expect(localQuarantine.recordSuccess('f')).toBe(false);
+    expect(localQuarantine.recordSuccess('g')).toBe(false);
   });
 
   test('does not suspect a request that succeeded on this box before several crashes', async () => {
-    evidence.recordSuccess('f');
+    localQuarantine.recordSuccess('f');
     for (const incarnation of ['a', 'b', 'c', 'd']) {
       await recordCrash(incarnation);
     }
-    expect(evidence.pendingReport).toBeUndefined();
-    expect(evidence.isQuarantined('f')).toBe(false);
+    expect(localQuarantine.pendingReport).toBeUndefined();
+    expect(localQuarantine.isQuarantined('f')).toBe(false);
   });
 
   test('removes a successful request from unreported crashes', async () => {
     await recordCrash('a');
     await recordCrash('b');
-    evidence.recordSuccess('f');
-    const pendingReport = evidence.pendingReport;
+    localQuarantine.recordSuccess('f');
+    const pendingReport = localQuarantine.pendingReport;
     const crashes = pendingReport?.crashes.flatMap(
       ({crash}) => crash.fingerprints,
     );
@@ -77,10 +77,10 @@
       await recordCrash(incarnation);
     }
     await clock.advance(LOOKUP_AFTER_CRASH_MS);
-    expect(evidence.isEmpty).toBe(false);
-    expect(evidence.isQuarantined('f')).toBe(true);
+    expect(localQuarantine.isEmpty).toBe(false);
+    expect(localQuarantine.isQuarantined('f')).toBe(true);
     await clock.advance(QUARANTINE_DURATION_MS);
-    expect(evidence.isQuarantined('f')).toBe(false);
-    expect(evidence.isEmpty).toBe(true);
+    expect(localQuarantine.isQuarantined('f')).toBe(false);
+    expect(localQuarantine.isEmpty).toBe(true);
   });
 });
