--- a/packages/puffinturn-bench/src/BudgetsBench.ts
+++ b/packages/puffinturn-bench/src/BudgetsBench.ts
@@ -11,11 +11,11 @@
  */
 import type {FleetOptions} from 'puffinturn-fuzz';
 import {
-  BUDGET,
-  callerRequest,
-  FIRST_PRICE,
-  firstDeclarations,
+  BUDGET_NAME,
+  createCallerRequest,
   FuzzFleet,
+  INITIAL_CALL_PRICE,
+  initialDeclarations,
 } from 'puffinturn-fuzz';
 import type {RegionSupply} from 'puffinturn-ledger';
 import {invariant, Random} from 'shared';
@@ -117,8 +117,10 @@
 ): Promise<BudgetRow> {
   await using fleet = new FuzzFleet(seed, options);
   await fleet.startAll();
-  for (const declaration of firstDeclarations(BUDGET_LIMIT)) {
-    const reply = await fleet.drive(fleet.declare('n1', declaration, 'bench'));
+  for (const declaration of initialDeclarations(BUDGET_LIMIT)) {
+    const reply = await fleet.advanceUntilSettled(
+      fleet.declare('n1', declaration, 'bench'),
+    );
     invariant(reply?.isOk(), `${declaration.name} must be accepted`);
   }
   await fleet.clock.advance(2_000);
@@ -143,7 +145,7 @@
     pending.push(sendRequest(fleet, box, index, tally));
     await fleet.clock.advance(REQUEST_INTERVAL_MS);
   }
-  await fleet.drive(Promise.all(pending));
+  await fleet.advanceUntilSettled(Promise.all(pending));
   fleet.network.heal();
   await fleet.clock.advance(SETTLE_MS);
   const settled = totalSettled(fleet);
@@ -163,9 +165,9 @@
   index: number,
   tally: Tally,
 ): Promise<void> {
-  const liveBox = fleet.lives.get(box)?.box;
+  const liveBox = fleet.incarnations.get(box)?.box;
   const request =
-    liveBox && callerRequest(liveBox.member, 'unkeyed', `r${index}`);
+    liveBox && createCallerRequest(liveBox.member, 'unkeyed', `r${index}`);
   if (liveBox === undefined || request === undefined) {
     tally.otherRefusals += 1;
     return;
@@ -180,7 +182,7 @@
     tally.otherRefusals += isComplete ? 0 : 1;
   } else if (handled.error.kind !== 'budget_exhausted') {
     tally.otherRefusals += 1;
-  } else if (BUDGET_LIMIT - totalSettled(fleet) >= FIRST_PRICE) {
+  } else if (BUDGET_LIMIT - totalSettled(fleet) >= INITIAL_CALL_PRICE) {
     tally.falseRefusals += 1;
   } else {
     tally.rightRefusals += 1;
@@ -190,7 +192,8 @@
 function totalSettled(fleet: FuzzFleet): number {
   return ['north', 'south'].reduce(
     (sum, region) =>
-      sum + (fleet.newestLedger(region)?.budgets.get(BUDGET)?.settled ?? 0),
+      sum +
+      (fleet.mostAppliedLedger(region)?.budgets.get(BUDGET_NAME)?.settled ?? 0),
     0,
   );
 }
--- a/packages/puffinturn-bench/src/EdgeProcess.ts
+++ b/packages/puffinturn-bench/src/EdgeProcess.ts
@@ -136,7 +136,7 @@
       box: 'edge',
       linesPerSecond: MAX_LOG_LINES_PER_SECOND,
       now: () => clock.now(),
-      successSample: SUCCESS_SAMPLE_INTERVAL,
+      successSampleInterval: SUCCESS_SAMPLE_INTERVAL,
     }),
     metricsAddress: {host: HOST, path: '/metrics', port: settings.metricsPort},
     random,
--- a/packages/puffinturn-cli/src/ApplyCommand.ts
+++ b/packages/puffinturn-cli/src/ApplyCommand.ts
@@ -8,7 +8,7 @@
 /** Commands that check, compare and apply files of declarations. */
 import type {DeclareOutcome, DeclareReply} from 'puffinturn-ledger';
 import {checkPolicy} from 'puffinturn-policy';
-import type {DeclarationFile, DeclarationKind} from 'puffinturn-settings';
+import type {DeclarationKind,LoadedDeclaration} from 'puffinturn-settings';
 import {readDeclarations, readSettings} from 'puffinturn-settings';
 
 import type {Comparison} from './Comparison';
@@ -31,7 +31,7 @@
 async function readValidDeclarations(
   path: string,
   output: Output,
-): Promise<DeclarationFile[] | undefined> {
+): Promise<LoadedDeclaration[] | undefined> {
   const files = await readDeclarations(path);
   if (files.isErr()) {
     output.printError(files.error.message);
--- a/packages/puffinturn-cli/src/Comparison.ts
+++ b/packages/puffinturn-cli/src/Comparison.ts
@@ -7,7 +7,7 @@
 
 /** Compares files of declarations with the declarations in force. */
 import type {DeclarationEntry} from 'puffinturn-ledger';
-import type {Declaration, DeclarationFile} from 'puffinturn-settings';
+import type {Declaration, LoadedDeclaration} from 'puffinturn-settings';
 import {digestValue} from 'shared';
 
 /** Difference between a declaration in the files and the one in force. */
@@ -38,7 +38,7 @@
 }
 
 function compareDeclaration(
-  {declaration, file, numbered}: DeclarationFile,
+  {declaration, file, hasNumber}: LoadedDeclaration,
   entry: DeclarationEntry | undefined,
 ): Comparison {
   const current = entry?.declaration;
@@ -56,7 +56,7 @@
   }
   const difference =
     (current?.spec ?? null) === null ? DIFFERENCE.new : DIFFERENCE.changed;
-  const number = numbered ? declaration.number : numberInForce + 1;
+  const number = hasNumber ? declaration.number : numberInForce + 1;
   return {
     declaration: {...declaration, number},
     difference,
@@ -67,7 +67,7 @@
 
 /** Compares all declarations; those in force but in no file come last. */
 export function compareDeclarations(
-  files: readonly DeclarationFile[],
+  files: readonly LoadedDeclaration[],
   entries: readonly DeclarationEntry[],
 ): Comparison[] {
   const declarationId = ({kind, name}: Declaration): string =>
--- a/packages/puffinturn-daemon/src/Box.ts
+++ b/packages/puffinturn-daemon/src/Box.ts
@@ -47,7 +47,7 @@
 export type BoxBreakage = LedgerBreakage & ReplicaBreakage;
 
 /** The fleet, and which of its boxes this one is. */
-export interface FleetPlace {
+export interface FleetTopology {
   readonly box: string;
   readonly boxes: readonly FleetBox[];
   readonly primaryRegion: string;
@@ -55,7 +55,7 @@
 
 /** Dependencies and settings of a box. */
 export interface BoxParts {
-  readonly place: FleetPlace;
+  readonly topology: FleetTopology;
   readonly client: UpstreamClient;
   /** Sends orders to engines; absent if the fleet sends none. */
   readonly engines?: EngineClient;
@@ -65,14 +65,14 @@
   readonly metrics: GatewayMetrics;
   readonly random: Random;
   /** Generates a unique ID. */
-  readonly newName: () => string;
+  readonly generateId: () => string;
   /** How long responses are kept for retries. */
   readonly responseRetentionMs: number;
   /** How long the keys of at-most-once requests are kept. */
   readonly atMostOnceRetentionMs: number;
   readonly timing?: ReplicaTiming;
   /** Log entries between two snapshots. */
-  readonly snapshotEvery?: number;
+  readonly snapshotIntervalEntries?: number;
   readonly breakage?: BoxBreakage;
   readonly computeGrantTarget?: (
     home: RegionSupply,
@@ -80,7 +80,7 @@
   ) => number;
   readonly disableAdmissionQueue?: boolean;
   /** Whether the platform lists a box as gone; the list may be stale. */
-  readonly isListedGone?: (box: string) => boolean;
+  readonly isGoneOnPlatform?: (box: string) => boolean;
 }
 
 /** Components that only a control box has. */
@@ -114,11 +114,13 @@
     readonly control: ControlComponents | undefined,
     timeline: Timeline,
   ) {
-    const {clock, link, place, random} = parts;
+    const {clock, link, topology, random} = parts;
     this.timeline = timeline;
-    const regionBoxes = place.boxes.filter((box) => box.region === self.region);
+    const regionBoxes = topology.boxes.filter(
+      (box) => box.region === self.region,
+    );
     const regionOf = (hall: string) =>
-      place.boxes.find((box) => box.hall === hall)?.region ?? self.region;
+      topology.boxes.find((box) => box.hall === hall)?.region ?? self.region;
     const controlBoxes = boxNames(regionBoxes.filter((box) => box.control));
     this.client = new ControlClient({
       box: self.name,
@@ -140,13 +142,13 @@
       clock,
       control: this.client,
       controlBoxes,
-      crashes: () => this.requestQuarantine.nextHeartbeatReport(),
+      pendingCrashUpdate: () => this.requestQuarantine.nextHeartbeatReport(),
       hall: self.hall,
       inFlight: () => this.pools.inFlightCounts(),
-      leaving: () => this.pools.leavingUpstreamIds(),
+      drainingUpstreams: () => this.pools.leavingUpstreamIds(),
       link,
-      newIncarnation: parts.newName,
-      onNews: (reply) => {
+      createIncarnationId: parts.generateId,
+      onHeartbeatReply: (reply) => {
         this.pools.applyConfig(this.member.config);
         this.pools.applyHeartbeatReply(reply);
         this.requestQuarantine.applyQuarantine(
@@ -159,7 +161,7 @@
       areInSameRegion: (hall, other) => regionOf(hall) === regionOf(other),
       clock,
       link,
-      peers: place.boxes
+      peers: topology.boxes
         .filter(({name}) => name !== self.name)
         .map(({hall, name}) => ({box: name, hall})),
       pools: this.pools,
@@ -169,7 +171,7 @@
     this.gateway = new Gateway({
       box: self.name,
       boxesInRegion: (name) =>
-        boxNames(place.boxes.filter((box) => box.region === name)),
+        boxNames(topology.boxes.filter((box) => box.region === name)),
       client: parts.client,
       clock,
       control: this.client,
@@ -179,7 +181,7 @@
       link,
       member: this.member,
       metrics: parts.metrics,
-      generateKey: parts.newName,
+      generateKey: parts.generateId,
       permits: this.permits,
       pools: this.pools,
       random,
@@ -191,15 +193,17 @@
       link.register(TIMELINE_SERVICE, async () => timeline.events()),
     );
     if (control !== undefined) {
-      this.tasks.start(() => control.replica.takePart(() => controlBoxes));
+      this.tasks.start(() =>
+        control.replica.bootstrapOrJoin(() => controlBoxes),
+      );
     }
     timeline.note(EVENT_KIND.started);
   }
 
   /** Starts a box; on a control box, opens the replicated log first. */
   static start(parts: BoxParts): ResultAsync<Box, StorageFailure> {
-    const {place} = parts;
-    const self = place.boxes.find(({name}) => name === place.box);
+    const {topology} = parts;
+    const self = topology.boxes.find(({name}) => name === topology.box);
     invariant(self !== undefined, 'a box must be listed in its fleet');
     const timeline = new Timeline(self.name, parts.clock);
     const control: Async<ControlComponents | undefined, StorageFailure> =
@@ -209,7 +213,7 @@
 
   /** Collects the events of all boxes that respond. */
   async collectTimelines(): Promise<TimelineEvent[][]> {
-    const calls = this.parts.place.boxes.map(async ({name}) => {
+    const calls = this.parts.topology.boxes.map(async ({name}) => {
       const reply = await this.parts.link.call(
         name,
         TIMELINE_SERVICE,
@@ -256,27 +260,27 @@
   self: FleetBox,
   timeline: Timeline,
 ): Async<ControlComponents, StorageFailure> {
-  const {breakage, clock, disk, link, place, random} = parts;
-  const isPrimary = self.region === place.primaryRegion;
+  const {breakage, clock, disk, link, topology, random} = parts;
+  const isPrimary = self.region === topology.primaryRegion;
   const ledger = new Ledger(self.region, isPrimary, breakage);
   const {logLink, serve} = createReplicaLink(link);
   return Replica.open({
     box: self.name,
     clock,
     disk,
-    incarnation: parts.newName(),
+    incarnationId: parts.generateId(),
     link: logLink,
-    machine: ledger,
-    onRole: (role, term) =>
+    stateMachine: ledger,
+    onRoleChange: (role, term) =>
       timeline.note(EVENT_KIND.leaderChanged, {
         detail: `${role} in term ${term}`,
       }),
     random: new Random(random.integer(0, MAX_SEED)),
     timing: parts.timing ?? DEFAULT_TIMING,
     ...(breakage === undefined ? {} : {breakage}),
-    ...(parts.snapshotEvery === undefined
+    ...(parts.snapshotIntervalEntries === undefined
       ? {}
-      : {snapshotEvery: parts.snapshotEvery}),
+      : {snapshotIntervalEntries: parts.snapshotIntervalEntries}),
   }).map((replica) => {
     serve((request) => replica.handle(request));
     const timing = parts.timing ?? DEFAULT_TIMING;
@@ -289,7 +293,8 @@
           clock,
           // A leader without a quorum steps down after two election timeouts;
           // doubling that tolerates clocks that run at different rates.
-          handoverMs: 4 * timing.electionMs + timing.callMs,
+          leaderHandoverDelayMs:
+            4 * timing.electionTimeoutMs + timing.callTimeoutMs,
           ledger,
           replica,
           timeline,
@@ -300,9 +305,9 @@
         link,
         replica,
         timeline,
-        ...(parts.isListedGone === undefined
+        ...(parts.isGoneOnPlatform === undefined
           ? {}
-          : {isListedGone: parts.isListedGone}),
+          : {isGoneOnPlatform: parts.isGoneOnPlatform}),
       }),
       replica,
       service: new ControlService({
@@ -310,8 +315,8 @@
         clock,
         ledger,
         link,
-        otherRegions: controlBoxesOfOtherRegions(place, self.region),
-        primaryRegion: place.primaryRegion,
+        otherRegions: controlBoxesOfOtherRegions(topology, self.region),
+        primaryRegion: topology.primaryRegion,
         replica,
         ...(parts.computeGrantTarget === undefined
           ? {}
@@ -325,7 +330,7 @@
 }
 
 function controlBoxesOfOtherRegions(
-  {boxes}: FleetPlace,
+  {boxes}: FleetTopology,
   ownRegion: string,
 ): Map<string, readonly string[]> {
   const controlBoxesByRegion = new Map<string, string[]>();
--- a/packages/puffinturn-daemon/src/Daemon.ts
+++ b/packages/puffinturn-daemon/src/Daemon.ts
@@ -24,7 +24,7 @@
 import {Random, SystemClock} from 'shared';
 import type {Logger} from 'tslog';
 
-import type {FleetPlace} from './Box';
+import type {FleetTopology} from './Box';
 import {Box} from './Box';
 import type {TlsMaterial} from './HttpServer';
 import {HttpServer, readTls} from './HttpServer';
@@ -123,7 +123,7 @@
 async function* start(settings: Settings, log: Logger<unknown>) {
   const clock = new SystemClock();
   const {fleet, limits} = settings;
-  const place: FleetPlace = {
+  const topology: FleetTopology = {
     box: settings.box,
     boxes: fleet.boxes,
     primaryRegion: fleet.primaryRegion,
@@ -151,13 +151,13 @@
     clock,
     disk,
     engines: new HttpEngineClient(),
-    isListedGone: (name) => platformList.poller?.isGone(name) === true,
+    isGoneOnPlatform: (name) => platformList.poller?.isGone(name) === true,
     responseRetentionMs: limits.keepAnswerMs,
     atMostOnceRetentionMs: limits.keepMarkedMs,
     link,
     metrics,
-    newName: () => randomUUID(),
-    place,
+    generateId: () => randomUUID(),
+    topology,
     random: new Random(randomInt(0x7fff_ffff)),
   });
   const resources: AsyncDisposable[] = [disk, link, client];
@@ -183,7 +183,7 @@
   );
   const operators = yield* HttpServer.open(
     createOperatorApp({
-      api: new OperatorApi(box, place, link, clock),
+      api: new OperatorApi(box, topology, link, clock),
       keys: settings.operators.keys,
       metrics,
       refreshMetrics: () => box.gateway.refreshMetrics(),
@@ -215,7 +215,7 @@
 }
 
 /** Waits until a daemon accepts requests; fails with `not-ready` on timeout. */
-export function waitReady(
+export function waitUntilReady(
   daemon: Daemon,
   timeoutMs: number,
 ): ResultAsync<void, StartFailure> {
--- a/packages/puffinturn-daemon/src/Logging.ts
+++ b/packages/puffinturn-daemon/src/Logging.ts
@@ -12,7 +12,7 @@
 const LEVELS = {debug: 2, error: 5, info: 3, warn: 4} as const;
 
 /** Creates the logger of a process. It masks fields that could hold a secret. */
-export function makeLog({box, logs}: Settings): Logger<unknown> {
+export function createLogger({box, logs}: Settings): Logger<unknown> {
   return new Logger({
     stack: {capture: 'off'},
     mask: {keys: ['authorization', 'key', 'password', 'secret']},
--- a/packages/puffinturn-daemon/src/OperatorApi.ts
+++ b/packages/puffinturn-daemon/src/OperatorApi.ts
@@ -16,21 +16,25 @@
 } from 'puffinturn-ledger';
 import {ControlClient} from 'puffinturn-ledger';
 import {checkPolicy} from 'puffinturn-policy';
-import type {Declaration, FleetBox, Problem} from 'puffinturn-settings';
+import type {
+  Declaration,
+  FleetBox,
+  ValidationProblem,
+} from 'puffinturn-settings';
 import type {TimelineEvent, TimelineFilter} from 'puffinturn-timeline';
 import {mergeTimelines} from 'puffinturn-timeline';
 import type {Link} from 'puffinturn-wire';
 import type {Clock, Failure} from 'shared';
 import {digestValue} from 'shared';
 
-import type {Box, FleetPlace} from './Box';
+import type {Box, FleetTopology} from './Box';
 
 const DECLARE_TIMEOUT_MS = 15_000;
 const READ_TIMEOUT_MS = 5_000;
 
 /** Reason why an operator's request failed. */
 export type OperatorFailure =
-  | (Failure<'invalid'> & {readonly problems: readonly Problem[]})
+  | (Failure<'invalid'> & {readonly problems: readonly ValidationProblem[]})
   | Failure<'region-unreachable'>
   | Failure<'unknown-region'>;
 
@@ -50,7 +54,7 @@
 
   constructor(
     private readonly box: Box,
-    private readonly topology: FleetPlace,
+    private readonly topology: FleetTopology,
     link: Link,
     clock: Clock,
   ) {
--- a/packages/puffinturn-daemon/src/OperatorApp.ts
+++ b/packages/puffinturn-daemon/src/OperatorApp.ts
@@ -10,15 +10,19 @@
 import type {Context, Next} from 'hono';
 import {Hono} from 'hono';
 import type {GatewayMetrics} from 'puffinturn-gateway';
-import type {HashedKey} from 'puffinturn-settings';
-import {checkValue, DeclarationSchema, findKey} from 'puffinturn-settings';
+import type {HashedApiKey} from 'puffinturn-settings';
+import {
+  DeclarationSchema,
+  findApiKey,
+  validateValue,
+} from 'puffinturn-settings';
 
 import type {OperatorApi, OperatorFailure} from './OperatorApi';
 
 /** Dependencies of the operators' HTTP API. */
 export interface OperatorAppParts {
   readonly api: OperatorApi;
-  readonly keys: readonly HashedKey[];
+  readonly keys: readonly HashedApiKey[];
   readonly metrics: GatewayMetrics;
   /** Updates the gauges before the metrics are read. */
   readonly refreshMetrics: () => void;
@@ -77,7 +81,7 @@
   next: Next,
 ): Promise<Response | undefined> {
   const header = context.req.header('authorization') ?? '';
-  const key = findKey(keys, header.replace(/^bearer /i, ''));
+  const key = findApiKey(keys, header.replace(/^bearer /i, ''));
   if (key === undefined) {
     const message = 'an operator key is needed';
     return context.json({error: {kind: 'invalid-key', message}}, 401);
@@ -96,7 +100,7 @@
     return context.json({error: {kind: 'too-large', message}}, 413);
   }
   const body: unknown = await context.req.json().catch(() => undefined);
-  const checked = checkValue(DeclarationSchema, body, 'request');
+  const checked = validateValue(DeclarationSchema, body, 'request');
   if (checked.isErr()) {
     return respondWithFailure(context, checked.error);
   }
--- a/packages/puffinturn-daemon/src/PlatformListPoller.ts
+++ b/packages/puffinturn-daemon/src/PlatformListPoller.ts
@@ -10,7 +10,7 @@
  * is only a hint: leaving upstreams get no new requests, and boxes listed as gone
  * are suspected sooner. A failed poll keeps the previous list.
  */
-import {checkValue} from 'puffinturn-settings';
+import {validateValue} from 'puffinturn-settings';
 import type {Clock} from 'shared';
 import {TaskGroup} from 'shared';
 import {request} from 'undici';
@@ -63,7 +63,7 @@
     })
       .then((response) => response.body.json())
       .catch(() => undefined);
-    const list = checkValue(ListSchema, body, this.url);
+    const list = validateValue(ListSchema, body, this.url);
     if (list.isErr()) {
       return;
     }
--- a/packages/puffinturn-daemon/src/__tests__/unit/Session.test.ts
+++ b/packages/puffinturn-daemon/src/__tests__/unit/Session.test.ts
@@ -109,7 +109,10 @@
       '/v1/chat/completions',
       JSON.stringify({...CHAT, max_tokens: 6, stream: true}),
     );
-    while (fixture.engine.tokens < 20 && fixture.engine.started < 4) {
+    while (
+      fixture.engine.generatedTokens < 20 &&
+      fixture.engine.startedRequests < 4
+    ) {
       await new Promise((resolve) => setTimeout(resolve, 1));
     }
     fixture.engine.faults.dropAfter = 0;
@@ -204,7 +207,7 @@
       );
     }
     expect(responses.join('\n\n')).toMatchSnapshot();
-    expect(smallBudgetFixture.service.total).toBe(2);
+    expect(smallBudgetFixture.service.totalExecutions).toBe(2);
   }, 300_000);
 });
 
--- a/packages/puffinturn-daemon/src/__tests__/unit/Stop.test.ts
+++ b/packages/puffinturn-daemon/src/__tests__/unit/Stop.test.ts
@@ -21,7 +21,7 @@
   const streams = Array.from({length: 5}, () =>
     fixture.sendCallerRequest('/v1/chat/completions', STREAM),
   );
-  while (fixture.engine.started < 5) {
+  while (fixture.engine.startedRequests < 5) {
     await new Promise((resolve) => setTimeout(resolve, 1));
   }
   const cutOff = await fixture.daemon.stop(new AbortController().signal);
--- a/packages/puffinturn-daemon/src/__tests__/utils/DaemonFixture.ts
+++ b/packages/puffinturn-daemon/src/__tests__/utils/DaemonFixture.ts
@@ -13,15 +13,15 @@
 
 import type {Declaration} from 'puffinturn-settings';
 import {
-  checkValue,
   DeclarationSchema,
   SettingsSchema,
+  validateValue,
 } from 'puffinturn-settings';
 import {Engine, PlainService} from 'puffinturn-stand-in';
 import {digestBytes, invariant} from 'shared';
 import {request} from 'undici';
 
-import {Daemon, makeLog, waitReady} from '../../index';
+import {createLogger, Daemon, waitUntilReady} from '../../index';
 
 export const TEAM_KEY = 'team-key';
 export const OPERATOR_KEY = 'operator-key';
@@ -68,7 +68,7 @@
     await writeFile(keyFile, 'k'.repeat(40), {mode: 0o600});
     const engine = await new Engine(FAST_ENGINE).listen();
     const service = await new PlainService(0).listen();
-    const settings = checkValue(
+    const settings = validateValue(
       SettingsSchema,
       {
         box: 'box-1',
@@ -99,11 +99,14 @@
       'settings',
     );
     invariant(settings.isOk(), 'the settings must be valid');
-    const daemon = await Daemon.start(settings.value, makeLog(settings.value));
+    const daemon = await Daemon.start(
+      settings.value,
+      createLogger(settings.value),
+    );
     invariant(daemon.isOk(), 'the daemon must start');
     const fixture = new DaemonFixture(daemon.value, engine, service, folder);
     await fixture.declareAll(budgetLimit);
-    const ready = await waitReady(daemon.value, 20_000);
+    const ready = await waitUntilReady(daemon.value, 20_000);
     invariant(ready.isOk(), 'the box must become ready');
     await fixture.waitForLatestConfig();
     return fixture;
@@ -229,7 +232,7 @@
       },
     ];
     for (const value of declarations) {
-      const declaration = checkValue(
+      const declaration = validateValue(
         DeclarationSchema,
         {...value, number: 1},
         'fixture',
--- a/packages/puffinturn-daemon/src/index.ts
+++ b/packages/puffinturn-daemon/src/index.ts
@@ -6,10 +6,10 @@
  */
 
 /** Public API: a box as a process, and as a component for tests. */
-export type {BoxBreakage, BoxParts, FleetPlace} from './Box';
+export type {BoxBreakage, BoxParts, FleetTopology} from './Box';
 export {Box} from './Box';
 export type {StartFailure} from './Daemon';
-export {Daemon, waitReady} from './Daemon';
-export {makeLog} from './Logging';
+export {Daemon, waitUntilReady} from './Daemon';
+export {createLogger} from './Logging';
 export type {FleetStatus, OperatorFailure} from './OperatorApi';
 export {OperatorApi} from './OperatorApi';
--- a/packages/puffinturn-daemon/src/main.ts
+++ b/packages/puffinturn-daemon/src/main.ts
@@ -10,7 +10,7 @@
 import {readSettings} from 'puffinturn-settings';
 
 import {Daemon} from './Daemon';
-import {makeLog} from './Logging';
+import {createLogger} from './Logging';
 
 /** Exit codes, documented in docs/operators/running.md. */
 const EXIT = {cutOff: 3, failed: 1, ok: 0, usage: 2} as const;
@@ -26,7 +26,7 @@
     process.stderr.write(`${settings.error.message}\n`);
     return EXIT.usage;
   }
-  const log = makeLog(settings.value);
+  const log = createLogger(settings.value);
   const daemon = await Daemon.start(settings.value, log);
   if (daemon.isErr()) {
     log.error('start failed', daemon.error);
--- a/packages/puffinturn-decisions/src/Decision.ts
+++ b/packages/puffinturn-decisions/src/Decision.ts
@@ -143,7 +143,7 @@
 }
 
 /** Number of responses with one status and cause within a second. */
-export interface AnswerCount {
+export interface ResponseCount {
   readonly status: number;
   readonly cause: string;
   readonly count: number;
@@ -152,11 +152,11 @@
 /** All responses of an edge in the previous second, including those not logged. */
 export interface ResponseTotals {
   readonly event: 'answers-counted';
-  readonly answers: readonly AnswerCount[];
+  readonly answers: readonly ResponseCount[];
 }
 
 /** A team's tokens at one edge. */
-export interface TeamTokens {
+export interface TeamTokenCounts {
   readonly team: string;
   /** Tokens held by this edge, including reserved tokens. */
   readonly held: number;
@@ -171,17 +171,17 @@
   readonly held: number;
   readonly reserved: number;
   readonly charged: number;
-  readonly teams: readonly TeamTokens[];
+  readonly teams: readonly TeamTokenCounts[];
 }
 
 /** A number of tokens of one team. */
-export interface TeamAmount {
+export interface TeamTokenAmount {
   readonly team: string;
   readonly amount: number;
 }
 
 /** Tokens that the core has granted from a team's budget. */
-export interface TeamGrants {
+export interface TeamGrantCounts {
   readonly team: string;
   readonly prepaid: number;
   /** Tokens held by edges or spent. */
@@ -193,7 +193,7 @@
 /** Grants of the teams that requested tokens since the previous line. */
 export interface GrantedTokenTotals {
   readonly event: 'grants-counted';
-  readonly teams: readonly TeamGrants[];
+  readonly teams: readonly TeamGrantCounts[];
 }
 
 /** An edge restarted; the tokens of its previous incarnation count as spent. */
@@ -203,7 +203,7 @@
   readonly edge: string;
   /** Tokens of all teams at the previous incarnation's last exchange. */
   readonly amount: number;
-  readonly teams: readonly TeamAmount[];
+  readonly teams: readonly TeamTokenAmount[];
 }
 
 /** This process switched to another configuration. */
@@ -307,7 +307,7 @@
 }
 
 /** Responses of one service version on one route; `*` stands for all routes. */
-export interface VersionAnswers {
+export interface VersionResponseCounts {
   readonly route: string;
   readonly version: string;
   readonly answers: number;
@@ -326,7 +326,7 @@
   readonly cause: string;
   /** Time since the rollout order. */
   readonly elapsedMs: number;
-  readonly figures: readonly VersionAnswers[];
+  readonly figures: readonly VersionResponseCounts[];
   /** `accepted` if a quorum stored it, otherwise the reason for the failure. */
   readonly outcome: string;
 }
--- a/packages/puffinturn-decisions/src/DecisionLog.ts
+++ b/packages/puffinturn-decisions/src/DecisionLog.ts
@@ -20,7 +20,7 @@
   /** Maximum number of lines per second. */
   readonly linesPerSecond: number;
   /** Writes one of this many requests that succeeded at the first attempt. */
-  readonly successSample: number;
+  readonly successSampleInterval: number;
   /** Receives each line; standard output by default. */
   readonly write?: (line: string) => void;
 }
@@ -34,16 +34,16 @@
 }
 
 /** Discards all decisions. */
-export class SilentDecisionLog extends DecisionLog {
+export class NoopDecisionLog extends DecisionLog {
   override note(): void {}
 }
 
 /** Keeps all decisions in memory, for tests. */
-export class KeptDecisionLog extends DecisionLog {
-  readonly lines: Decision[] = [];
+export class InMemoryDecisionLog extends DecisionLog {
+  readonly decisions: Decision[] = [];
 
   override note(decision: Decision): void {
-    this.lines.push(decision);
+    this.decisions.push(decision);
   }
 }
 
@@ -79,7 +79,8 @@
 
   override note(decision: Decision): void {
     if (isFirstAttemptSuccess(decision)) {
-      const isSampled = this.successCount % this.parts.successSample === 0;
+      const isSampled =
+        this.successCount % this.parts.successSampleInterval === 0;
       this.successCount += 1;
       if (!isSampled) {
         return;
--- a/packages/puffinturn-decisions/src/__tests__/unit/DecisionLog.test.ts
+++ b/packages/puffinturn-decisions/src/__tests__/unit/DecisionLog.test.ts
@@ -29,14 +29,14 @@
   };
 }
 
-function createLog(linesPerSecond: number, successSample: number) {
+function createLog(linesPerSecond: number, successSampleInterval: number) {
   const lines: Record<string, unknown>[] = [];
   const clock = {now: 0};
   const log = new JsonDecisionLog({
     box: 'b',
     linesPerSecond,
     now: () => clock.now,
-    successSample,
+    successSampleInterval,
     write: (line) => lines.push(JSON.parse(line)),
   });
   return {clock, lines, log};
--- a/packages/puffinturn-decisions/src/index.ts
+++ b/packages/puffinturn-decisions/src/index.ts
@@ -7,19 +7,19 @@
 
 /** Structured log lines that record the decisions of a process. */
 export type {
-  AnswerCount,
   Decision,
-  TeamAmount,
-  TeamGrants,
-  TeamTokens,
+  ResponseCount,
+  TeamGrantCounts,
+  TeamTokenAmount,
+  TeamTokenCounts,
   TokenState,
-  VersionAnswers,
+  VersionResponseCounts,
 } from './Decision';
 export type {DecisionLogParts} from './DecisionLog';
 export {
   DecisionLog,
+  InMemoryDecisionLog,
   JsonDecisionLog,
-  KeptDecisionLog,
-  SilentDecisionLog,
+  NoopDecisionLog,
 } from './DecisionLog';
-export {largestTeams} from './largestTeams';
+export {selectLargestTeams} from './selectLargestTeams';
--- a/packages/puffinturn-decisions/src/largestTeams.ts
+++ b/packages/puffinturn-decisions/src/selectLargestTeams.ts
@@ -11,7 +11,7 @@
 const MAX_LOGGED_TEAMS = 12;
 
 /** Returns the teams with the largest amounts, in descending order. */
-export function largestTeams<Team>(
+export function selectLargestTeams<Team>(
   teams: readonly Team[],
   amountOf: (team: Team) => number,
 ): Team[] {
--- a/packages/puffinturn-edge/src/KnownBoxes.ts
+++ b/packages/puffinturn-edge/src/KnownBoxes.ts
@@ -52,7 +52,7 @@
     const remoteBoxes = this.records.filter(
       ({hall}) => !this.isInOwnRegion(hall),
     );
-    const sentBytes = this.parts.link.sentByPeer();
+    const sentBytes = this.parts.link.bytesSentByPeer();
     return remoteBoxes.reduce(
       (sum, {box}) => sum + (sentBytes.get(box) ?? 0),
       0,
--- a/packages/puffinturn-edge/src/ResponseTotals.ts
+++ b/packages/puffinturn-edge/src/ResponseTotals.ts
@@ -9,8 +9,12 @@
  * Logs totals of an edge once a second while there are requests: responses by status
  * and cause, including those that are not logged one by one, and tokens of teams.
  */
-import type {AnswerCount, DecisionLog, TeamTokens} from 'puffinturn-decisions';
-import {largestTeams} from 'puffinturn-decisions';
+import type {
+  DecisionLog,
+  ResponseCount,
+  TeamTokenCounts,
+} from 'puffinturn-decisions';
+import {selectLargestTeams} from 'puffinturn-decisions';
 import type {Clock} from 'shared';
 import {TaskGroup} from 'shared';
 
@@ -26,12 +30,12 @@
 /** Counts responses and writes the totals to the log. */
 export class ResponseTotals implements AsyncDisposable {
   private readonly tasks = new TaskGroup();
-  private counts = new Map<string, AnswerCount>();
+  private counts = new Map<string, ResponseCount>();
 
   constructor(
     private readonly clock: Clock,
     private readonly log: DecisionLog,
-    private readonly tokensByTeam: () => readonly TeamTokens[],
+    private readonly tokensByTeam: () => readonly TeamTokenCounts[],
   ) {}
 
   /** Counts a response; the first one after an idle period starts an interval. */
@@ -65,7 +69,10 @@
         event: 'tokens-counted',
         held: sumBy(teamTokens, ({held}) => held),
         reserved: sumBy(teamTokens, ({reserved}) => reserved),
-        teams: largestTeams(teamTokens, ({charged, held}) => held + charged),
+        teams: selectLargestTeams(
+          teamTokens,
+          ({charged, held}) => held + charged,
+        ),
       });
     }
   }
@@ -76,8 +83,8 @@
 }
 
 function sumBy(
-  teamTokens: readonly TeamTokens[],
-  amountOf: (tokens: TeamTokens) => number,
+  teamTokens: readonly TeamTokenCounts[],
+  amountOf: (tokens: TeamTokenCounts) => number,
 ): number {
   return teamTokens.reduce((sum, tokens) => sum + amountOf(tokens), 0);
 }
--- a/packages/puffinturn-edge/src/WakeRefresh.ts
+++ b/packages/puffinturn-edge/src/WakeRefresh.ts
@@ -13,7 +13,7 @@
 import type {FleetWatch, SuspensionRecoveryParts} from 'puffinturn-fleet';
 import {recoverFromSuspension} from 'puffinturn-fleet';
 import type {Clock} from 'shared';
-import {SuspensionWatch} from 'shared';
+import {SuspensionDetector} from 'shared';
 
 import type {UpstreamPool} from './upstreams/UpstreamPool';
 
@@ -37,18 +37,18 @@
 
 /** Detects a suspension and holds requests back until the state is current. */
 export class WakeRefresh implements AsyncDisposable {
-  private readonly suspensionWatch: SuspensionWatch;
+  private readonly suspensionWatch: SuspensionDetector;
   private refreshing: Promise<void> | undefined;
 
   constructor(private readonly parts: WakeRefreshParts) {
-    this.suspensionWatch = new SuspensionWatch(parts.clock, (ms) =>
+    this.suspensionWatch = new SuspensionDetector(parts.clock, (ms) =>
       this.startRefresh(ms),
     );
   }
 
   /** Resolves when the refresh in progress ends; undefined if there is none. */
   get pending(): Promise<void> | undefined {
-    this.suspensionWatch.look();
+    this.suspensionWatch.check();
     return this.refreshing;
   }
 
--- a/packages/puffinturn-edge/src/__tests__/unit/Allowances.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/Allowances.test.ts
@@ -39,7 +39,7 @@
   let lost = 0;
   for (let step = 0; step < 30; step += 1) {
     const box = pick(names);
-    fleet.network.stall(box, pick(namesExcept(box, names)));
+    fleet.network.holdMessages(box, pick(namesExcept(box, names)));
     if (randomBelow(20) === 0) {
       fleet.network.heal();
       fleet.network.partition(names, [CORE]);
@@ -192,7 +192,7 @@
     const totalHeld = heldTokens(giver) + heldTokens(receiver);
     void giver.reserve('t', 9_999);
     await fleet.clock.advance(4_000);
-    fleet.network.cut('f', 'e');
+    fleet.network.dropMessages('f', 'e');
     const closing = giver.close();
     await fleet.clock.advance(500);
     expect(heldTokens(receiver)).toBe(totalHeld);
@@ -367,7 +367,7 @@
       const prepaid = 60_000;
       const fleet = new TokenFleet(prepaid);
       // Some delays exceed the timeouts, so that answers are lost.
-      fleet.network.delay = {highMs: 160, lowMs: 1};
+      fleet.network.delayRange = {maxMs: 160, minMs: 1};
       const names = ['g1', 'g2', 'g3', 'h1', 'h2'];
       const edges = await fleet.startAll(names);
       let spent = 0;
--- a/packages/puffinturn-edge/src/__tests__/unit/BacklogLogger.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/BacklogLogger.test.ts
@@ -6,18 +6,18 @@
  */
 
 /** Guards against a log line for every change of the queue age. */
-import {KeptDecisionLog} from 'puffinturn-decisions';
+import {InMemoryDecisionLog} from 'puffinturn-decisions';
 
 import {BacklogLogger} from '../../callers/BacklogLogger';
 
 describe('BacklogLogger', () => {
   test('logs one line for an overload and one for the recovery', () => {
-    const log = new KeptDecisionLog();
+    const log = new InMemoryDecisionLog();
     const logger = new BacklogLogger(log);
     for (const ageMs of [0, 400, 800.4, 3_000, 300, 0, 200, 0]) {
       logger.update(ageMs, 7);
     }
-    expect(log.lines).toEqual([
+    expect(log.decisions).toEqual([
       {ageMs: 800, event: 'backlog-changed', open: 7, phase: 'behind'},
       {ageMs: 0, event: 'backlog-changed', open: 7, phase: 'caught-up'},
     ]);
--- a/packages/puffinturn-edge/src/__tests__/unit/ColdStarts.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ColdStarts.test.ts
@@ -9,10 +9,10 @@
  * Guards against overloading cold upstreams when a hall returns to service while many
  * edges, some of them new, learn of it at different times.
  */
-import {SilentDecisionLog} from 'puffinturn-decisions';
+import {NoopDecisionLog} from 'puffinturn-decisions';
 import type {BoxRecord} from 'puffinturn-fleet';
 import {MemoryNetwork} from 'puffinturn-wire';
-import {drawByWeight, ManualClock, Random} from 'shared';
+import {ManualClock, Random,selectByWeight} from 'shared';
 
 import type {PromptPart} from '../../callers/CallerProtocol';
 import {EdgeUpstream} from '../../upstreams/EdgeUpstream';
@@ -192,7 +192,7 @@
   }
 
   private pickEdge(): SimulatedEdge {
-    return drawByWeight(
+    return selectByWeight(
       this.edges,
       ({weight}) => weight,
       this.random.fraction(),
@@ -208,7 +208,7 @@
   }
 
   private createEdge(box: string): SimulatedEdge {
-    const log = new SilentDecisionLog();
+    const log = new NoopDecisionLog();
     const upstreams = Array.from({length: UPSTREAMS}, (_, at) => {
       const hall = `h${at % HALLS}`;
       return new EdgeUpstream(makeUpstream(`i-${at}`, {hall}), this.clock, log);
--- a/packages/puffinturn-edge/src/__tests__/unit/CrossRegionEpisodes.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/CrossRegionEpisodes.test.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import {KeptDecisionLog} from 'puffinturn-decisions';
+import {InMemoryDecisionLog} from 'puffinturn-decisions';
 import {ManualClock} from 'shared';
 
 import {CrossRegionEpisodes} from '../../regions/CrossRegionEpisodes';
@@ -14,14 +14,14 @@
 describe('CrossRegionEpisodes', () => {
   test('logs only the start and the end of an episode', async () => {
     const clock = new ManualClock();
-    const log = new KeptDecisionLog();
+    const log = new InMemoryDecisionLog();
     await using episodes = new CrossRegionEpisodes(clock, log);
     for (let count = 0; count < 200; count += 1) {
       episodes.recordRequest('s');
       await clock.advance(100);
     }
     episodes.recordRequest('other');
-    expect(log.lines).toEqual([
+    expect(log.decisions).toEqual([
       {crossing: true, event: 'crossing-changed', requests: 1, service: 's'},
       {
         crossing: true,
@@ -31,7 +31,7 @@
       },
     ]);
     await clock.advance(6_000);
-    expect(log.lines.slice(2)).toEqual([
+    expect(log.decisions.slice(2)).toEqual([
       {crossing: false, event: 'crossing-changed', requests: 200, service: 's'},
       {
         crossing: false,
@@ -41,6 +41,6 @@
       },
     ]);
     episodes.recordRequest('s');
-    expect(log.lines).toHaveLength(5);
+    expect(log.decisions).toHaveLength(5);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/EdgeRollouts.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/EdgeRollouts.test.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import {KeptDecisionLog} from 'puffinturn-decisions';
+import {InMemoryDecisionLog} from 'puffinturn-decisions';
 import type {
   ExposureRequest,
   Rollouts,
@@ -70,7 +70,7 @@
 }
 
 async function openEdge(network: MemoryNetwork, clock: ManualClock) {
-  const log = new KeptDecisionLog();
+  const log = new InMemoryDecisionLog();
   const address = {host: '127.0.0.1', port: 0};
   const edge = await Edge.open({
     callerAddress: address,
@@ -128,7 +128,7 @@
       life: 'e1 7',
       reports: [{exposed: 0, granted: 0, number: 2, service: 's'}],
     });
-    expect(log.lines).toContainEqual({
+    expect(log.decisions).toContainEqual({
       event: 'rollouts-adopted',
       former: 0,
       revision: 4,
--- a/packages/puffinturn-edge/src/__tests__/unit/ExposureController.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ExposureController.test.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import {KeptDecisionLog} from 'puffinturn-decisions';
+import {InMemoryDecisionLog} from 'puffinturn-decisions';
 import type {Rollouts, RolloutState, UpstreamRecord} from 'puffinturn-fleet';
 import {
   EMPTY_ROLLOUTS,
@@ -81,7 +81,7 @@
 
 function startEdge(records: readonly UpstreamRecord[]) {
   const clock = new ManualClock();
-  const log = new KeptDecisionLog();
+  const log = new InMemoryDecisionLog();
   const pool = new UpstreamPool(clock, log);
   const random = new Random(1);
   const metrics = new EdgeMetrics();
@@ -316,7 +316,9 @@
     exposureController.adopt(EMPTY_ROLLOUTS, 'e2');
     applyGrant(50);
     expect(await servedVersions(400)).toEqual(['v1']);
-    const adopted = log.lines.filter(({event}) => event === 'rollouts-adopted');
+    const adopted = log.decisions.filter(
+      ({event}) => event === 'rollouts-adopted',
+    );
     expect(adopted).toEqual([
       expect.objectContaining({former: 0, revision: 5, source: 'c1'}),
     ]);
@@ -390,7 +392,7 @@
     const targets = [...sent].filter(([id]) => id?.startsWith('v2'));
     expect(targets.reduce((sum, [, count]) => sum + count, 0)).toBe(10);
     expect(await servedVersions(400)).toEqual(['v1']);
-    expect(log.lines).not.toContainEqual(
+    expect(log.decisions).not.toContainEqual(
       expect.objectContaining({event: 'exposure-stopped'}),
     );
   });
--- a/packages/puffinturn-edge/src/__tests__/unit/ExposureReporter.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ExposureReporter.test.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import {SilentDecisionLog} from 'puffinturn-decisions';
+import {NoopDecisionLog} from 'puffinturn-decisions';
 import type {
   ExposureReply,
   ExposureRequest,
@@ -24,7 +24,7 @@
 function startReporter(incarnationId = 'e 1') {
   const clock = new ManualClock();
   const network = new MemoryNetwork(clock, new Random(2));
-  const log = new SilentDecisionLog();
+  const log = new NoopDecisionLog();
   const pool = new UpstreamPool(clock, log);
   const exposureController = new ExposureController({
     clock,
--- a/packages/puffinturn-edge/src/__tests__/unit/LoadBalancer.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/LoadBalancer.test.ts
@@ -9,7 +9,7 @@
  * Guards against load balancers that ignore cached prompts, overload one upstream or cross
  * halls without need.
  */
-import {SilentDecisionLog} from 'puffinturn-decisions';
+import {NoopDecisionLog} from 'puffinturn-decisions';
 import {ManualClock, Random} from 'shared';
 
 import {EdgeUpstream} from '../../upstreams/EdgeUpstream';
@@ -36,7 +36,7 @@
       hall: at === 0 ? 'here' : 'there',
       slots: 6,
     });
-    return new EdgeUpstream(record, clock, new SilentDecisionLog());
+    return new EdgeUpstream(record, clock, new NoopDecisionLog());
   });
 }
 
--- a/packages/puffinturn-edge/src/__tests__/unit/OverloadWithdrawal.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/OverloadWithdrawal.test.ts
@@ -6,7 +6,7 @@
  */
 
 /** Guards against overloaded edges that stay in service, and halls with too few edges. */
-import {KeptDecisionLog} from 'puffinturn-decisions';
+import {InMemoryDecisionLog} from 'puffinturn-decisions';
 import type {BoxRecord} from 'puffinturn-fleet';
 import {BOX_ROLE} from 'puffinturn-fleet';
 import {MemoryNetwork} from 'puffinturn-wire';
@@ -18,7 +18,7 @@
 class Hall {
   readonly clock = new ManualClock();
   readonly network = new MemoryNetwork(this.clock, new Random(7));
-  readonly log = new KeptDecisionLog();
+  readonly log = new InMemoryDecisionLog();
   readonly queueAgeMs = new Map<string, number>();
   readonly draining = new Set<string>();
   private readonly edges = new Map<string, OverloadWithdrawal>();
@@ -76,7 +76,7 @@
     hall.overload('e-3');
     await hall.clock.advance(2_500);
     expect(hall.withdrawn).toEqual(['e-3']);
-    expect(hall.log.lines).toEqual([
+    expect(hall.log.decisions).toEqual([
       expect.objectContaining({agreed: 7, asked: 7, outcome: 'aside'}),
     ]);
   });
@@ -87,7 +87,7 @@
     await hall.clock.advance(600);
     hall.recover('e-3');
     await hall.clock.advance(2_000);
-    expect(hall.log.lines).toEqual([]);
+    expect(hall.log.decisions).toEqual([]);
   });
 
   test('observes the minimum withdrawal and the cooldown', async () => {
@@ -131,7 +131,7 @@
     const hall = new Hall(3);
     hall.overload('e-0');
     await hall.clock.advance(60_000);
-    expect(hall.log.lines).toEqual([]);
+    expect(hall.log.decisions).toEqual([]);
   });
 
   test('counts unreachable and draining edges as not approving', async () => {
@@ -141,6 +141,9 @@
     hall.overload('e-3');
     await hall.clock.advance(60_000);
     expect(hall.withdrawn).toEqual([]);
-    expect(hall.log.lines[0]).toMatchObject({agreed: 5, outcome: 'refused'});
+    expect(hall.log.decisions[0]).toMatchObject({
+      agreed: 5,
+      outcome: 'refused',
+    });
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/PlainServiceLoad.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/PlainServiceLoad.test.ts
@@ -9,7 +9,7 @@
  * Guards against late and rejected requests when many edges, each seeing only its own
  * requests, share a few upstreams during a burst of load and a slowdown.
  */
-import {SilentDecisionLog} from 'puffinturn-decisions';
+import {NoopDecisionLog} from 'puffinturn-decisions';
 import {ManualClock, Random} from 'shared';
 
 import {EdgeUpstream} from '../../upstreams/EdgeUpstream';
@@ -50,7 +50,7 @@
   const clock = new ManualClock();
   const random = new Random(seed);
   const balancer = createBalancer(random);
-  const log = new SilentDecisionLog();
+  const log = new NoopDecisionLog();
   const servers = UPSTREAMS.map(() => new PlainUpstream(clock));
   const counts = UPSTREAMS.map(() => 0);
   const edges = Array.from({length: EDGES}, () =>
--- a/packages/puffinturn-edge/src/__tests__/unit/QuarantinedRequests.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/QuarantinedRequests.test.ts
@@ -106,8 +106,8 @@
     second.handler = () => void second[Symbol.asyncDispose]();
     expect((await fixture.sendRequest('look')).status).toBe(502);
     const isCrash = ({event}: {event: string}) => event === 'upstream-crashed';
-    await waitUntil(() => fixture.log.lines.filter(isCrash).length === 2);
-    expect(fixture.log.lines.filter(isCrash)).toMatchObject([
+    await waitUntil(() => fixture.log.decisions.filter(isCrash).length === 2);
+    expect(fixture.log.decisions.filter(isCrash)).toMatchObject([
       {count: 1, fingerprints: [firstFingerprint(fixture.address)]},
       {count: 1, fingerprints: [firstFingerprint(fixture.address)]},
     ]);
--- a/packages/puffinturn-edge/src/__tests__/unit/RateLimitResponses.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/RateLimitResponses.test.ts
@@ -114,7 +114,7 @@
     );
     expect(firstRetry).toBeGreaterThan(0);
     expect(secondRetry).not.toBe(firstRetry);
-    expect(fixture.log.lines.at(-1)).toMatchObject({
+    expect(fixture.log.decisions.at(-1)).toMatchObject({
       attempts: 0,
       cause: 'upstreams-limited',
     });
@@ -124,7 +124,7 @@
     await exhaustFirst('1');
     const statuses = await sendRequests(REQUEST_COUNT);
     expect(statuses).toEqual(Array(REQUEST_COUNT).fill(200));
-    const ended = fixture.log.lines.filter(
+    const ended = fixture.log.decisions.filter(
       ({event}) => event === 'request-ended',
     );
     expect(ended.at(-1)).toMatchObject({attempts: 1, upstream: 'i-2'});
@@ -195,7 +195,7 @@
     const limit = {perSecond: 1, revision: 3};
     fixture.pool.merge([first.record({limit})], 'c1');
     expect(await countReachingFirst(REQUEST_COUNT)).toBeLessThanOrEqual(2);
-    expect(fixture.log.lines).toContainEqual({
+    expect(fixture.log.decisions).toContainEqual({
       event: 'upstream-limited',
       ...limit,
       source: 'c1',
@@ -211,7 +211,7 @@
   test('is logged with the request that received it', async () => {
     first.handler = respondWithLimit('1.25');
     await sendRequests(REQUEST_COUNT);
-    const logged = fixture.log.lines.filter(
+    const logged = fixture.log.decisions.filter(
       ({event}) => event === 'upstream-told',
     );
     expect(logged).toMatchObject([{limitPerS: 1.25, upstream: 'i-1'}]);
--- a/packages/puffinturn-edge/src/__tests__/unit/RegionSelection.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/RegionSelection.test.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import {SilentDecisionLog} from 'puffinturn-decisions';
+import {NoopDecisionLog} from 'puffinturn-decisions';
 import {ManualClock, Random} from 'shared';
 
 import {EdgeUpstream} from '../../upstreams/EdgeUpstream';
@@ -339,7 +339,7 @@
   );
 
   test('selects the same upstreams without a region link', () => {
-    const log = new SilentDecisionLog();
+    const log = new NoopDecisionLog();
     const upstreams = HALLS.map((hall) => {
       const record = makeUpstream(hall, {hall, slots: 6});
       return new EdgeUpstream(record, new ManualClock(), log);
--- a/packages/puffinturn-edge/src/__tests__/unit/RequestQuarantine.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/RequestQuarantine.test.ts
@@ -8,7 +8,7 @@
 /** Guards against lost or repeated crash reports and against stale quarantine state. */
 import type {ResultAsync} from 'neverthrow';
 import {errAsync, okAsync} from 'neverthrow';
-import {KeptDecisionLog} from 'puffinturn-decisions';
+import {InMemoryDecisionLog} from 'puffinturn-decisions';
 import type {CrashReportRequest} from 'puffinturn-fleet';
 import {EMPTY_QUARANTINE} from 'puffinturn-quarantine';
 import type {LinkFailure} from 'puffinturn-wire';
@@ -42,12 +42,12 @@
 describe('RequestQuarantine', () => {
   const clock = new ManualClock();
   let link: ReportLink;
-  let log: KeptDecisionLog;
+  let log: InMemoryDecisionLog;
   let quarantine: RequestQuarantine;
 
   beforeEach(() => {
     link = new ReportLink();
-    log = new KeptDecisionLog();
+    log = new InMemoryDecisionLog();
     quarantine = new RequestQuarantine({
       box: 'e1',
       clock,
@@ -163,7 +163,9 @@
     quarantine.adopt(EMPTY_QUARANTINE, 'c2');
     expect(quarantine.isQuarantined('g')).toBe(true);
     expect(quarantine.isEmpty).toBe(false);
-    const line = log.lines.find(({event}) => event === 'quarantine-adopted');
+    const line = log.decisions.find(
+      ({event}) => event === 'quarantine-adopted',
+    );
     expect(line).toMatchObject({count: 2, former: 0, newest: 'g'});
   });
 
--- a/packages/puffinturn-edge/src/__tests__/unit/RequestsInRegions.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/RequestsInRegions.test.ts
@@ -152,7 +152,7 @@
     expect(requests).toBe(2);
     expect(totalRequestBytes / requestBytes).toBeCloseTo(2, 1);
     expect(totalResponseBytes / responseBytes).toBeCloseTo(2, 1);
-    const crossingLines = testEdge.log.lines.filter(
+    const crossingLines = testEdge.log.decisions.filter(
       ({event}) => event === 'crossing-changed',
     );
     expect(crossingLines).toHaveLength(1);
@@ -176,6 +176,6 @@
     );
     expect(testEdge.receivedRequests.length).toBeGreaterThan(0);
     expect(JSON.stringify(testEdge.link.calls)).not.toContain(SECRET);
-    expect(JSON.stringify(testEdge.log.lines)).not.toContain(SECRET);
+    expect(JSON.stringify(testEdge.log.decisions)).not.toContain(SECRET);
   });
 });
--- a/packages/puffinturn-edge/src/__tests__/unit/ResponseTotals.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ResponseTotals.test.ts
@@ -8,20 +8,20 @@
 /**
  * Guards against responses missing from the totals, and against lines of unbounded size.
  */
-import type {TeamTokens} from 'puffinturn-decisions';
-import {KeptDecisionLog} from 'puffinturn-decisions';
+import type {TeamTokenCounts} from 'puffinturn-decisions';
+import {InMemoryDecisionLog} from 'puffinturn-decisions';
 import {ManualClock} from 'shared';
 
 import {ResponseTotals} from '../../ResponseTotals';
 
-function tokensOf(team: string, held: number): TeamTokens {
+function tokensOf(team: string, held: number): TeamTokenCounts {
   return {charged: 1, held, reserved: 2, team};
 }
 
 describe('ResponseTotals', () => {
   test('logs each response once, and nothing while idle', async () => {
     const clock = new ManualClock();
-    const log = new KeptDecisionLog();
+    const log = new InMemoryDecisionLog();
     await using totals = new ResponseTotals(clock, log, () => []);
     for (let count = 0; count < 3; count += 1) {
       totals.recordResponse(402, 'budget-exhausted');
@@ -30,7 +30,7 @@
     await clock.advance(1_000);
     totals.recordResponse(200, 'served');
     await clock.advance(10_000);
-    expect(log.lines).toEqual([
+    expect(log.decisions).toEqual([
       {
         answers: [
           {cause: 'budget-exhausted', count: 3, status: 402},
@@ -47,13 +47,13 @@
 
   test('limits the number of causes in a line, and counts all responses', async () => {
     const clock = new ManualClock();
-    const log = new KeptDecisionLog();
+    const log = new InMemoryDecisionLog();
     await using totals = new ResponseTotals(clock, log, () => []);
     for (let count = 0; count < 1_000; count += 1) {
       totals.recordResponse(502, `cause ${count}`);
     }
     await clock.advance(1_000);
-    const [line] = log.lines;
+    const [line] = log.decisions;
     const answers = line?.event === 'answers-counted' ? line.answers : [];
     expect(answers.length).toBeLessThanOrEqual(25);
     expect(answers.reduce((sum, {count}) => sum + count, 0)).toBe(1_000);
@@ -61,14 +61,14 @@
 
   test('logs the sum of all tokens, and the largest teams', async () => {
     const clock = new ManualClock();
-    const log = new KeptDecisionLog();
+    const log = new InMemoryDecisionLog();
     const teams = Array.from({length: 40}, (_, index) =>
       tokensOf(`t${index}`, index),
     );
     await using totals = new ResponseTotals(clock, log, () => teams);
     totals.recordResponse(200, 'served');
     await clock.advance(1_000);
-    const line = log.lines[1];
+    const line = log.decisions[1];
     expect(line).toMatchObject({
       charged: 40,
       event: 'tokens-counted',
--- a/packages/puffinturn-edge/src/__tests__/unit/TokensInRegions.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/TokensInRegions.test.ts
@@ -158,7 +158,7 @@
     }
     for (const east of EAST) {
       for (const west of [CORE, ...WEST]) {
-        network.cut(west, east);
+        network.dropMessages(west, east);
       }
     }
   }
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamCrashes.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamCrashes.test.ts
@@ -9,7 +9,7 @@
  * Guards against crashes of upstreams that go unreported, and against reports for resets,
  * lost responses or planned shutdowns.
  */
-import {KeptDecisionLog} from 'puffinturn-decisions';
+import {InMemoryDecisionLog} from 'puffinturn-decisions';
 import {UPSTREAM_STATE} from 'puffinturn-fleet';
 import type {Crash, ListenerState} from 'puffinturn-quarantine';
 import {
@@ -28,7 +28,7 @@
 
 function createCrashDetector(state: ListenerState) {
   const clock = new ManualClock();
-  const pool = new UpstreamPool(clock, new KeptDecisionLog());
+  const pool = new UpstreamPool(clock, new InMemoryDecisionLog());
   pool.merge([RECORD], 'c1');
   const [upstream] = pool.all();
   if (upstream === undefined) {
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamIncarnations.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamIncarnations.test.ts
@@ -11,7 +11,7 @@
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
-import {SilentDecisionLog} from 'puffinturn-decisions';
+import {NoopDecisionLog} from 'puffinturn-decisions';
 import {RETRY_POLICY, UPSTREAM_STATE} from 'puffinturn-fleet';
 import {ManualClock} from 'shared';
 
@@ -39,7 +39,7 @@
 
   function createPool(...records: ReturnType<typeof makeUpstream>[]) {
     const clock = new ManualClock();
-    const pool = new UpstreamPool(clock, new SilentDecisionLog());
+    const pool = new UpstreamPool(clock, new NoopDecisionLog());
     pool.merge(records, 'c1');
     const [upstream] = pool.all();
     if (upstream === undefined) {
@@ -132,7 +132,7 @@
     const draining = {bornAt: 2_000, state: UPSTREAM_STATE.draining};
     fixture.pool.merge([second.record(), first.record(draining)], 'c1');
     expect(await response).toMatchObject({body: 'i-2', status: 200});
-    expect(fixture.log.lines).toContainEqual(
+    expect(fixture.log.decisions).toContainEqual(
       expect.objectContaining({
         bornAt: 2_000,
         event: 'upstream-restarted',
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamPool.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamPool.test.ts
@@ -9,7 +9,7 @@
  * Guards against requests to upstreams that are evacuated, draining or replaced by another
  * process at the same address.
  */
-import {SilentDecisionLog} from 'puffinturn-decisions';
+import {NoopDecisionLog} from 'puffinturn-decisions';
 import {UPSTREAM_STATE} from 'puffinturn-fleet';
 import {ManualClock} from 'shared';
 
@@ -18,7 +18,7 @@
 
 function createPool(...records: ReturnType<typeof makeUpstream>[]) {
   const clock = new ManualClock();
-  const pool = new UpstreamPool(clock, new SilentDecisionLog());
+  const pool = new UpstreamPool(clock, new NoopDecisionLog());
   pool.merge(records, 'c1');
   const serving = () => pool.servingUpstreams('s').map(({id}) => id);
   const evacuate = (revision: number, ...halls: string[]) =>
--- a/packages/puffinturn-edge/src/__tests__/unit/UpstreamSignals.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/UpstreamSignals.test.ts
@@ -63,7 +63,7 @@
   const sendRequests = (count: number) => fixture.sendRequests('look', count);
 
   function loggedSignals() {
-    return fixture.log.lines.filter(({event}) => event === 'upstream-told');
+    return fixture.log.decisions.filter(({event}) => event === 'upstream-told');
   }
 
   test('a drain excludes the upstream even if a heartbeat reports ready', async () => {
--- a/packages/puffinturn-edge/src/__tests__/unit/WakeRefresh.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/WakeRefresh.test.ts
@@ -40,7 +40,7 @@
   afterEach(() => testEdge[Symbol.asyncDispose]());
 
   function loggedPhases(): string[] {
-    return testEdge.log.lines.flatMap((line) =>
+    return testEdge.log.decisions.flatMap((line) =>
       line.event === 'process-changed' ? [line.phase] : [],
     );
   }
@@ -48,7 +48,7 @@
   test('refreshes its state before it serves requests', async () => {
     expect((await testEdge.sendRequest('first')).status).toBe(200);
     // The state changes one event loop iteration after the edge detects the suspension.
-    testEdge.link.redial = () =>
+    testEdge.link.resetConnections = () =>
       void setImmediate(() => testEdge.configure({pathPrefix: '/elsewhere/'}));
     clock.suspend(5_000);
     expect((await testEdge.sendRequest('second')).status).toBe(404);
--- a/packages/puffinturn-edge/src/__tests__/utils/ForwardingFixture.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/ForwardingFixture.ts
@@ -9,7 +9,7 @@
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import {Agent, createServer, request} from 'node:http';
 
-import {KeptDecisionLog} from 'puffinturn-decisions';
+import {InMemoryDecisionLog} from 'puffinturn-decisions';
 import type {Route, UpstreamRecord} from 'puffinturn-fleet';
 import {Regions, RETRY_POLICY} from 'puffinturn-fleet';
 import type {GranterCandidate} from 'puffinturn-permits';
@@ -153,7 +153,7 @@
 
 /** Forwards requests like an edge, without control boxes or peers. */
 export class ForwardingFixture implements AsyncDisposable {
-  readonly log = new KeptDecisionLog();
+  readonly log = new InMemoryDecisionLog();
   readonly metrics = new EdgeMetrics();
   readonly pool: UpstreamPool;
   /** Response body bytes received by callers. */
--- a/packages/puffinturn-edge/src/__tests__/utils/LimitedFleet.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/LimitedFleet.ts
@@ -6,7 +6,7 @@
  */
 
 /** Simulates edges that send to rate-limited upstreams, in virtual time. */
-import {SilentDecisionLog} from 'puffinturn-decisions';
+import {NoopDecisionLog} from 'puffinturn-decisions';
 import type {BoxRecord} from 'puffinturn-fleet';
 import {MemoryNetwork} from 'puffinturn-wire';
 import {ManualClock, Random} from 'shared';
@@ -230,7 +230,7 @@
   }
 
   private createEdge(box: string, incarnation: number): SimulatedEdge {
-    const log = new SilentDecisionLog();
+    const log = new NoopDecisionLog();
     const upstreams = Array.from({length: this.options.upstreams}, (_, at) => {
       return new EdgeUpstream(makeUpstream(`i-${at}`), this.clock, log);
     });
--- a/packages/puffinturn-edge/src/__tests__/utils/PacedAdmission.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/PacedAdmission.ts
@@ -10,7 +10,7 @@
 import type {BoxRecord, ColdStart} from 'puffinturn-fleet';
 import type {ColdTolerance} from 'puffinturn-permits';
 import type {Clock} from 'shared';
-import {hashOf, rendezvousWeight} from 'shared';
+import {hash32, rendezvousWeight} from 'shared';
 
 import type {EdgeUpstream} from '../../upstreams/EdgeUpstream';
 import type {AdmissionContext} from '../../upstreams/UpstreamAdmission';
@@ -88,7 +88,7 @@
   constructor(private readonly options: PacedAdmissionOptions) {
     super();
     this.startedAt = options.clock.now();
-    this.ownHash = hashOf(options.box);
+    this.ownHash = hash32(options.box);
   }
 
   override waitMs(upstream: EdgeUpstream, context: AdmissionContext): number {
@@ -127,7 +127,7 @@
     const peers = this.options.peers();
     if (peers !== this.knownPeers) {
       this.knownPeers = peers;
-      this.peerHashes = peers.map(({box}) => hashOf(box));
+      this.peerHashes = peers.map(({box}) => hash32(box));
     }
   }
 }
--- a/packages/puffinturn-edge/src/__tests__/utils/RegionEdge.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/RegionEdge.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import {KeptDecisionLog} from 'puffinturn-decisions';
+import {InMemoryDecisionLog} from 'puffinturn-decisions';
 import type {Route, Service, Team} from 'puffinturn-fleet';
 import {Regions, RETRY_POLICY} from 'puffinturn-fleet';
 import {ManualClock, Random} from 'shared';
@@ -102,7 +102,7 @@
   readonly clock: ManualClock;
   readonly random: Random;
   readonly pool: UpstreamPool;
-  readonly log = new KeptDecisionLog();
+  readonly log = new InMemoryDecisionLog();
   readonly linkBudget: RegionLinkBudget;
   readonly recoveryProbes: RecoveryProbes;
   readonly admission: PacedAdmission;
--- a/packages/puffinturn-edge/src/__tests__/utils/SingleRegionReference.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/SingleRegionReference.ts
@@ -11,7 +11,7 @@
  */
 import type {Service} from 'puffinturn-fleet';
 import type {Random} from 'shared';
-import {drawByWeight, hashOf, rendezvousWeight} from 'shared';
+import {hash32, rendezvousWeight,selectByWeight} from 'shared';
 
 import type {PromptPart} from '../../callers/CallerProtocol';
 import type {EdgeUpstream} from '../../upstreams/EdgeUpstream';
@@ -24,9 +24,9 @@
   random: Random,
 ): EdgeUpstream | undefined {
   const slotsOf = ({record}: EdgeUpstream) => Math.max(1, record.slots);
-  const first = drawByWeight(candidates, slotsOf, random.fraction());
+  const first = selectByWeight(candidates, slotsOf, random.fraction());
   const others = candidates.filter((upstream) => upstream !== first);
-  const second = drawByWeight(others, slotsOf, random.fraction());
+  const second = selectByWeight(others, slotsOf, random.fraction());
   const sampled = [first, second].filter((upstream) => upstream !== undefined);
   return minBy(sampled, (upstream) => {
     const otherHallMs = upstream.record.hall === hall ? 0 : 3;
@@ -43,7 +43,7 @@
   hall: string,
 ): Placement | undefined {
   const sharedParts = parts.length > 1 ? parts.slice(0, -1) : parts;
-  const key = hashOf(sharedParts.map(({id}) => id).join(','));
+  const key = hash32(sharedParts.map(({id}) => id).join(','));
   const rendezvousChoice = minBy(
     candidates,
     ({hash}) => -rendezvousWeight(hash, key),
--- a/packages/puffinturn-edge/src/__tests__/utils/TestEdge.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/TestEdge.ts
@@ -11,7 +11,7 @@
 import type {AddressInfo} from 'node:net';
 
 import {errAsync} from 'neverthrow';
-import {KeptDecisionLog} from 'puffinturn-decisions';
+import {InMemoryDecisionLog} from 'puffinturn-decisions';
 import type {FleetConfiguration, Route, Team} from 'puffinturn-fleet';
 import {BOX_ROLE, Regions, RETRY_POLICY} from 'puffinturn-fleet';
 import type {LinkFailure} from 'puffinturn-wire';
@@ -91,7 +91,7 @@
 export class TestEdge implements AsyncDisposable {
   readonly receivedRequests: ReceivedRequest[] = [];
   readonly link = new UnreachableLink();
-  readonly log = new KeptDecisionLog();
+  readonly log = new InMemoryDecisionLog();
   private readonly servers: Server[] = [];
   private version = 0;
   private requestCount = 0;
@@ -100,7 +100,7 @@
     readonly edge: Edge,
     private readonly port: number,
     link: UnreachableLink,
-    log: KeptDecisionLog,
+    log: InMemoryDecisionLog,
   ) {
     this.link = link;
     this.log = log;
@@ -108,7 +108,7 @@
 
   static async open(clock: Clock = new SystemClock()): Promise<TestEdge> {
     const link = new UnreachableLink();
-    const log = new KeptDecisionLog();
+    const log = new InMemoryDecisionLog();
     const [callers = 0, ready = 0, metrics = 0] = await findFreePorts(3);
     const host = LOOPBACK;
     const edge = await Edge.open({
@@ -197,7 +197,7 @@
 
   /** Logged causes of all ended requests. */
   get endCauses(): string[] {
-    return this.log.lines.flatMap((line) =>
+    return this.log.decisions.flatMap((line) =>
       line.event === 'request-ended' ? [line.cause] : [],
     );
   }
--- a/packages/puffinturn-edge/src/__tests__/utils/TokenFleet.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/TokenFleet.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import {SilentDecisionLog} from 'puffinturn-decisions';
+import {NoopDecisionLog} from 'puffinturn-decisions';
 import type {
   AllowanceOutcome,
   AllowanceRequest,
@@ -140,7 +140,7 @@
       hall: hallOf(box),
       incarnationId: incarnationIdOf({box, incarnation}),
       link: this.network.connect(box),
-      log: new SilentDecisionLog(),
+      log: new NoopDecisionLog(),
       peers: () => this.peers.get(box) ?? [],
       regions: this.regions,
     });
--- a/packages/puffinturn-edge/src/requests/RouteTable.ts
+++ b/packages/puffinturn-edge/src/requests/RouteTable.ts
@@ -8,7 +8,7 @@
 /** Looks up routes by host and path, and teams by key. */
 import type {FleetConfiguration, Route, Service, Team} from 'puffinturn-fleet';
 import {intersectRegions, routeKey} from 'puffinturn-fleet';
-import {drawByWeight} from 'shared';
+import {selectByWeight} from 'shared';
 
 /** Indexes one configuration for look-ups by host, key and name. */
 export class RouteTable {
@@ -106,7 +106,7 @@
 
   /** Selects the service of a route by weight, with `fraction` in [0, 1). */
   pickService({targets}: Route, fraction: number): Service | undefined {
-    const target = drawByWeight(targets, ({weight}) => weight, fraction);
+    const target = selectByWeight(targets, ({weight}) => weight, fraction);
     return target === undefined ? undefined : this.findService(target.service);
   }
 }
--- a/packages/puffinturn-edge/src/rollouts/ExposureController.ts
+++ b/packages/puffinturn-edge/src/rollouts/ExposureController.ts
@@ -14,7 +14,7 @@
 } from 'puffinturn-fleet';
 import {EMPTY_ROLLOUTS, ROLLOUT_STATE, UNKNOWN_VERSION} from 'puffinturn-fleet';
 import type {Clock, Random} from 'shared';
-import {Condition, hashOf, rendezvousWeight} from 'shared';
+import {Condition, hash32, rendezvousWeight} from 'shared';
 
 import {LatencyBaselines} from '../connections/LatencyBaselines';
 import type {EdgeMetrics} from '../EdgeMetrics';
@@ -275,7 +275,7 @@
   upstreams: readonly EdgeUpstream[],
   service: string,
 ): readonly EdgeUpstream[] {
-  const serviceHash = hashOf(service);
+  const serviceHash = hash32(service);
   const count = Math.max(
     1,
     Math.round(upstreams.length * EXPOSED_UPSTREAM_FRACTION),
--- a/packages/puffinturn-edge/src/tokens/Allowances.ts
+++ b/packages/puffinturn-edge/src/tokens/Allowances.ts
@@ -5,7 +5,11 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import type {DecisionLog, TeamTokens, TokenState} from 'puffinturn-decisions';
+import type {
+  DecisionLog,
+  TeamTokenCounts,
+  TokenState,
+} from 'puffinturn-decisions';
 import type {
   BorrowReply,
   BorrowRequest,
@@ -140,7 +144,7 @@
   }
 
   /** Token counts per team, for metrics and periodic totals. */
-  status(): readonly TeamTokens[] {
+  status(): readonly TeamTokenCounts[] {
     return this.accounts.all().map(({charged, held, reserved, team}) => ({
       charged,
       held,
@@ -337,7 +341,7 @@
     const deadline = clock.now() + MAX_TOKEN_WAIT_MS;
     this.accounts.refillNeeded.notify();
     let borrowing = this.core.isCoreReachable ? undefined : borrow();
-    while (clock.now() < deadline && !this.tasks.ended) {
+    while (clock.now() < deadline && !this.tasks.isAborted) {
       await sleepUnlessNotified(
         clock,
         this.accounts.tokensAdded,
--- a/packages/puffinturn-edge/src/tokens/TokenHolders.ts
+++ b/packages/puffinturn-edge/src/tokens/TokenHolders.ts
@@ -8,7 +8,7 @@
 import type {BoxRecord} from 'puffinturn-fleet';
 import {incarnationIdOf, Regions} from 'puffinturn-fleet';
 import type {Clock} from 'shared';
-import {hashOf, rendezvousWeight} from 'shared';
+import {hash32, rendezvousWeight} from 'shared';
 
 /** Time for which an edge that did not answer is skipped, ms. */
 const SUSPECT_TIMEOUT_MS = 1_500;
@@ -137,7 +137,7 @@
   }
 
   private rankEdges(team: string, hall: string): readonly string[] {
-    const teamHash = hashOf(team);
+    const teamHash = hash32(team);
     const candidates = [...(this.edgesByHall.get(hall) ?? [])];
     const weight = ({hash}: Candidate): number =>
       rendezvousWeight(hash, teamHash);
@@ -160,7 +160,7 @@
     this.edgesByHall = new Map();
     for (const {box, hall} of [this.self, ...others]) {
       const candidates = this.edgesByHall.get(hall) ?? [];
-      candidates.push({box, hash: hashOf(box)});
+      candidates.push({box, hash: hash32(box)});
       this.edgesByHall.set(hall, candidates);
     }
   }
--- a/packages/puffinturn-edge/src/upstreams/EdgeUpstream.ts
+++ b/packages/puffinturn-edge/src/upstreams/EdgeUpstream.ts
@@ -11,7 +11,7 @@
 import {UPSTREAM_STATE} from 'puffinturn-fleet';
 import {RateLimitTracker} from 'puffinturn-permits';
 import type {Clock} from 'shared';
-import {hashOf} from 'shared';
+import {hash32} from 'shared';
 
 import {ConnectionPool} from '../connections/ConnectionPool';
 import {
@@ -71,7 +71,7 @@
     /** Called when the upstream stops serving while its record still says `ready`. */
     private readonly onStopServing: () => void = () => undefined,
   ) {
-    this.hash = hashOf(record.id);
+    this.hash = hash32(record.id);
     this.responseTime = new ResponseTime(clock);
     this.prefillSpeed = new PrefillSpeed(clock);
     this.limits = new RateLimitTracker(clock);
--- a/packages/puffinturn-edge/src/upstreams/LoadBalancer.ts
+++ b/packages/puffinturn-edge/src/upstreams/LoadBalancer.ts
@@ -8,7 +8,7 @@
 /** Load balancers, which choose the upstream of a request. */
 import type {Service} from 'puffinturn-fleet';
 import type {Random} from 'shared';
-import {drawByWeight, hashOf, rendezvousWeight} from 'shared';
+import {hash32, rendezvousWeight,selectByWeight} from 'shared';
 
 import type {PromptPart} from '../callers/CallerProtocol';
 import {MAX_LOAD_FACTOR} from '../EdgeConstants';
@@ -143,7 +143,7 @@
   private pickWeighted(
     candidates: readonly EdgeUpstream[],
   ): EdgeUpstream | undefined {
-    return drawByWeight(candidates, slotCount, this.random.fraction());
+    return selectByWeight(candidates, slotCount, this.random.fraction());
   }
 }
 
@@ -177,7 +177,7 @@
     candidates: readonly EdgeUpstream[],
     {parts}: BalancingContext,
   ): EdgeUpstream | undefined {
-    const key = hashOf(sharedKey(parts));
+    const key = hash32(sharedKey(parts));
     const total = candidates.reduce((sum, {inFlight}) => sum + inFlight, 0);
     const bound =
       (total / Math.max(1, candidates.length)) * MAX_LOAD_FACTOR + 1;
@@ -257,7 +257,7 @@
     {hall, parts, service, regionLink}: BalancingContext,
     minUncachedTokens: number,
   ): LatencyEstimate | undefined {
-    const key = hashOf(sharedKey(parts));
+    const key = hash32(sharedKey(parts));
     const rendezvousUpstream = minBy(
       candidates,
       ({hash}) => -rendezvousWeight(hash, key),
--- a/packages/puffinturn-edge/src/upstreams/UpstreamSignals.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamSignals.ts
@@ -6,7 +6,7 @@
  */
 
 /** Signals in the response headers of an upstream. */
-import {restMsOf} from 'shared';
+import {unavailableRetryAfterMs} from 'shared';
 
 import type {HeaderNames} from '../callers/CallerProtocol';
 import type {UpstreamResponse} from '../connections/UpstreamResponse';
@@ -28,7 +28,10 @@
 ): UpstreamSignals {
   return {
     isDraining: headers[headerNames.draining] !== undefined,
-    retryAfterMs: restMsOf(statusCode, headers[headerNames.retryAfter]),
+    retryAfterMs: unavailableRetryAfterMs(
+      statusCode,
+      headers[headerNames.retryAfter],
+    ),
     rateLimit: headers[headerNames.rateLimit],
   };
 }
--- a/packages/puffinturn-fleet/src/AllowanceControl.ts
+++ b/packages/puffinturn-fleet/src/AllowanceControl.ts
@@ -5,8 +5,8 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import type {DecisionLog, TeamAmount} from 'puffinturn-decisions';
-import {largestTeams} from 'puffinturn-decisions';
+import type {DecisionLog, TeamTokenAmount} from 'puffinturn-decisions';
+import {selectLargestTeams} from 'puffinturn-decisions';
 import type {Link} from 'puffinturn-wire';
 import type {Clock} from 'shared';
 
@@ -74,10 +74,13 @@
     );
   }
 
-  private logWrittenOff(edge: string, amounts: readonly TeamAmount[]): void {
+  private logWrittenOff(
+    edge: string,
+    amounts: readonly TeamTokenAmount[],
+  ): void {
     if (amounts.length > 0) {
       const amount = amounts.reduce((sum, team) => sum + team.amount, 0);
-      const teams = largestTeams(amounts, (team) => team.amount);
+      const teams = selectLargestTeams(amounts, (team) => team.amount);
       this.parts.log.note({amount, edge, event: 'tokens-written-off', teams});
     }
   }
--- a/packages/puffinturn-fleet/src/AllowanceLedger.ts
+++ b/packages/puffinturn-fleet/src/AllowanceLedger.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import type {TeamAmount, TeamGrants} from 'puffinturn-decisions';
+import type {TeamGrantCounts,TeamTokenAmount} from 'puffinturn-decisions';
 
 /** Maximum number of incarnations kept; the least recently used is evicted. */
 const MAX_INCARNATIONS = 4_000;
@@ -86,7 +86,7 @@
   readonly kind: 'allowance';
   readonly grants: readonly AllowanceGrant[];
   /** Tokens held by the previous incarnation of the box, if this one is new. */
-  readonly writtenOff?: readonly TeamAmount[] | undefined;
+  readonly writtenOff?: readonly TeamTokenAmount[] | undefined;
 }
 
 /** State of one incarnation of an edge. */
@@ -134,7 +134,7 @@
   }
 
   /** Granted, held and prepaid tokens of a team. */
-  grantsOf(team: string): TeamGrants {
+  grantsOf(team: string): TeamGrantCounts {
     return {
       granted: this.grantedTokens(team),
       held: this.totalHeld(team),
@@ -187,7 +187,7 @@
   private writeOffPreviousIncarnation(
     box: string,
     incarnationId: string,
-  ): TeamAmount[] | undefined {
+  ): TeamTokenAmount[] | undefined {
     const previousId = this.incarnationByBox.get(box);
     if (previousId === undefined || previousId === incarnationId) {
       return undefined;
@@ -268,7 +268,7 @@
   }
 }
 
-function positiveAmounts(held: ReadonlyMap<string, number>): TeamAmount[] {
+function positiveAmounts(held: ReadonlyMap<string, number>): TeamTokenAmount[] {
   return [...held]
     .map(([team, amount]) => ({amount, team}))
     .filter(({amount}) => amount > 0);
--- a/packages/puffinturn-fleet/src/FleetControl.ts
+++ b/packages/puffinturn-fleet/src/FleetControl.ts
@@ -17,7 +17,7 @@
 import {
   DisposableList,
   sleepUnlessNotified,
-  SuspensionWatch,
+  SuspensionDetector,
   TaskGroup,
 } from 'shared';
 
@@ -77,7 +77,7 @@
   readonly replica: Replica;
   readonly machine: FleetMachine;
   /** Notified on every change that watching boxes have to receive. */
-  readonly onChange: Condition;
+  readonly stateChanged: Condition;
   readonly log: DecisionLog;
   /** Exposure limit of new versions; undefined disables rollouts. */
   readonly exposure?: ExposureBound | undefined;
@@ -150,7 +150,7 @@
   private readonly allowanceControl: AllowanceControl;
   private readonly quarantineControl: QuarantineControl;
   private readonly refusals: UpstreamRefusals;
-  private readonly suspension: SuspensionWatch;
+  private readonly suspension: SuspensionDetector;
   private readonly tasks = new TaskGroup();
   private readonly handlers = new DisposableList();
 
@@ -207,7 +207,7 @@
       upstreams: this.upstreams,
     });
     // Only connections need recovery after a suspension: reads and proposals need a quorum.
-    this.suspension = new SuspensionWatch(clock, (ms) =>
+    this.suspension = new SuspensionDetector(clock, (ms) =>
       recoverFromSuspension(parts, ms),
     );
     this.tasks.start((signal) => this.expireSilentPeers(signal));
@@ -265,38 +265,38 @@
 
   /** Records a heartbeat of an upstream. */
   recordHeartbeat(record: UpstreamRecord, source = 'heartbeat'): void {
-    const {onChange, clock} = this.parts;
+    const {stateChanged, clock} = this.parts;
     const {revision} = this.upstreams;
     if (this.upstreams.merge(record, clock.now())) {
       this.logUpstreamChange(record, source);
     }
     if (this.upstreams.revision > revision) {
-      onChange.notify();
+      stateChanged.notify();
     }
   }
 
   /** Records the limits that upstreams reported to an edge. */
   private recordLimits({box: source, reports}: LimitReportsRequest): void {
-    const {onChange, clock, log} = this.parts;
+    const {stateChanged, clock, log} = this.parts;
     for (const {bornAt, id, limit} of reports) {
       if (this.upstreams.updateLimit({bornAt, id}, limit, clock.now())) {
         const {perSecond, revision} = limit;
         const event = 'upstream-limited';
         log.note({event, perSecond, revision, source, upstream: id});
-        onChange.notify();
+        stateChanged.notify();
       }
     }
   }
 
   /** Marks an incarnation of an upstream as gone; the known one by default. */
   markUpstreamGone(id: string, bornAt?: number): void {
-    const {onChange, clock} = this.parts;
+    const {stateChanged, clock} = this.parts;
     if (this.upstreams.markGone(id, clock.now(), bornAt)) {
       const record = this.upstreams.get(id);
       if (record !== undefined) {
         this.logUpstreamChange(record, 'leave');
       }
-      onChange.notify();
+      stateChanged.notify();
     }
   }
 
@@ -320,12 +320,12 @@
     await this.quarantineControl[Symbol.asyncDispose]();
     await this.refusals[Symbol.asyncDispose]();
     this.tasks.abort();
-    this.parts.onChange.notify();
+    this.parts.stateChanged.notify();
     await this.tasks[Symbol.asyncDispose]();
   }
 
   private async answerWatch(request: WatchRequest): Promise<WatchReply> {
-    const {onChange, clock} = this.parts;
+    const {stateChanged, clock} = this.parts;
     if (this.boxes.recordCall(request.from, clock.now())) {
       this.rebuildAllBoxes();
     }
@@ -338,11 +338,11 @@
       !current &&
       !this.watchReplies.hasUpdates(request) &&
       clock.now() < deadline &&
-      !this.tasks.ended
+      !this.tasks.isAborted
     ) {
       await sleepUnlessNotified(
         clock,
-        onChange,
+        stateChanged,
         deadline - clock.now(),
         this.tasks.signal,
       );
@@ -435,12 +435,12 @@
 
   /** Wakes pending watch requests when the leader is lost or found. */
   private async trackLeader(signal: AbortSignal): Promise<void> {
-    const {onChange, clock, replica} = this.parts;
+    const {stateChanged, clock, replica} = this.parts;
     let hadLeader = this.watchReplies.hasLeader;
     while (!signal.aborted) {
       const nextCheckMs = Math.min(
         MAX_LEADER_POLL_MS,
-        replica.leaderHeardForMs,
+        replica.msUntilLeaderLost,
       );
       // Checks 1 ms after the leader expires, as it still counts as known before.
       await clock.sleep(
@@ -449,7 +449,7 @@
       );
       if (hadLeader !== this.watchReplies.hasLeader) {
         hadLeader = this.watchReplies.hasLeader;
-        onChange.notify();
+        stateChanged.notify();
       }
     }
   }
--- a/packages/puffinturn-fleet/src/FleetMachine.ts
+++ b/packages/puffinturn-fleet/src/FleetMachine.ts
@@ -11,8 +11,8 @@
  * Each registry applies its own records and has its own section in the snapshot.
  */
 import {Decoder, Encoder} from 'cbor-x';
-import type {TeamGrants} from 'puffinturn-decisions';
-import {Machine} from 'puffinturn-log';
+import type {TeamGrantCounts} from 'puffinturn-decisions';
+import {StateMachine} from 'puffinturn-log';
 import type {
   CrashReport,
   CrashSnapshot,
@@ -92,7 +92,7 @@
 }
 
 /** Replicated state machine of a fleet. */
-export class FleetMachine extends Machine {
+export class FleetMachine extends StateMachine {
   private readonly configurationRegistry: ConfigurationRegistry;
   private readonly evacuationRegistry: EvacuationRegistry;
   private readonly rolloutRegistry: RolloutRegistry;
@@ -153,7 +153,7 @@
   }
 
   /** Token totals of a team: its budget, the granted tokens, and those that edges hold. */
-  tokenTotals(team: string): TeamGrants {
+  tokenTotals(team: string): TeamGrantCounts {
     return this.allowanceLedger.grantsOf(team);
   }
 
--- a/packages/puffinturn-fleet/src/FleetWatch.ts
+++ b/packages/puffinturn-fleet/src/FleetWatch.ts
@@ -15,7 +15,7 @@
 import type {Quarantine} from 'puffinturn-quarantine';
 import type {Link} from 'puffinturn-wire';
 import type {Clock} from 'shared';
-import {Condition, hashOf, sleepUnlessNotified, TaskGroup} from 'shared';
+import {Condition, hash32, sleepUnlessNotified, TaskGroup} from 'shared';
 
 import type {BoxChanges} from './BoxList';
 import type {FleetConfiguration} from './Configuration';
@@ -207,7 +207,7 @@
       hall: undefined,
       incarnation: '',
       // Spreads the boxes evenly over the control boxes.
-      rank: hashOf(`${this.parts.self.box} ${box}`),
+      rank: hash32(`${this.parts.self.box} ${box}`),
       isReachable: false,
       upstreamsRevision: 0,
       isUnhealthy: false,
--- a/packages/puffinturn-fleet/src/GrantTotals.ts
+++ b/packages/puffinturn-fleet/src/GrantTotals.ts
@@ -6,7 +6,7 @@
  */
 
 import type {DecisionLog} from 'puffinturn-decisions';
-import {largestTeams} from 'puffinturn-decisions';
+import {selectLargestTeams} from 'puffinturn-decisions';
 import type {Clock} from 'shared';
 import {TaskGroup} from 'shared';
 
@@ -49,7 +49,7 @@
       this.machine.tokenTotals(team),
     );
     this.changedTeams = new Set();
-    const teams = largestTeams(grants, ({granted}) => granted);
+    const teams = selectLargestTeams(grants, ({granted}) => granted);
     this.log.note({event: 'grants-counted', teams});
   }
 }
--- a/packages/puffinturn-fleet/src/RolloutControl.ts
+++ b/packages/puffinturn-fleet/src/RolloutControl.ts
@@ -41,7 +41,7 @@
   readonly exposure?: ExposureBound | undefined;
   readonly clock: Clock;
   /** Notified of every state machine change that boxes must learn of. */
-  readonly onChange: Condition;
+  readonly stateChanged: Condition;
   readonly leader: LeaderCalls;
   readonly link: Link;
   readonly log: DecisionLog;
@@ -238,7 +238,7 @@
     rolloutLeader: RolloutLeader,
     signal: AbortSignal,
   ): Promise<void> {
-    const {onChange, clock, replica} = this.parts;
+    const {stateChanged, clock, replica} = this.parts;
     while (!signal.aborted) {
       this.rolloutClock.refresh();
       if (replica.isLeader) {
@@ -246,7 +246,12 @@
       }
       await (this.hasActiveRollout
         ? clock.sleep(LEADER_STEP_INTERVAL_MS, signal)
-        : sleepUnlessNotified(clock, onChange, IDLE_POLL_INTERVAL_MS, signal));
+        : sleepUnlessNotified(
+            clock,
+            stateChanged,
+            IDLE_POLL_INTERVAL_MS,
+            signal,
+          ));
     }
   }
 
--- a/packages/puffinturn-fleet/src/RolloutEvaluator.ts
+++ b/packages/puffinturn-fleet/src/RolloutEvaluator.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import type {VersionAnswers} from 'puffinturn-decisions';
+import type {VersionResponseCounts} from 'puffinturn-decisions';
 
 import type {LedgerBaseline} from './ExposureLedger';
 import {ExposureLedger} from './ExposureLedger';
@@ -105,7 +105,7 @@
   }
 
   /** Answer counts for the record of a verdict. */
-  summarize(): VersionAnswers[] {
+  summarize(): VersionResponseCounts[] {
     return this.comparison.summarize();
   }
 
--- a/packages/puffinturn-fleet/src/RolloutRegistry.ts
+++ b/packages/puffinturn-fleet/src/RolloutRegistry.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import type {VersionAnswers} from 'puffinturn-decisions';
+import type {VersionResponseCounts} from 'puffinturn-decisions';
 
 import type {
   Rollout,
@@ -64,7 +64,7 @@
   /** Time since the order, ms. */
   readonly elapsedMs: number;
   /** Answer counts on which the verdict is based. */
-  readonly figures: readonly VersionAnswers[];
+  readonly figures: readonly VersionResponseCounts[];
 }
 
 /** Any record about versions. */
--- a/packages/puffinturn-fleet/src/SuspensionRecovery.ts
+++ b/packages/puffinturn-fleet/src/SuspensionRecovery.ts
@@ -22,5 +22,5 @@
 ): void {
   const detail = `suspended for ${Math.round(suspendedMs)} ms`;
   log.note({detail, event: 'process-changed', phase: 'woke'});
-  link.redial();
+  link.resetConnections();
 }
--- a/packages/puffinturn-fleet/src/VersionComparison.ts
+++ b/packages/puffinturn-fleet/src/VersionComparison.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import type {VersionAnswers} from 'puffinturn-decisions';
+import type {VersionResponseCounts} from 'puffinturn-decisions';
 
 import type {AnswerCounts} from './AnswerTotals';
 import {addCounts, NO_ANSWERS, subtractCounts} from './AnswerTotals';
@@ -85,7 +85,7 @@
     route: string,
     version: string,
     role: 'stable' | 'target',
-  ): VersionAnswers {
+  ): VersionResponseCounts {
     const {answers, failures, times} = this[role];
     const bucket = this.firstSlowBucket() ?? times.length;
     return {answers, failures, route, slow: sumFrom(times, bucket), version};
@@ -240,7 +240,7 @@
    * Returns the counts per route and version: routes with a bad version first, then by
    * number of answers.
    */
-  summarize(): VersionAnswers[] {
+  summarize(): VersionResponseCounts[] {
     const routes = [...this.routes].sort(
       ([, a], [, b]) =>
         Number(b.badCause !== undefined) - Number(a.badCause !== undefined) ||
--- a/packages/puffinturn-fleet/src/WatchReplies.ts
+++ b/packages/puffinturn-fleet/src/WatchReplies.ts
@@ -46,7 +46,7 @@
 
   /** Whether this replica knows a leader, so that its state follows the quorum. */
   get hasLeader(): boolean {
-    return this.parts.replica.heardLeaderBox !== undefined;
+    return this.parts.replica.activeLeaderBox !== undefined;
   }
 
   /** The configuration version applied here; -Infinity without one. */
@@ -116,7 +116,7 @@
       evacuations: this.newerEvacuations(request),
       heldVersion: this.heldVersion,
       incarnation: self.incarnation,
-      leader: replica.heardLeaderBox,
+      leader: replica.activeLeaderBox,
       quarantine: this.newerQuarantine(request),
       rollouts: this.newerRollouts(request),
       upstreams: this.parts.upstreams.changedSince(upstreamsRevision),
--- a/packages/puffinturn-fleet/src/__tests__/unit/ConfigurationLag.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/ConfigurationLag.test.ts
@@ -5,14 +5,14 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import {KeptDecisionLog} from 'puffinturn-decisions';
+import {InMemoryDecisionLog} from 'puffinturn-decisions';
 import {ManualClock} from 'shared';
 
 import {ConfigurationLag, OVERDUE_AFTER_MS} from '../../ConfigurationLag';
 
 function createLag() {
   const clock = new ManualClock();
-  const log = new KeptDecisionLog();
+  const log = new InMemoryDecisionLog();
   const box = {version: 1};
   const lag = new ConfigurationLag(clock, log, () => box.version);
   return {box, clock, lag, log};
@@ -40,7 +40,7 @@
     await clock.advance(OVERDUE_AFTER_MS);
     lag.recordVersion(2, 'c1');
     lag.recordVersion(2, 'c2');
-    expect(log.lines).toEqual([
+    expect(log.decisions).toEqual([
       {
         behindMs: OVERDUE_AFTER_MS,
         event: 'configuration-overdue',
--- a/packages/puffinturn-fleet/src/__tests__/unit/ControlSelection.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/ControlSelection.test.ts
@@ -6,7 +6,7 @@
  */
 
 /** Guards against polling another region while the own region has healthy control boxes. */
-import {SilentDecisionLog} from 'puffinturn-decisions';
+import {NoopDecisionLog} from 'puffinturn-decisions';
 import {MemoryNetwork} from 'puffinturn-wire';
 import {ManualClock, Random} from 'shared';
 
@@ -73,7 +73,7 @@
       maxPolledControls: 2,
       clock: this.clock,
       link: this.network.connect(name),
-      log: new SilentDecisionLog(),
+      log: new NoopDecisionLog(),
       updateHandler: new NullHandler(),
       regions,
       seeds: () => CONTROL_ADDRESSES,
@@ -148,9 +148,9 @@
       const fixture = new EdgeWatchFixture('e1', 'edge-1', regions);
       await fixture.clock.advance(5_000);
       for (const box of ['e1:control', 'e2:control']) {
-        fixture.network.cut(box, 'edge-1');
+        fixture.network.dropMessages(box, 'edge-1');
         if (direction === 'both ways') {
-          fixture.network.cut('edge-1', box);
+          fixture.network.dropMessages('edge-1', box);
         }
       }
       await fixture.clock.advance(4_000);
--- a/packages/puffinturn-fleet/src/__tests__/unit/FleetPropagation.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/FleetPropagation.test.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import {SilentDecisionLog} from 'puffinturn-decisions';
+import {NoopDecisionLog} from 'puffinturn-decisions';
 import type {LogRequest} from 'puffinturn-log';
 import {DEFAULT_TIMING, MemoryDisk, Replica} from 'puffinturn-log';
 import {MemoryNetwork} from 'puffinturn-wire';
@@ -103,33 +103,33 @@
   const controls = new Map<string, FleetControl>();
   for (const box of boxes) {
     const link = network.connect(box);
-    const onChange = new Condition();
-    const machine = new FleetMachine(() => onChange.notify());
+    const stateChanged = new Condition();
+    const stateMachine = new FleetMachine(() => stateChanged.notify());
     const {logLink, serve} = createReplicaLink(link);
     const openResult = await Replica.open({
       box,
       clock,
       disk: new MemoryDisk(),
-      incarnation: '1',
+      incarnationId: '1',
       link: logLink,
-      machine,
+      stateMachine,
       random: new Random(box.length + box.charCodeAt(1)),
       timing: DEFAULT_TIMING,
     });
     invariant(openResult.isOk(), 'the replica must open');
     const replica = openResult.value;
     serve((request: LogRequest) => replica.handle(request));
-    void replica.takePart(() => boxes);
+    void replica.bootstrapOrJoin(() => boxes);
     const self = {box, incarnation: '1', role: BOX_ROLE.control, hall: 'z'};
-    const log = new SilentDecisionLog();
+    const log = new NoopDecisionLog();
     controls.set(
       box,
       new FleetControl({
-        onChange,
+        stateChanged,
         clock,
         link,
         log,
-        machine,
+        machine: stateMachine,
         replica,
         seeds: () => boxes,
         self,
@@ -143,7 +143,7 @@
       maxPolledControls,
       clock,
       link: network.connect(box),
-      log: new SilentDecisionLog(),
+      log: new NoopDecisionLog(),
       updateHandler: handler,
       seeds: () => boxes,
       self: {box, incarnation: '1', role: BOX_ROLE.edge, hall: 'z'},
@@ -633,7 +633,7 @@
       maxPolledControls: 2,
       clock,
       link: network.connect('e1:1'),
-      log: new SilentDecisionLog(),
+      log: new NoopDecisionLog(),
       updateHandler: handler,
       seeds: () => ['c1:1', 'c2:1'],
       self: {box: 'e1:1', hall: 'z', incarnation: '1', role: BOX_ROLE.edge},
--- a/packages/puffinturn-fleet/src/__tests__/unit/GrantTotals.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/GrantTotals.test.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import {KeptDecisionLog} from 'puffinturn-decisions';
+import {InMemoryDecisionLog} from 'puffinturn-decisions';
 import {ManualClock} from 'shared';
 
 import {GrantTotals} from '../../GrantTotals';
@@ -16,7 +16,7 @@
 describe('GrantTotals', () => {
   test('logs granted tokens once a second, and nothing while idle', async () => {
     const clock = new ManualClock();
-    const log = new KeptDecisionLog();
+    const log = new InMemoryDecisionLog();
     const machine = new FleetMachine();
     const teams = [teamOf({prepaidTokens: 1_000})];
     const configuration = configurationOf(1, {teams});
@@ -36,7 +36,7 @@
     totals.recordTeams(['t']);
     totals.recordTeams(['t']);
     await clock.advance(10_000);
-    expect(log.lines).toEqual([
+    expect(log.decisions).toEqual([
       {
         event: 'grants-counted',
         teams: [{granted: 300, held: 300, prepaid: 1_000, team: 't'}],
--- a/packages/puffinturn-fleet/src/__tests__/utils/RolloutFleet.ts
+++ b/packages/puffinturn-fleet/src/__tests__/utils/RolloutFleet.ts
@@ -5,12 +5,18 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import {KeptDecisionLog} from 'puffinturn-decisions';
+import {InMemoryDecisionLog} from 'puffinturn-decisions';
 import type {LogRequest} from 'puffinturn-log';
 import {DEFAULT_TIMING, MemoryDisk, Replica} from 'puffinturn-log';
 import type {MemoryLink} from 'puffinturn-wire';
 import {MemoryNetwork} from 'puffinturn-wire';
-import {Condition, drawByWeight, invariant, ManualClock, Random} from 'shared';
+import {
+  Condition,
+  invariant,
+  ManualClock,
+  Random,
+  selectByWeight,
+} from 'shared';
 
 import type {
   BoxRecord,
@@ -127,7 +133,7 @@
 export class RolloutFleet {
   readonly clock = new ManualClock();
   readonly network: MemoryNetwork;
-  readonly logs = new Map<string, KeptDecisionLog>();
+  readonly logs = new Map<string, InMemoryDecisionLog>();
   readonly random = new Random(5);
   /** Time until an answer arrives, ms. */
   answerDelayMs = 300;
@@ -303,7 +309,7 @@
   /** Returns the log lines of an event from all control boxes. */
   logLines(event: string) {
     return [...this.logs.values()]
-      .flatMap(({lines}) => lines)
+      .flatMap(({decisions}) => decisions)
       .filter((line) => line.event === event);
   }
 
@@ -395,42 +401,47 @@
     }
     const {clock, network} = this;
     const link = network.connect(box);
-    const onChange = new Condition();
-    const machine = new FleetMachine(() => onChange.notify());
+    const stateChanged = new Condition();
+    const stateMachine = new FleetMachine(() => stateChanged.notify());
     const disk = this.disks.get(box) ?? new MemoryDisk();
     this.disks.set(box, disk);
     this.incarnationCount += 1;
-    const incarnation = String(this.incarnationCount);
+    const incarnationId = String(this.incarnationCount);
     const {logLink, serve} = createReplicaLink(link);
     const opened = await Replica.open({
       box,
       clock,
       disk,
-      incarnation,
+      incarnationId,
       link: logLink,
-      machine,
+      stateMachine,
       random: new Random(100 + this.incarnationCount),
-      snapshotEvery: 10,
+      snapshotIntervalEntries: 10,
       timing: DEFAULT_TIMING,
     });
     invariant(opened.isOk(), 'replica did not open');
     const replica = opened.value;
     serve((request: LogRequest) => replica.handle(request));
-    void replica.takePart(() => [...CONTROL_BOXES], true);
-    const log = this.logs.get(box) ?? new KeptDecisionLog();
+    void replica.bootstrapOrJoin(() => [...CONTROL_BOXES], true);
+    const log = this.logs.get(box) ?? new InMemoryDecisionLog();
     this.logs.set(box, log);
     const control = new FleetControl({
-      onChange,
+      stateChanged,
       clock,
       exposure: this.isEnabled ? EXPOSURE_BOUND : undefined,
       link,
       log,
-      machine,
+      machine: stateMachine,
       replica,
       seeds: () => [...CONTROL_BOXES],
-      self: {box, hall: 'z', incarnation, role: BOX_ROLE.control},
+      self: {
+        box,
+        hall: 'z',
+        incarnation: incarnationId,
+        role: BOX_ROLE.control,
+      },
     });
-    this.controls.set(box, {control, machine, replica});
+    this.controls.set(box, {control, machine: stateMachine, replica});
   }
 
   private addEdge(box: string): void {
@@ -492,7 +503,7 @@
 
   private selectRoute(): string {
     const {routes} = this.traffic;
-    const selected = drawByWeight(
+    const selected = selectByWeight(
       routes,
       ([, weight]) => weight,
       this.random.fraction(),
--- a/packages/puffinturn-fuzz/src/CallerRequests.ts
+++ b/packages/puffinturn-fuzz/src/CallerRequests.ts
@@ -21,12 +21,12 @@
 };
 
 /** Creates a request by name; undefined while the box has no configuration of the team. */
-export function callerRequest(
+export function createCallerRequest(
   {config}: BoxMember,
   kind: RequestKind,
   name: string,
 ): CallerRequest | undefined {
-  const team = config.teamOf(TEAM_KEY);
+  const team = config.findTeamByKey(TEAM_KEY);
   if (team === undefined) {
     return undefined;
   }
--- a/packages/puffinturn-fuzz/src/FuzzDeclarations.ts
+++ b/packages/puffinturn-fuzz/src/FuzzDeclarations.ts
@@ -7,7 +7,7 @@
 
 /** The configuration that every run starts with, and the changes that steps make to it. */
 import type {Declaration} from 'puffinturn-settings';
-import {checkValue, DeclarationSchema} from 'puffinturn-settings';
+import {DeclarationSchema,validateValue} from 'puffinturn-settings';
 import {digestBytes, invariant} from 'shared';
 
 import {ENGINE_URLS, SERVICE_URLS} from './Step';
@@ -16,17 +16,17 @@
 export const TEAM_KEY = 'fuzz-team-key';
 export const TEAM_NAME = 'team-1';
 /** The budget that all requests are charged to; its home is the first region. */
-export const BUDGET = 'budget-1';
+export const BUDGET_NAME = 'budget-1';
 export const SERVICE_NAME = 'orders';
 export const POOL_NAME = 'engines';
 export const MODEL_NAME = 'model-1';
 /** Initial budget limit, units; small enough for runs to exhaust it. */
 export const INITIAL_LIMIT = 400;
 /** Initial price of a call to the service, units. */
-export const FIRST_PRICE = 20;
+export const INITIAL_CALL_PRICE = 20;
 
 function parseDeclaration(value: unknown): Declaration {
-  const parsed = checkValue(DeclarationSchema, value, 'fuzz');
+  const parsed = validateValue(DeclarationSchema, value, 'fuzz');
   invariant(parsed.isOk(), `invalid declaration: ${JSON.stringify(value)}`);
   return parsed.value;
 }
@@ -34,7 +34,7 @@
 /** Declares the budget with a limit, units. */
 export function budgetDeclaration(number: number, limit: number): Declaration {
   const spec = {home: 'north', limit, team: TEAM_NAME};
-  return parseDeclaration({kind: 'budget', name: BUDGET, number, spec});
+  return parseDeclaration({kind: 'budget', name: BUDGET_NAME, number, spec});
 }
 
 /** Declares the service; its price shows which change a request was billed under. */
@@ -59,7 +59,7 @@
 }
 
 /** The initial declarations of a run. */
-export function firstDeclarations(limit = INITIAL_LIMIT): Declaration[] {
+export function initialDeclarations(limit = INITIAL_LIMIT): Declaration[] {
   const sha256 = digestBytes(TEAM_KEY);
   const upstreams = ENGINE_URLS.map((url, index) => ({
     hall: 'hall-1',
@@ -67,7 +67,7 @@
     slots: 4,
     url,
   }));
-  const rule = {action: 'allow', budget: `'${BUDGET}'`, deadlineMs: 5_000};
+  const rule = {action: 'allow', budget: `'${BUDGET_NAME}'`, deadlineMs: 5_000};
   return [
     parseDeclaration({
       kind: 'team',
@@ -76,7 +76,7 @@
       spec: {keys: [{name: 'k', sha256}]},
     }),
     budgetDeclaration(1, limit),
-    serviceDeclaration(1, FIRST_PRICE),
+    serviceDeclaration(1, INITIAL_CALL_PRICE),
     parseDeclaration({
       kind: 'pool',
       name: POOL_NAME,
--- a/packages/puffinturn-fuzz/src/FuzzFleet.ts
+++ b/packages/puffinturn-fuzz/src/FuzzFleet.ts
@@ -8,7 +8,7 @@
 /** A fleet of real boxes in one process, with fake clock, network, disks and upstreams. */
 import type {ResultAsync} from 'neverthrow';
 import {errAsync, ResultAsync as Async} from 'neverthrow';
-import type {BoxBreakage, FleetPlace} from 'puffinturn-daemon';
+import type {BoxBreakage, FleetTopology} from 'puffinturn-daemon';
 import {Box, OperatorApi} from 'puffinturn-daemon';
 import {GatewayMetrics} from 'puffinturn-gateway';
 import type {Ledger, RegionSupply} from 'puffinturn-ledger';
@@ -103,7 +103,7 @@
     write: () => ResultAsync<void, DiskFailure>,
   ): ResultAsync<void, DiskFailure> {
     return Async.fromSafePromise(this.waitUntilResumed()).andThen(() =>
-      this.fault.refuse
+      this.faults.failWrites
         ? errAsync<void, DiskFailure>({
             kind: 'disk',
             message: 'the process was killed',
@@ -118,7 +118,7 @@
   readonly clock = new ManualClock();
   readonly network: MemoryNetwork;
   readonly upstreams: FakeUpstreams;
-  readonly lives = new Map<string, BoxIncarnation>();
+  readonly incarnations = new Map<string, BoxIncarnation>();
   private readonly stoppedBoxEvents: TimelineEvent[][] = [];
   private readonly disks = new Map<string, MemoryDisk>();
   private nameCount = 0;
@@ -144,11 +144,11 @@
 
   /** Starts a box on its existing disk; does nothing if it is running. */
   async start(name: string): Promise<void> {
-    if (this.lives.has(name)) {
+    if (this.incarnations.has(name)) {
       return;
     }
     const persistentDisk = this.disks.get(name) ?? new MemoryDisk();
-    persistentDisk.fault.skipSync = this.options.breakage?.skipSync === true;
+    persistentDisk.faults.skipSync = this.options.breakage?.skipSync === true;
     this.disks.set(name, persistentDisk);
     const position = this.boxes.findIndex((box) => box.name === name);
     const rate = CLOCK_RATES[position % CLOCK_RATES.length] ?? 1;
@@ -157,7 +157,7 @@
     const client = new FakeUpstreamClient(this.upstreams, waitUntilResumed);
     const disk = new IncarnationDisk(persistentDisk, waitUntilResumed);
     const link = this.network.connect(name, waitUntilResumed);
-    const place: FleetPlace = {
+    const topology: FleetTopology = {
       box: name,
       boxes: this.boxes,
       primaryRegion: this.boxes[0]?.region ?? '',
@@ -176,29 +176,29 @@
       atMostOnceRetentionMs: RETENTION_MS,
       link,
       metrics: new GatewayMetrics(),
-      newName: () => this.nextName(),
-      place,
+      generateId: () => this.nextName(),
+      topology,
       random: new Random(this.random.integer(0, 1_000_000)),
-      snapshotEvery: SNAPSHOT_INTERVAL_ENTRIES,
+      snapshotIntervalEntries: SNAPSHOT_INTERVAL_ENTRIES,
       ...(disableAdmissionQueue === undefined ? {} : {disableAdmissionQueue}),
       ...(computeGrantTarget === undefined ? {} : {computeGrantTarget}),
     });
     invariant(started.isOk(), `box ${name} failed to start`);
     const box = started.value;
-    const operators = new OperatorApi(box, place, link, clock);
-    this.lives.set(name, {box, client, clock, disk, operators});
+    const operators = new OperatorApi(box, topology, link, clock);
+    this.incarnations.set(name, {box, client, clock, disk, operators});
   }
 
   /** Kills a box without a shutdown; writes that were not synced are lost. */
   kill(name: string): void {
-    const incarnation = this.lives.get(name);
+    const incarnation = this.incarnations.get(name);
     if (incarnation === undefined) {
       return;
     }
-    this.lives.delete(name);
+    this.incarnations.delete(name);
     this.stoppedBoxEvents.push(incarnation.box.timeline.events());
     this.network.disconnect(name);
-    incarnation.disk.fault.refuse = true;
+    incarnation.disk.faults.failWrites = true;
     this.disks.get(name)?.crash();
     void incarnation.client[Symbol.asyncDispose]();
     incarnation.clock.resume();
@@ -221,7 +221,7 @@
 
   /** Ledgers of all running control boxes, optionally of one region. */
   ledgers(region?: string): Ledger[] {
-    return [...this.lives.values()]
+    return [...this.incarnations.values()]
       .filter(({box}) => region === undefined || box.self.region === region)
       .map(({box}) => box.control?.ledger)
       .filter((ledger) => ledger !== undefined);
@@ -229,15 +229,15 @@
 
   /** The merged timeline of all boxes, stopped incarnations included. */
   events(): TimelineEvent[] {
-    const runningBoxEvents = [...this.lives.values()].map(({box}) =>
+    const runningBoxEvents = [...this.incarnations.values()].map(({box}) =>
       box.timeline.events(),
     );
     return mergeTimelines([...this.stoppedBoxEvents, ...runningBoxEvents]);
   }
 
   /** The ledger of a region with the highest applied index. */
-  newestLedger(region: string): Ledger | undefined {
-    const mostAdvanced = [...this.lives.values()]
+  mostAppliedLedger(region: string): Ledger | undefined {
+    const mostAdvanced = [...this.incarnations.values()]
       .filter(({box}) => box.self.region === region)
       .map(({box}) => box.control)
       .filter((control) => control !== undefined)
@@ -251,17 +251,17 @@
   /** Removes all faults, restarts stopped boxes and lets `ms` of virtual time pass. */
   async repair(ms: number): Promise<void> {
     this.network.heal();
-    this.network.delay = {highMs: 2, lowMs: 1};
+    this.network.delayRange = {maxMs: 2, minMs: 1};
     this.upstreams.repair();
     for (const {name} of this.boxes) {
-      this.lives.get(name)?.clock.resume();
+      this.incarnations.get(name)?.clock.resume();
       await this.start(name);
     }
     await this.clock.advance(ms);
   }
 
   /** Advances the clock until a promise settles; fails after SETTLE_TIMEOUT_MS. */
-  async drive<Value>(promise: Promise<Value>): Promise<Value> {
+  async advanceUntilSettled<Value>(promise: Promise<Value>): Promise<Value> {
     const deadlineMs = this.clock.now() + SETTLE_TIMEOUT_MS;
     let isPending = true;
     void promise.finally(() => (isPending = false));
@@ -277,7 +277,7 @@
 
   /** Sends a declaration to a box; resolves with the reply, or undefined if it is down. */
   async declare(name: string, declaration: Declaration, operator: string) {
-    const incarnation = this.lives.get(name);
+    const incarnation = this.incarnations.get(name);
     return incarnation?.operators.declare(declaration, operator);
   }
 
@@ -299,7 +299,7 @@
       (box) => box.control && box.region === target?.region,
     );
     const replicas = controlBoxes.map(
-      (box) => this.lives.get(box.name)?.box.control?.replica,
+      (box) => this.incarnations.get(box.name)?.box.control?.replica,
     );
     return (
       target?.control === true &&
--- a/packages/puffinturn-fuzz/src/FuzzRun.ts
+++ b/packages/puffinturn-fuzz/src/FuzzRun.ts
@@ -14,14 +14,14 @@
 import type {TimelineEvent} from 'puffinturn-timeline';
 import {invariant} from 'shared';
 
-import {callerRequest} from './CallerRequests';
+import {createCallerRequest} from './CallerRequests';
 import {
-  BUDGET,
+  BUDGET_NAME,
   budgetDeclaration,
   drainDeclaration,
-  FIRST_PRICE,
-  firstDeclarations,
+  INITIAL_CALL_PRICE,
   INITIAL_LIMIT,
+  initialDeclarations,
   serviceDeclaration,
 } from './FuzzDeclarations';
 import {FUZZ_BOXES, FuzzFleet} from './FuzzFleet';
@@ -59,7 +59,7 @@
   private readonly pending = new Set<Promise<void>>();
   private unkeyedCount = 0;
   private priceNumber = 1;
-  private price = FIRST_PRICE;
+  private price = INITIAL_CALL_PRICE;
   private limitNumber = 1;
   private limit = INITIAL_LIMIT;
   private drainNumber = 0;
@@ -106,9 +106,9 @@
 
   private async prepare(): Promise<void> {
     await this.fleet.startAll();
-    for (const declaration of firstDeclarations()) {
+    for (const declaration of initialDeclarations()) {
       const reply = this.fleet.declare('n1', declaration, 'setup');
-      const accepted = await this.fleet.drive(reply);
+      const accepted = await this.fleet.advanceUntilSettled(reply);
       invariant(
         accepted?.isOk(),
         `initial declaration ${declaration.name} was not accepted`,
@@ -119,7 +119,7 @@
 
   private async finish(): Promise<void> {
     await this.fleet.repair(REPAIR_SETTLE_MS);
-    await this.fleet.drive(Promise.all(this.pending));
+    await this.fleet.advanceUntilSettled(Promise.all(this.pending));
     this.recordDrainEnd();
     this.checkBudgets();
     this.checkFinalState();
@@ -142,16 +142,16 @@
         );
         return;
       case 'freeze':
-        return fleet.lives.get(step.box)?.clock.pause();
+        return fleet.incarnations.get(step.box)?.clock.pause();
       case 'thaw':
-        return fleet.lives.get(step.box)?.clock.resume();
+        return fleet.incarnations.get(step.box)?.clock.resume();
       case 'isolate':
         return fleet.network.partition(
           [step.box],
           FUZZ_BOXES.map(({name}) => name).filter((name) => name !== step.box),
         );
       case 'one-way-cut':
-        return fleet.network.cut(step.from, step.to);
+        return fleet.network.dropMessages(step.from, step.to);
       case 'part-regions':
         return fleet.network.partition(
           boxNamesIn('north'),
@@ -160,7 +160,7 @@
       case 'heal':
         return fleet.network.heal();
       case 'delay':
-        fleet.network.delay = {highMs: step.highMs, lowMs: 1};
+        fleet.network.delayRange = {maxMs: step.highMs, minMs: 1};
         return;
       case 'upstream':
         this.increment(`upstream ${step.mode}`);
@@ -179,7 +179,7 @@
   // Requests
 
   private startRequest(step: Extract<Step, {kind: 'request'}>): void {
-    const gateway = this.fleet.lives.get(step.box)?.box.gateway;
+    const gateway = this.fleet.incarnations.get(step.box)?.box.gateway;
     if (gateway === undefined) {
       return;
     }
@@ -205,8 +205,9 @@
     step: Extract<Step, {kind: 'request'}>,
     attempt: CallerAttempt,
   ): Promise<void> {
-    const member = this.fleet.lives.get(step.box)?.box.member;
-    const request = member && callerRequest(member, attempt.kind, attempt.name);
+    const member = this.fleet.incarnations.get(step.box)?.box.member;
+    const request =
+      member && createCallerRequest(member, attempt.kind, attempt.name);
     if (request === undefined) {
       attempt.outcome = 'not-run';
       attempt.code = 'invalid_key';
@@ -270,7 +271,7 @@
 
   /** Whether the box still runs the incarnation that the attempt was sent to. */
   private isSameIncarnation(box: string, gateway: Gateway): boolean {
-    return this.fleet.lives.get(box)?.box.gateway === gateway;
+    return this.fleet.incarnations.get(box)?.box.gateway === gateway;
   }
 
   // Operator changes
@@ -379,7 +380,9 @@
   private checkBudgets(): void {
     let spent = 0;
     for (const region of REGIONS) {
-      const state = this.fleet.newestLedger(region)?.budgets.get(BUDGET);
+      const state = this.fleet
+        .mostAppliedLedger(region)
+        ?.budgets.get(BUDGET_NAME);
       spent += state === undefined ? 0 : state.settled + state.reserved;
       if (state !== undefined && allocatedUnits(state) < 0) {
         const detail = `${region} has granted ${outstandingGrants(state)}`;
@@ -392,8 +395,8 @@
   /** Checks, once the fleet is repaired, that no reservation is left and charges add up. */
   private checkFinalState(): void {
     for (const region of REGIONS) {
-      const ledger = this.fleet.newestLedger(region);
-      const state = ledger?.budgets.get(BUDGET);
+      const ledger = this.fleet.mostAppliedLedger(region);
+      const state = ledger?.budgets.get(BUDGET_NAME);
       if (ledger === undefined || state === undefined) {
         this.breaches.push({detail: region, promise: 'a region recovers'});
         continue;
@@ -422,8 +425,9 @@
   private checkBilledOnce(): void {
     const billed = new Map<string, string>();
     for (const region of REGIONS) {
-      for (const entry of this.fleet.newestLedger(region)?.requests.all() ??
-        []) {
+      for (const entry of this.fleet
+        .mostAppliedLedger(region)
+        ?.requests.all() ?? []) {
         if (entry.charge > 0 && billed.has(entry.key)) {
           const detail = `${entry.key} in ${billed.get(entry.key)} and ${region}`;
           this.breaches.push({detail, promise: 'billed exactly once'});
@@ -456,7 +460,7 @@
     for (const region of REGIONS) {
       const settled = this.fleet
         .ledgers(region)
-        .map((ledger) => ledger.budgets.get(BUDGET)?.settled);
+        .map((ledger) => ledger.budgets.get(BUDGET_NAME)?.settled);
       if (new Set(settled).size > 1) {
         const detail = `${region}: ${settled.join(', ')}`;
         this.breaches.push({detail, promise: 'replicas agree'});
--- a/packages/puffinturn-fuzz/src/Oracle.ts
+++ b/packages/puffinturn-fuzz/src/Oracle.ts
@@ -13,7 +13,7 @@
 
 import type {FakeUpstreams} from './FakeUpstreams';
 import {STREAM_TOKENS} from './FakeUpstreams';
-import {FIRST_PRICE} from './FuzzDeclarations';
+import {INITIAL_CALL_PRICE} from './FuzzDeclarations';
 import type {RequestKind} from './Step';
 import {REQUEST_KIND} from './Step';
 
@@ -58,7 +58,7 @@
   /** Highest budget limit that was sent by an operator, accepted or not. */
   highestLimit = 0;
   /** Highest price that all regions have confirmed to an operator. */
-  acceptedPrice = FIRST_PRICE;
+  acceptedPrice = INITIAL_CALL_PRICE;
 
   constructor(private readonly upstreams: FakeUpstreams) {}
 
--- a/packages/puffinturn-fuzz/src/index.ts
+++ b/packages/puffinturn-fuzz/src/index.ts
@@ -6,10 +6,14 @@
  */
 
 /** A stateful fuzzer that runs a whole fleet in one process, in virtual time. */
-export {callerRequest} from './CallerRequests';
+export {createCallerRequest} from './CallerRequests';
 export type {FuzzOptions, FuzzReport} from './Fuzz';
 export {BREAKAGES, fuzz} from './Fuzz';
-export {BUDGET, FIRST_PRICE, firstDeclarations} from './FuzzDeclarations';
+export {
+  BUDGET_NAME,
+  INITIAL_CALL_PRICE,
+  initialDeclarations,
+} from './FuzzDeclarations';
 export type {FleetOptions} from './FuzzFleet';
 export {FuzzFleet} from './FuzzFleet';
 export type {FuzzBreakage, RunReport} from './FuzzRun';
--- a/packages/puffinturn-gateway/src/Admission.ts
+++ b/packages/puffinturn-gateway/src/Admission.ts
@@ -86,7 +86,7 @@
       const plan = planner();
       if (plan.isErr()) {
         // Do not reject a request because of an outdated configuration.
-        if (tryIndex === 0 && (await this.parts.member.refresh())) {
+        if (tryIndex === 0 && (await this.parts.member.refreshConfig())) {
           continue;
         }
         return err(plan.error);
@@ -110,7 +110,7 @@
    */
   private otherHomeRegion({decision}: RequestPlan): string | undefined {
     const {member, region} = this.parts;
-    const homeRegion = member.config.budgetHome(decision.budget);
+    const homeRegion = member.config.budgetHomeRegion(decision.budget);
     return decision.runsAtMostOnce && homeRegion !== region
       ? homeRegion
       : undefined;
@@ -119,7 +119,7 @@
   private async tryAdmit(plan: RequestPlan, startedAt: number): Promise<Step> {
     const {clock, control, member} = this.parts;
     const {admissions} = member;
-    const serial = admissions.next();
+    const serial = admissions.allocate();
     const deadline = startedAt + plan.decision.deadlineMs;
     const waitMs = Math.max(0, deadline - clock.now());
     const outcome = await control.submit(this.createRecord(plan, serial), {
--- a/packages/puffinturn-gateway/src/CallerHttp.ts
+++ b/packages/puffinturn-gateway/src/CallerHttp.ts
@@ -131,13 +131,14 @@
   }
   const [scheme, key] = (context.req.header('authorization') ?? '').split(' ');
   const token = scheme?.toLowerCase() === 'bearer' && key ? key : undefined;
-  const team = token === undefined ? undefined : member.config.teamOf(token);
+  const team =
+    token === undefined ? undefined : member.config.findTeamByKey(token);
   if (team !== undefined) {
     return ok(team);
   }
   // The key may be newer than the configuration of this box.
-  if (token !== undefined && (await member.refresh())) {
-    const newTeam = member.config.teamOf(token);
+  if (token !== undefined && (await member.refreshConfig())) {
+    const newTeam = member.config.findTeamByKey(token);
     if (newTeam !== undefined) {
       return ok(newTeam);
     }
--- a/packages/puffinturn-gateway/src/CompletionBody.ts
+++ b/packages/puffinturn-gateway/src/CompletionBody.ts
@@ -7,7 +7,7 @@
 
 /** Request bodies of `/v1/chat/completions` and `/v1/completions`. */
 import type {Result} from 'neverthrow';
-import {checkValue} from 'puffinturn-settings';
+import {validateValue} from 'puffinturn-settings';
 import {z} from 'zod';
 
 import type {GatewayFailure} from './GatewayFailure';
@@ -61,8 +61,8 @@
 ): Result<CompletionBody, GatewayFailure> {
   const checked =
     kind === 'chat'
-      ? checkValue(ChatSchema, value, 'body')
-      : checkValue(TextSchema, value, 'body');
+      ? validateValue(ChatSchema, value, 'body')
+      : validateValue(TextSchema, value, 'body');
   return checked
     .mapErr(({message}) => createFailure('bad_request', message))
     .map((fields) => {
--- a/packages/puffinturn-gateway/src/PoolRegistry.ts
+++ b/packages/puffinturn-gateway/src/PoolRegistry.ts
@@ -9,8 +9,8 @@
 import type {
   FleetConfig,
   HeartbeatReply,
-  Target,
-  UpstreamCount,
+  InFlightCount,
+  RequestTarget,
 } from 'puffinturn-membership';
 import type {Upstream} from 'puffinturn-routing';
 import {
@@ -61,7 +61,7 @@
   ) {}
 
   /** Returns the pool of a target; creates it if needed. */
-  getPool(target: Target): Pool {
+  getPool(target: RequestTarget): Pool {
     const existing = this.pools.get(target.name);
     if (existing !== undefined) {
       return existing;
@@ -87,8 +87,8 @@
   }
 
   /** Number of requests of this box in flight, by upstream. */
-  inFlightCounts(): UpstreamCount[] {
-    const counts: UpstreamCount[] = [];
+  inFlightCounts(): InFlightCount[] {
+    const counts: InFlightCount[] = [];
     for (const {router} of this.pools.values()) {
       for (const {inFlight: count, name: upstream, pool} of router.upstreams) {
         if (count > 0) {
@@ -171,7 +171,7 @@
     }
   }
 
-  private createPool(target: Target): Pool {
+  private createPool(target: RequestTarget): Pool {
     const prefixes = new PrefixIndex();
     const targetMs =
       target.kind === 'pool'
--- a/packages/puffinturn-gateway/src/RequestForwarder.ts
+++ b/packages/puffinturn-gateway/src/RequestForwarder.ts
@@ -117,7 +117,7 @@
 
   private async handleForward(body: ForwardRequest): Promise<ForwardReply> {
     const {handle, member, responses} = this.parts;
-    const team = member.config.team(body.team);
+    const team = member.config.findTeam(body.team);
     if (team === undefined) {
       const message = 'this box does not know the team yet';
       const failure = createFailure('not_ready', message, 1_000);
--- a/packages/puffinturn-gateway/src/RequestPlan.ts
+++ b/packages/puffinturn-gateway/src/RequestPlan.ts
@@ -8,7 +8,7 @@
 /** Plans a request: policy decision, key and worst-case cost. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
-import type {BoxMember, Target, Team} from 'puffinturn-membership';
+import type {BoxMember, RequestTarget, Team} from 'puffinturn-membership';
 import type {PolicyDecision, PolicyFailure} from 'puffinturn-policy';
 import {digestBytes} from 'shared';
 
@@ -41,7 +41,7 @@
   readonly request: CallerRequest;
   readonly configIndex: number;
   readonly decision: PolicyDecision;
-  readonly target: Target;
+  readonly target: RequestTarget;
   readonly key: string;
   readonly isKeyGenerated: boolean;
   readonly digest: string;
@@ -89,7 +89,7 @@
     )
     .mapErr(toGatewayFailure)
     .andThen((decision) => {
-      const target = config.target(decision.pool);
+      const target = config.findTarget(decision.pool);
       if (target === undefined || !canServe(target, request)) {
         const message = `${decision.pool} does not serve this request`;
         return err(createFailure('not_found', message));
@@ -113,7 +113,7 @@
 }
 
 function canServe(
-  target: Target,
+  target: RequestTarget,
   {completion, service}: CallerRequest,
 ): boolean {
   return target.kind === 'pool'
@@ -151,7 +151,7 @@
   readonly decision: PolicyDecision;
   readonly key: {readonly key: string; readonly isKeyGenerated: boolean};
   readonly request: CallerRequest;
-  readonly target: Target;
+  readonly target: RequestTarget;
 }
 
 function priceRequest(
--- a/packages/puffinturn-gateway/src/RequestQuarantine.ts
+++ b/packages/puffinturn-gateway/src/RequestQuarantine.ts
@@ -9,7 +9,7 @@
  * Quarantines requests that crash upstreams. Heartbeats report the crashes seen by this
  * box to the leader and return the quarantine of all boxes.
  */
-import type {CrashTelling} from 'puffinturn-membership';
+import type {PendingCrashUpdate} from 'puffinturn-membership';
 import type {Crash, ListenerState, Quarantine} from 'puffinturn-quarantine';
 import {
   CrashDetector,
@@ -69,16 +69,19 @@
   }
 
   /** The quarantine and pending crash report for the next heartbeat. */
-  nextHeartbeatReport(): CrashTelling {
+  nextHeartbeatReport(): PendingCrashUpdate {
     const {localQuarantine} = this;
     const {quarantinedElsewhere: quarantined, pendingReport} = localQuarantine;
     if (pendingReport === undefined) {
-      return {news: {quarantined, report: undefined}, taken: () => undefined};
+      return {
+        update: {quarantined, report: undefined},
+        acknowledge: () => undefined,
+      };
     }
     const report = localQuarantine.buildReport(pendingReport);
     return {
-      news: {quarantined, report},
-      taken: () => localQuarantine.confirmReported(pendingReport),
+      update: {quarantined, report},
+      acknowledge: () => localQuarantine.confirmReported(pendingReport),
     };
   }
 
--- a/packages/puffinturn-gateway/src/UpstreamCall.ts
+++ b/packages/puffinturn-gateway/src/UpstreamCall.ts
@@ -8,7 +8,7 @@
 /** Sends a request to one upstream and waits for the first bytes. */
 import type {Upstream, UpstreamSlot} from 'puffinturn-routing';
 import type {Clock} from 'shared';
-import {restMsOf} from 'shared';
+import {unavailableRetryAfterMs} from 'shared';
 
 import {
   LEAVING_HEADER,
@@ -146,7 +146,7 @@
   if (headers[LEAVING_HEADER] === 'true') {
     onLeaving(upstream.pool, upstream.name);
   }
-  const retryAfterMs = restMsOf(status, headers['retry-after']);
+  const retryAfterMs = unavailableRetryAfterMs(status, headers['retry-after']);
   if (retryAfterMs !== undefined) {
     upstream.pauseUntil(clock.now() + retryAfterMs);
     onRetryAfter(upstream.name, retryAfterMs);
--- a/packages/puffinturn-ledger/src/ControlService.ts
+++ b/packages/puffinturn-ledger/src/ControlService.ts
@@ -212,7 +212,7 @@
     while (
       unconfirmedRegions().length > 0 &&
       clock.now() < deadline &&
-      !this.tasks.ended
+      !this.tasks.isAborted
     ) {
       await clock.sleep(EXCHANGE_INTERVAL_MS / 4, this.tasks.signal);
     }
--- a/packages/puffinturn-ledger/src/Ledger.ts
+++ b/packages/puffinturn-ledger/src/Ledger.ts
@@ -10,7 +10,7 @@
  * boxes. Records carry their times, so that all replicas reach the same state.
  */
 import {Decoder, Encoder} from 'cbor-x';
-import {Machine} from 'puffinturn-log';
+import {StateMachine} from 'puffinturn-log';
 
 import type {BoxEntry, FencedEntry} from './BoxTable';
 import {BoxTable} from './BoxTable';
@@ -48,7 +48,7 @@
 }
 
 /** State machine that applies the records of a region's log. */
-export class Ledger extends Machine {
+export class Ledger extends StateMachine {
   /** Current declarations. */
   readonly declarations = new DeclarationTable();
   /** Budgets by name. */
--- a/packages/puffinturn-ledger/src/__tests__/unit/ControlClient.test.ts
+++ b/packages/puffinturn-ledger/src/__tests__/unit/ControlClient.test.ts
@@ -55,7 +55,7 @@
       region: 'south',
     });
     const isolatedClient = createClient('a', 'north', 'north-leader');
-    network.cut('a', 'north-leader');
+    network.dropMessages('a', 'north-leader');
     let outcomeKind = '';
     void isolatedClient
       .submit(SWEEP, {timeoutMs: 20_000})
--- a/packages/puffinturn-log/src/Bootstrap.ts
+++ b/packages/puffinturn-log/src/Bootstrap.ts
@@ -59,7 +59,11 @@
       return identity();
     }
     const to = replicaIdOf(box, '');
-    const result = await link.call(to, {kind: 'identity'}, timing.callMs);
+    const result = await link.call(
+      to,
+      {kind: 'identity'},
+      timing.callTimeoutMs,
+    );
     return result.isOk() ? (result.value as IdentityReply) : undefined;
   });
   const replies = await Promise.all(calls);
@@ -76,7 +80,7 @@
   const others = voters.filter((voter) => voter !== id);
   await Promise.all(
     others.map((to) =>
-      link.call(to, {kind: 'found', members, to}, timing.callMs),
+      link.call(to, {kind: 'found', members, to}, timing.callTimeoutMs),
     ),
   );
 }
@@ -93,7 +97,7 @@
   recipients.delete(id);
   await Promise.all(
     [...recipients].map((to) =>
-      link.call(to, {from: id, kind: 'join'}, timing.callMs),
+      link.call(to, {from: id, kind: 'join'}, timing.callTimeoutMs),
     ),
   );
 }
--- a/packages/puffinturn-log/src/Disk.ts
+++ b/packages/puffinturn-log/src/Disk.ts
@@ -157,17 +157,17 @@
 }
 
 /** Faults that a MemoryDisk injects into writes. */
-export interface DiskFault {
+export interface DiskFaults {
   /** Report success without syncing. */
   skipSync: boolean;
   /** Fail every write. */
-  refuse: boolean;
+  failWrites: boolean;
 }
 
 /** Keeps files in memory for tests and can simulate a crash. */
 export class MemoryDisk extends Disk {
   /** Faults to inject; tests change them at any time. */
-  readonly fault: DiskFault = {refuse: false, skipSync: false};
+  readonly faults: DiskFaults = {failWrites: false, skipSync: false};
   private syncedFiles = new Map<string, Buffer>();
   private unsyncedFiles = new Map<string, Buffer>();
 
@@ -229,13 +229,13 @@
   override async [Symbol.asyncDispose](): Promise<void> {}
 
   private store(name: string, bytes: Buffer): ResultAsync<void, DiskFailure> {
-    if (this.fault.refuse) {
+    if (this.faults.failWrites) {
       return errAsync({
         kind: 'disk',
         message: 'write failed by an injected fault',
       });
     }
-    if (this.fault.skipSync) {
+    if (this.faults.skipSync) {
       this.unsyncedFiles.set(name, bytes);
     } else {
       this.unsyncedFiles.delete(name);
--- a/packages/puffinturn-log/src/LogConstants.ts
+++ b/packages/puffinturn-log/src/LogConstants.ts
@@ -10,21 +10,21 @@
 /** Timeouts and intervals of a replica, in milliseconds. */
 export interface ReplicaTiming {
   /** Longest time between two messages from the leader to each peer. */
-  readonly heartbeatMs: number;
+  readonly heartbeatIntervalMs: number;
   /**
    * A follower starts an election after this long without contact from a
    * leader. Randomised between one and two times this value.
    */
-  readonly electionMs: number;
+  readonly electionTimeoutMs: number;
   /** Timeout for one request to another replica. */
-  readonly callMs: number;
+  readonly callTimeoutMs: number;
 }
 
 /** Default timing, for halls with a round trip of a few milliseconds. */
 export const DEFAULT_TIMING: ReplicaTiming = {
-  callMs: 400,
-  electionMs: 500,
-  heartbeatMs: 100,
+  callTimeoutMs: 400,
+  electionTimeoutMs: 500,
+  heartbeatIntervalMs: 100,
 };
 
 /** Maximum number of entries in one append request. */
--- a/packages/puffinturn-log/src/LogLink.ts
+++ b/packages/puffinturn-log/src/LogLink.ts
@@ -25,7 +25,7 @@
 }
 
 /** The state machine that applies committed records on every replica. */
-export abstract class Machine {
+export abstract class StateMachine {
   /**
    * Applies a committed record and returns its result. Must be deterministic:
    * the result depends only on the state, the record and its index.
--- a/packages/puffinturn-log/src/Replica.ts
+++ b/packages/puffinturn-log/src/Replica.ts
@@ -39,7 +39,7 @@
   SNAPSHOT_INTERVAL_ENTRIES,
   TRAILING_ENTRIES,
 } from './LogConstants';
-import type {LogLink, Machine} from './LogLink';
+import type {LogLink, StateMachine} from './LogLink';
 import type {
   AppendReply,
   AppendRequest,
@@ -84,19 +84,19 @@
 export interface ReplicaParts {
   readonly box: string;
   /** A new unique identifier, used in the replica id if the disk is empty. */
-  readonly incarnation: string;
+  readonly incarnationId: string;
   readonly clock: Clock;
   readonly disk: Disk;
   readonly link: LogLink;
-  readonly machine: Machine;
+  readonly stateMachine: StateMachine;
   readonly random: Random;
   readonly timing: ReplicaTiming;
   /** Number of applied entries between two snapshots. */
-  readonly snapshotEvery?: number;
+  readonly snapshotIntervalEntries?: number;
   /** Maximum number of voters. Further replicas remain learners. */
   readonly maxVoters?: number | undefined;
   /** Called after a change of role or leader. */
-  readonly onRole?: (role: Role, term: number, leader?: string) => void;
+  readonly onRoleChange?: (role: Role, term: number, leader?: string) => void;
   /** Bugs to inject, so that the fuzzer can check that it detects them. */
   readonly breakage?: ReplicaBreakage;
 }
@@ -169,7 +169,7 @@
   ) {
     const {snapshot, entries} = stored;
     this.id =
-      stored.state?.replica ?? replicaIdOf(parts.box, parts.incarnation);
+      stored.state?.replica ?? replicaIdOf(parts.box, parts.incarnationId);
     this.term = stored.state?.term ?? 0;
     this.votedFor = stored.state?.votedFor ?? null;
     this.snapshot = snapshot;
@@ -186,7 +186,7 @@
     this.appliedIndex = this.commitIndex;
     this.lastContactAt = parts.clock.now();
     if (snapshot !== undefined) {
-      parts.machine.restore(snapshot.bytes);
+      parts.stateMachine.restore(snapshot.bytes);
     }
     this.refreshMembers();
   }
@@ -230,19 +230,19 @@
    * The box of the leader if it was in contact recently. Undefined if this
    * replica may be partitioned from the leader and its state may be stale.
    */
-  get heardLeaderBox(): string | undefined {
-    return this.leaderHeardForMs > 0 ? this.leaderBox : undefined;
+  get activeLeaderBox(): string | undefined {
+    return this.msUntilLeaderLost > 0 ? this.leaderBox : undefined;
   }
 
   /**
    * Milliseconds until the leader counts as lost if there is no further contact;
    * Infinity if this replica is the leader.
    */
-  get leaderHeardForMs(): number {
+  get msUntilLeaderLost(): number {
     const {clock, timing} = this.parts;
     const lostAt =
       this.lastContactAt +
-      LEADER_LOST_AFTER_ELECTION_TIMEOUTS * timing.electionMs;
+      LEADER_LOST_AFTER_ELECTION_TIMEOUTS * timing.electionTimeoutMs;
     return this.isLeader ? Infinity : Math.max(0, lostAt - clock.now());
   }
 
@@ -295,7 +295,7 @@
     if (this.role === ROLE.leader) {
       this.becomeFollower(this.term, undefined);
       this.lastContactAt =
-        this.parts.clock.now() + this.parts.timing.electionMs;
+        this.parts.clock.now() + this.parts.timing.electionTimeoutMs;
     }
   }
 
@@ -326,14 +326,14 @@
    * a member. A background task then asks to join again after a long loss of
    * contact, because the group may have removed this replica.
    */
-  async takePart(
+  async bootstrapOrJoin(
     boxes: () => readonly string[],
     mayBootstrap = true,
   ): Promise<void> {
-    while (!this.tasks.ended && !this.isMember()) {
+    while (!this.tasks.isAborted && !this.isMember()) {
       await tryBootstrapOrJoin(this.bootstrapParts(), boxes(), mayBootstrap);
       await this.parts.clock.sleep(
-        this.parts.timing.electionMs,
+        this.parts.timing.electionTimeoutMs,
         this.tasks.signal,
       );
     }
@@ -360,11 +360,12 @@
   ): Promise<void> {
     const {clock, timing} = this.parts;
     while (!signal.aborted) {
-      await clock.sleep(2 * timing.electionMs, signal);
+      await clock.sleep(2 * timing.electionTimeoutMs, signal);
       const msSinceContact = clock.now() - this.lastContactAt;
       if (
         !this.isLeader &&
-        msSinceContact > REJOIN_AFTER_ELECTION_TIMEOUTS * timing.electionMs
+        msSinceContact >
+          REJOIN_AFTER_ELECTION_TIMEOUTS * timing.electionTimeoutMs
       ) {
         await tryBootstrapOrJoin(this.bootstrapParts(), boxes(), false);
       }
@@ -394,11 +395,9 @@
   // Proposals
 
   private append(body: EntryBody): ResultAsync<unknown, ProposalFailure> {
-    if (this.tasks.ended) {
+    if (this.tasks.isAborted) {
       return new ResultAsync(
-        Promise.resolve(
-          err({kind: 'stopped', message: 'the replica is stopped'}),
-        ),
+        Promise.resolve(err({kind: 'stopped', message: 'the replica is stopped'})),
       );
     }
     if (this.role !== ROLE.leader) {
@@ -436,7 +435,7 @@
   private async runBarrier() {
     const startedAt = this.parts.clock.now();
     const {term} = this;
-    while (this.isLeader && this.term === term && !this.tasks.ended) {
+    while (this.isLeader && this.term === term && !this.tasks.isAborted) {
       const hasCommittedInTerm = this.log.termAt(this.commitIndex) === term;
       const isApplied = this.appliedIndex === this.commitIndex;
       if (
@@ -494,7 +493,10 @@
       if (!isFlushed) {
         // A leader that cannot write must not block the group.
         this.stepDown();
-        await this.parts.clock.sleep(this.parts.timing.heartbeatMs, signal);
+        await this.parts.clock.sleep(
+          this.parts.timing.heartbeatIntervalMs,
+          signal,
+        );
       }
       this.advanceCommit();
     }
@@ -526,7 +528,7 @@
   private applyEntry(entry: Entry): void {
     const value =
       entry.body.kind === 'record'
-        ? this.parts.machine.apply(entry.body.record, entry.index)
+        ? this.parts.stateMachine.apply(entry.body.record, entry.index)
         : undefined;
     this.appliedIndex = entry.index;
     const proposal = this.pendingProposals.get(entry.index);
@@ -542,7 +544,8 @@
   }
 
   private isSnapshotDue(): boolean {
-    const interval = this.parts.snapshotEvery ?? SNAPSHOT_INTERVAL_ENTRIES;
+    const interval =
+      this.parts.snapshotIntervalEntries ?? SNAPSHOT_INTERVAL_ENTRIES;
     return this.appliedIndex - (this.snapshot?.lastIndex ?? 0) >= interval;
   }
 
@@ -552,13 +555,13 @@
     if (lastTerm === undefined) {
       return;
     }
-    const bytes = this.parts.machine.snapshot();
+    const bytes = this.parts.stateMachine.snapshot();
     const members = this.membersAt(lastIndex);
     await this.flush();
     const snapshot = {bytes, lastIndex, lastTerm, members};
     const trailingEntries = Math.min(
       TRAILING_ENTRIES,
-      this.parts.snapshotEvery ?? TRAILING_ENTRIES,
+      this.parts.snapshotIntervalEntries ?? TRAILING_ENTRIES,
     );
     const compactThrough = Math.max(
       this.log.compactedIndex,
@@ -682,7 +685,7 @@
   private async runVoterReplacement(signal: AbortSignal): Promise<void> {
     const {clock, timing} = this.parts;
     while (!signal.aborted) {
-      await clock.sleep(timing.electionMs, signal);
+      await clock.sleep(timing.electionTimeoutMs, signal);
       if (this.isLeader && !signal.aborted) {
         await this.membersMutex.run(() => this.replaceUnresponsiveVoter());
       }
@@ -691,11 +694,11 @@
 
   private async replaceUnresponsiveVoter(): Promise<void> {
     const contactTimeoutMs =
-      REPLACE_AFTER_ELECTION_TIMEOUTS * this.parts.timing.electionMs;
+      REPLACE_AFTER_ELECTION_TIMEOUTS * this.parts.timing.electionTimeoutMs;
     const {learners, voters} = this.members;
     const caughtUpLearner = learners.find(
       (id) =>
-        this.msSinceContactWith(id) < this.parts.timing.electionMs &&
+        this.msSinceContactWith(id) < this.parts.timing.electionTimeoutMs &&
         this.commitIndex - (this.peers.get(id)?.matchIndex ?? 0) <=
           MAX_LEARNER_LAG_ENTRIES,
     );
@@ -726,10 +729,10 @@
     const lagEntries = (): number =>
       this.commitIndex - (this.peers.get(id)?.matchIndex ?? 0);
     const isReachable = (): boolean =>
-      this.msSinceContactWith(id) < 2 * this.parts.timing.electionMs;
+      this.msSinceContactWith(id) < 2 * this.parts.timing.electionTimeoutMs;
     while (
       this.isLeader &&
-      !this.tasks.ended &&
+      !this.tasks.isAborted &&
       isReachable() &&
       lagEntries() > MAX_LEARNER_LAG_ENTRIES
     ) {
@@ -753,16 +756,17 @@
     const {clock, random, timing} = this.parts;
     while (!signal.aborted) {
       if (this.isLeader) {
-        await clock.sleep(timing.heartbeatMs, signal);
+        await clock.sleep(timing.heartbeatIntervalMs, signal);
         this.checkQuorum();
         continue;
       }
       const timeoutMs = random.integer(
-        timing.electionMs,
-        2 * timing.electionMs,
+        timing.electionTimeoutMs,
+        2 * timing.electionTimeoutMs,
       );
       await clock.sleep(timeoutMs, signal);
-      const hasTimedOut = clock.now() - this.lastContactAt >= timing.electionMs;
+      const hasTimedOut =
+        clock.now() - this.lastContactAt >= timing.electionTimeoutMs;
       if (!signal.aborted && !this.isLeader && hasTimedOut && this.isVoter()) {
         await this.startElection();
       }
@@ -775,7 +779,7 @@
       this.parts.clock.now() - this.lastQuorumContactAt();
     if (
       this.isLeader &&
-      msSinceQuorumContact > 2 * this.parts.timing.electionMs
+      msSinceQuorumContact > 2 * this.parts.timing.electionTimeoutMs
     ) {
       this.becomeFollower(this.term, undefined);
     }
@@ -803,7 +807,7 @@
 
   private requestVotes(term: number, preVote: boolean): Promise<boolean> {
     return collectVotes({
-      callTimeoutMs: this.parts.timing.callMs,
+      callTimeoutMs: this.parts.timing.callTimeoutMs,
       link: this.parts.link,
       onReplyTerm: (replyTerm) => {
         if (replyTerm > this.term && !preVote) {
@@ -829,7 +833,7 @@
     }
     const {clock, timing} = this.parts;
     const hasRecentContact =
-      clock.now() - this.lastContactAt < timing.electionMs;
+      clock.now() - this.lastContactAt < timing.electionTimeoutMs;
     const hasLeader =
       this.isLeader || (this.leader !== undefined && hasRecentContact);
     if (request.term < this.term || hasLeader) {
@@ -876,7 +880,7 @@
     for (const peer of this.peers.values()) {
       peer.ackedAt = this.parts.clock.now();
     }
-    this.parts.onRole?.(ROLE.leader, term, this.parts.box);
+    this.parts.onRoleChange?.(ROLE.leader, term, this.parts.box);
   }
 
   private becomeFollower(term: number, leader: ReplicaId | undefined): void {
@@ -889,7 +893,7 @@
     this.logAppended.notify();
     this.progressMade.notify();
     if (hasChanged) {
-      this.parts.onRole?.(ROLE.follower, term, this.leaderBox);
+      this.parts.onRoleChange?.(ROLE.follower, term, this.leaderBox);
     }
   }
 
@@ -921,13 +925,13 @@
         peer.ackedAt = sentAt;
         this.progressMade.notify();
       } else {
-        await clock.sleep(timing.heartbeatMs / 2, signal);
+        await clock.sleep(timing.heartbeatIntervalMs / 2, signal);
       }
       if (isAcknowledged && peer.nextIndex > this.log.lastIndex) {
         await sleepUnlessNotified(
           clock,
           this.logAppended,
-          timing.heartbeatMs,
+          timing.heartbeatIntervalMs,
           signal,
         );
       }
@@ -959,7 +963,7 @@
     const result = await this.parts.link.call(
       peer.id,
       request,
-      this.parts.timing.callMs,
+      this.parts.timing.callTimeoutMs,
     );
     if (result.isErr()) {
       return false;
@@ -991,7 +995,7 @@
       'the log was compacted without a snapshot',
     );
     const isInstalled = await sendSnapshot({
-      callTimeoutMs: this.parts.timing.callMs,
+      callTimeoutMs: this.parts.timing.callTimeoutMs,
       checkReplyTerm: (replyTerm) => this.checkReplyTerm(replyTerm),
       from: this.id,
       isStillLeader: () => this.isReplicatingTo(peer, term),
@@ -1163,7 +1167,7 @@
     if (written.isErr()) {
       return false;
     }
-    this.parts.machine.restore(bytes);
+    this.parts.stateMachine.restore(bytes);
     this.snapshot = snapshot;
     this.log.reset(lastIndex, lastTerm);
     this.syncedIndex = lastIndex;
--- a/packages/puffinturn-log/src/__tests__/unit/Bootstrap.test.ts
+++ b/packages/puffinturn-log/src/__tests__/unit/Bootstrap.test.ts
@@ -68,7 +68,7 @@
     expect(await group.propose('y')).toBe(true);
     await group.clock.advance(3_000);
     for (const box of BOXES) {
-      expect(group.member(box).machine.records).toEqual(['x', 'y']);
+      expect(group.member(box).stateMachine.records).toEqual(['x', 'y']);
     }
     expect(voterBoxes(group)).toEqual(BOXES);
     await group.stopAll();
@@ -104,7 +104,7 @@
     expect(await group.propose('last')).toBe(true);
     await group.clock.advance(1_000);
     for (const box of SEEDS) {
-      expect(group.member(box).machine.records).toHaveLength(21);
+      expect(group.member(box).stateMachine.records).toHaveLength(21);
     }
     await group.stopAll();
   });
--- a/packages/puffinturn-log/src/__tests__/unit/FolderDisk.test.ts
+++ b/packages/puffinturn-log/src/__tests__/unit/FolderDisk.test.ts
@@ -21,33 +21,36 @@
   }
 }
 
-async function openReplica(folder: string, snapshotEvery = 1_000) {
+async function openReplica(folder: string, snapshotIntervalEntries = 1_000) {
   const clock = new ManualClock();
-  const machine = new ListMachine();
+  const stateMachine = new ListMachine();
   const disk = (await FolderDisk.open(folder))._unsafeUnwrap();
   disks.push(disk);
   const opened = await Replica.open({
     box: 'a',
     clock,
     disk,
-    incarnation: '1',
+    incarnationId: '1',
     link: new NoPeersLink(),
-    machine,
+    stateMachine,
     random: new Random(1),
-    snapshotEvery,
+    snapshotIntervalEntries,
     timing: DEFAULT_TIMING,
   });
-  return {clock, machine, opened};
+  return {clock, stateMachine, opened};
 }
 
-async function startLeader(folder: string, snapshotEvery?: number) {
-  const {clock, machine, opened} = await openReplica(folder, snapshotEvery);
+async function startLeader(folder: string, snapshotIntervalEntries?: number) {
+  const {clock, stateMachine, opened} = await openReplica(
+    folder,
+    snapshotIntervalEntries,
+  );
   const replica = opened._unsafeUnwrap();
-  void replica.takePart(() => ['a']);
+  void replica.bootstrapOrJoin(() => ['a']);
   while (!replica.isLeader) {
     await clock.advance(100);
   }
-  return {machine, replica};
+  return {stateMachine, replica};
 }
 
 const disks: FolderDisk[] = [];
@@ -71,7 +74,7 @@
     // The first replica is not disposed, as after kill -9.
     const second = await startLeader(folder);
     expect((await second.replica.barrier()).isOk()).toBe(true);
-    expect(second.machine.records).toHaveLength(20);
+    expect(second.stateMachine.records).toHaveLength(20);
     expect(second.replica.id).toBe(first.replica.id);
   });
 
@@ -82,7 +85,7 @@
     }
     const second = await startLeader(folder, 10);
     await second.replica.barrier();
-    expect(second.machine.records).toEqual(
+    expect(second.stateMachine.records).toEqual(
       Array.from({length: 35}, (_, record) => record),
     );
     const names = await readdir(folder);
@@ -98,7 +101,7 @@
     await appendFile(path, Buffer.from([9, 0, 0, 0, 1, 2]));
     const second = await startLeader(folder);
     await second.replica.barrier();
-    expect(second.machine.records).toEqual(['kept']);
+    expect(second.stateMachine.records).toEqual(['kept']);
     // An invalid frame before a valid one cannot result from a torn write.
     await appendFile(path, Buffer.from([2, 0, 0, 0, 0, 0, 0, 0, 7, 7]));
     await second.replica.propose('after');
--- a/packages/puffinturn-log/src/__tests__/unit/Replica.test.ts
+++ b/packages/puffinturn-log/src/__tests__/unit/Replica.test.ts
@@ -20,7 +20,7 @@
     expect(await group.propose('x')).toBe(true);
     await group.clock.advance(500);
     for (const box of BOXES) {
-      expect(group.member(box).machine.records).toEqual(['x']);
+      expect(group.member(box).stateMachine.records).toEqual(['x']);
     }
     await group.stopAll();
   });
@@ -32,7 +32,7 @@
     await group.stopAll();
     await group.startAll();
     await group.clock.advance(2_000);
-    expect(group.member(group.leader()).machine.records).toEqual(['x']);
+    expect(group.member(group.leader()).stateMachine.records).toEqual(['x']);
     await group.stopAll();
   });
 
@@ -49,7 +49,7 @@
     group.network.heal();
     await group.clock.advance(3_000);
     for (const box of BOXES) {
-      expect(group.member(box).machine.records).toEqual(['kept']);
+      expect(group.member(box).stateMachine.records).toEqual(['kept']);
     }
     await group.stopAll();
   });
@@ -59,7 +59,7 @@
     await group.startAll();
     const formerLeader = group.leader();
     for (const box of BOXES) {
-      group.network.cut(box, formerLeader);
+      group.network.dropMessages(box, formerLeader);
     }
     await group.clock.advance(4_000);
     expect(group.leader()).not.toBe(formerLeader);
@@ -98,7 +98,7 @@
     }
     await group.start(laggingBox);
     await group.clock.advance(3_000);
-    expect(group.member(laggingBox).machine.records).toHaveLength(90);
+    expect(group.member(laggingBox).stateMachine.records).toHaveLength(90);
     await group.stopAll();
   });
 
@@ -123,7 +123,7 @@
     group.kill(secondLostBox ?? '');
     expect(await group.propose('after')).toBe(true);
     await group.clock.advance(500);
-    expect(group.member(lostBox ?? '').machine.records).toHaveLength(31);
+    expect(group.member(lostBox ?? '').stateMachine.records).toHaveLength(31);
     await group.stopAll();
   });
 
@@ -141,7 +141,7 @@
       disk?.truncateTail(segment, count);
       await group.startAll();
       await group.clock.advance(2_000);
-      expect(group.member('a').machine.records).toEqual(['x', 'y']);
+      expect(group.member('a').stateMachine.records).toEqual(['x', 'y']);
       await group.stopAll();
     },
   );
--- a/packages/puffinturn-log/src/__tests__/utils/ReplicaFixture.ts
+++ b/packages/puffinturn-log/src/__tests__/utils/ReplicaFixture.ts
@@ -15,13 +15,13 @@
   boxOf,
   DEFAULT_TIMING,
   LogLink,
-  Machine,
   MemoryDisk,
   Replica,
+  StateMachine,
 } from '../../index';
 
 /** A state machine that lists the applied records. */
-export class ListMachine extends Machine {
+export class ListMachine extends StateMachine {
   records: unknown[] = [];
 
   override apply(record: unknown): unknown {
@@ -54,7 +54,7 @@
 /** A running replica with its state machine and tasks. */
 export interface RunningReplica {
   readonly replica: Replica;
-  readonly machine: ListMachine;
+  readonly stateMachine: ListMachine;
   readonly tasks: TaskGroup;
 }
 
@@ -68,7 +68,7 @@
 
   constructor(
     readonly boxes: readonly string[],
-    private readonly snapshotEvery = 1_000,
+    private readonly snapshotIntervalEntries = 1_000,
     private readonly breakage?: ReplicaBreakage,
     /** Boxes that every box knows when it starts; all boxes by default. */
     private readonly seeds: readonly string[] = boxes,
@@ -81,27 +81,27 @@
     const disk = this.disks.get(box) ?? new MemoryDisk();
     this.disks.set(box, disk);
     const link = this.network.connect(box);
-    const machine = new ListMachine();
+    const stateMachine = new ListMachine();
     this.incarnations += 1;
     const opened = await Replica.open({
       box,
       breakage: this.breakage,
       clock: this.clock,
       disk,
-      incarnation: String(this.incarnations),
+      incarnationId: String(this.incarnations),
       link: new NetworkLogLink(link),
-      machine,
+      stateMachine,
       maxVoters: this.maxVoters,
       random: new Random(100 + this.incarnations),
-      snapshotEvery: this.snapshotEvery,
+      snapshotIntervalEntries: this.snapshotIntervalEntries,
       timing: DEFAULT_TIMING,
     });
     invariant(opened.isOk(), 'the replica failed to open');
     const replica = opened.value;
     link.register('log', (body) => replica.handle(body as LogRequest));
     const tasks = new TaskGroup();
-    tasks.start(() => replica.takePart(() => this.seeds, mayBootstrap));
-    this.members.set(box, {machine, replica, tasks});
+    tasks.start(() => replica.bootstrapOrJoin(() => this.seeds, mayBootstrap));
+    this.members.set(box, {replica, stateMachine, tasks});
   }
 
   async startAll(): Promise<void> {
--- a/packages/puffinturn-log/src/index.ts
+++ b/packages/puffinturn-log/src/index.ts
@@ -6,12 +6,12 @@
  */
 
 /** The Raft log that the control boxes of a region replicate. */
-export type {DiskFailure, DiskFault} from './Disk';
+export type {DiskFailure, DiskFaults} from './Disk';
 export {Disk, FolderDisk, MemoryDisk} from './Disk';
 export type {ReplicaTiming} from './LogConstants';
 export {DEFAULT_TIMING} from './LogConstants';
 export type {LogLinkFailure} from './LogLink';
-export {LogLink, Machine} from './LogLink';
+export {LogLink, StateMachine} from './LogLink';
 export type {
   LogRequest,
   Members,
--- a/packages/puffinturn-membership/src/BoxMember.ts
+++ b/packages/puffinturn-membership/src/BoxMember.ts
@@ -22,8 +22,8 @@
   CrashUpdate,
   Heartbeat,
   HeartbeatReply,
+  InFlightCount,
   MemberReply,
-  UpstreamCount,
 } from './MemberMessages';
 import {MEMBER_SERVICE} from './MemberMessages';
 import {
@@ -44,10 +44,10 @@
 }
 
 /** A crash update for one heartbeat, with its acknowledgement callback. */
-export interface CrashTelling {
-  readonly news: CrashUpdate;
+export interface PendingCrashUpdate {
+  readonly update: CrashUpdate;
   /** Called after the leader has acknowledged the update. */
-  readonly taken: () => void;
+  readonly acknowledge: () => void;
 }
 
 /** Dependencies of a BoxMember. */
@@ -60,15 +60,15 @@
   readonly controlBoxes: readonly string[];
   readonly timeline: Timeline;
   /** Returns an incarnation identifier that this box has never used. */
-  readonly newIncarnation: () => string;
+  readonly createIncarnationId: () => string;
   /** Requests in flight from this box, per upstream. */
-  readonly inFlight: () => readonly UpstreamCount[];
+  readonly inFlight: () => readonly InFlightCount[];
   /** Upstreams that have announced to this box that they are shutting down. */
-  readonly leaving: () => readonly string[];
+  readonly drainingUpstreams: () => readonly string[];
   /** Returns the crash update for the next heartbeat. */
-  readonly crashes: () => CrashTelling;
+  readonly pendingCrashUpdate: () => PendingCrashUpdate;
   /** Called with each heartbeat reply, after the configuration is updated. */
-  readonly onNews: (reply: HeartbeatReply) => void;
+  readonly onHeartbeatReply: (reply: HeartbeatReply) => void;
 }
 
 /** Registers a box, sends its heartbeats and holds its configuration. */
@@ -92,7 +92,7 @@
   private readonly tasks = new TaskGroup();
 
   constructor(private readonly parts: BoxMemberParts) {
-    this.incarnation = parts.newIncarnation();
+    this.incarnation = parts.createIncarnationId();
     this.tasks.start((signal) => this.sendHeartbeats(signal));
   }
 
@@ -106,7 +106,7 @@
    * Sends a heartbeat now and returns whether the configuration has changed.
    * Concurrent callers share one heartbeat.
    */
-  async refresh(): Promise<boolean> {
+  async refreshConfig(): Promise<boolean> {
     const {index} = this.config;
     this.pendingRefresh ??= this.sendHeartbeat().finally(() => {
       this.pendingRefresh = undefined;
@@ -120,7 +120,7 @@
     const {clock} = this.parts;
     const deadline = clock.now() + timeoutMs;
     while (this.config.index < index && clock.now() < deadline) {
-      await this.refresh();
+      await this.refreshConfig();
       if (this.config.index < index) {
         await clock.sleep(HEARTBEAT_INTERVAL_MS / 10);
       }
@@ -174,7 +174,7 @@
       ...this.fencedIncarnations,
       {admissions, incarnation},
     ].slice(-MAX_FENCED_INCARNATIONS);
-    this.incarnation = this.parts.newIncarnation();
+    this.incarnation = this.parts.createIncarnationId();
     this.admissions = new OpenAdmissions();
   }
 
@@ -182,11 +182,11 @@
     const {clock, link, timeline} = this.parts;
     const sentAt = clock.now();
     const {incarnation} = this;
-    const crashes = this.parts.crashes();
+    const crashes = this.parts.pendingCrashUpdate();
     const result = await link.call(
       this.heartbeatTarget(),
       MEMBER_SERVICE,
-      this.createHeartbeat(crashes.news),
+      this.createHeartbeat(crashes.update),
       HEARTBEAT_TIMEOUT_MS,
     );
     const reply = result.isOk() ? (result.value as MemberReply) : undefined;
@@ -196,7 +196,7 @@
       return;
     }
     timeline.clock.observe(reply.stamp);
-    crashes.taken();
+    crashes.acknowledge();
     this.configLeaseEndsAt = Math.max(
       this.configLeaseEndsAt,
       sentAt + CONFIG_LEASE_MS,
@@ -208,7 +208,7 @@
   }
 
   private createHeartbeat(crashNews: CrashUpdate): Heartbeat {
-    const {box, inFlight, leaving, timeline} = this.parts;
+    const {box, inFlight, drainingUpstreams, timeline} = this.parts;
     return {
       box,
       configIndex: this.config.index,
@@ -221,7 +221,7 @@
       inFlight: inFlight(),
       incarnation: this.incarnation,
       kind: 'heartbeat',
-      leaving: leaving(),
+      leaving: drainingUpstreams(),
       stamp: timeline.clock.tick(),
       stopping: this.isStopping,
     };
@@ -236,7 +236,7 @@
     const previous = this.config;
     this.config = previous.withEntries(reply.entries, reply.configIndex);
     this.boxes = reply.boxes;
-    this.parts.onNews(reply);
+    this.parts.onHeartbeatReply(reply);
     if (this.config !== previous) {
       const detail = `index ${this.config.index}`;
       this.parts.timeline.note(EVENT_KIND.configChanged, {detail});
--- a/packages/puffinturn-membership/src/FleetConfig.ts
+++ b/packages/puffinturn-membership/src/FleetConfig.ts
@@ -19,7 +19,7 @@
 import {digestBytes, invariant} from 'shared';
 
 /** A pool or a plain service; requests to either are sent to upstreams. */
-export type Target =
+export type RequestTarget =
   | {readonly kind: 'pool'; readonly name: string; readonly spec: PoolSpec}
   | {
       readonly kind: 'service';
@@ -45,7 +45,7 @@
   static readonly empty = new FleetConfig(0, new Map(), createEmptyPolicySet());
 
   private readonly teamsByKeyDigest = new Map<string, Team>();
-  private readonly targets = new Map<string, Target>();
+  private readonly targets = new Map<string, RequestTarget>();
   private readonly drains: DrainSpec[] = [];
 
   private constructor(
@@ -82,12 +82,12 @@
   }
 
   /** Finds the team that owns a bearer key. */
-  teamOf(key: string): Team | undefined {
+  findTeamByKey(key: string): Team | undefined {
     return this.teamsByKeyDigest.get(digestBytes(key));
   }
 
   /** Finds a team by name. */
-  team(name: string): Team | undefined {
+  findTeam(name: string): Team | undefined {
     const declaration = this.findDeclaration('team', name);
     return declaration?.kind === 'team' && declaration.spec !== null
       ? {name, spec: declaration.spec}
@@ -95,18 +95,18 @@
   }
 
   /** Finds a pool or service by name. */
-  target(name: string): Target | undefined {
+  findTarget(name: string): RequestTarget | undefined {
     return this.targets.get(name);
   }
 
   /** The home region of a budget, which also stores its requests' idempotency keys. */
-  budgetHome(name: string): string | undefined {
+  budgetHomeRegion(name: string): string | undefined {
     const declaration = this.findDeclaration('budget', name);
     return declaration?.kind === 'budget' ? declaration.spec?.home : undefined;
   }
 
   /** All pools and services. */
-  allTargets(): Target[] {
+  allTargets(): RequestTarget[] {
     return [...this.targets.values()];
   }
 
--- a/packages/puffinturn-membership/src/HeartbeatMonitor.ts
+++ b/packages/puffinturn-membership/src/HeartbeatMonitor.ts
@@ -22,8 +22,8 @@
 import type {
   Heartbeat,
   HeartbeatReply,
+  InFlightCount,
   MemberReply,
-  UpstreamCount,
 } from './MemberMessages';
 import {MEMBER_SERVICE} from './MemberMessages';
 import {
@@ -39,7 +39,7 @@
   readonly replica: Replica;
   readonly timeline: Timeline;
   /** Whether the platform's list of machines, which lags, reports a box as gone. */
-  readonly isListedGone?: (box: string) => boolean;
+  readonly isGoneOnPlatform?: (box: string) => boolean;
 }
 
 interface MonitoredBox {
@@ -169,8 +169,8 @@
     };
   }
 
-  private inFlightOfOtherBoxes(box: string): UpstreamCount[] {
-    const totals = new Map<string, UpstreamCount>();
+  private inFlightOfOtherBoxes(box: string): InFlightCount[] {
+    const totals = new Map<string, InFlightCount>();
     for (const [sender, {lastHeartbeat}] of this.monitoredBoxes) {
       for (const item of sender === box
         ? []
@@ -217,11 +217,11 @@
   }
 
   private fenceSilentBoxes(): void {
-    const {clock, isListedGone, ledger, timeline} = this.parts;
+    const {clock, isGoneOnPlatform, ledger, timeline} = this.parts;
     const now = clock.now();
     for (const {box, incarnation} of ledger.boxes.all()) {
       const {failureDetector} = this.getOrCreateMonitoredBox(box, now);
-      const isReportedGone = isListedGone?.(box) === true;
+      const isReportedGone = isGoneOnPlatform?.(box) === true;
       const timeoutFactor = isReportedGone ? REPORTED_GONE_TIMEOUT_FACTOR : 1;
       if (
         failureDetector.sinceLastHeartbeatMs(now) >
--- a/packages/puffinturn-membership/src/MemberMessages.ts
+++ b/packages/puffinturn-membership/src/MemberMessages.ts
@@ -8,13 +8,13 @@
 /** Membership messages between boxes and the leader. */
 import type {DeclarationEntry} from 'puffinturn-ledger';
 import type {CrashReport, Quarantine} from 'puffinturn-quarantine';
-import type {Stamp} from 'puffinturn-timeline';
+import type {HybridTimestamp} from 'puffinturn-timeline';
 
 /** Name of the membership service on the link. */
 export const MEMBER_SERVICE = 'member';
 
 /** Requests in flight to one upstream. */
-export interface UpstreamCount {
+export interface InFlightCount {
   readonly pool: string;
   readonly upstream: string;
   readonly count: number;
@@ -46,12 +46,12 @@
   /** Fenced incarnations of the same process. */
   readonly former: readonly FormerIncarnation[];
   readonly stopping: boolean;
-  readonly inFlight: readonly UpstreamCount[];
+  readonly inFlight: readonly InFlightCount[];
   /** Upstreams that have announced to this box that they are shutting down. */
   readonly leaving: readonly string[];
   /** Missing in heartbeats of older versions. */
   readonly crashNews?: CrashUpdate | undefined;
-  readonly stamp: Stamp;
+  readonly stamp: HybridTimestamp;
 }
 
 /** Status of a box as sent to the other boxes. */
@@ -71,12 +71,12 @@
   readonly entries: readonly DeclarationEntry[];
   readonly boxes: readonly BoxStatus[];
   /** Total requests in flight from all other boxes, per upstream. */
-  readonly inFlight: readonly UpstreamCount[];
+  readonly inFlight: readonly InFlightCount[];
   /** Upstreams that any box has reported as shutting down. */
   readonly leaving: readonly string[];
   /** Requests to reject; missing in replies of older versions. */
   readonly quarantine?: Quarantine | undefined;
-  readonly stamp: Stamp;
+  readonly stamp: HybridTimestamp;
 }
 
 /** Reply of any control box to a heartbeat. */
--- a/packages/puffinturn-membership/src/OpenAdmissions.ts
+++ b/packages/puffinturn-membership/src/OpenAdmissions.ts
@@ -13,7 +13,7 @@
   private lastSerial = 0;
 
   /** Allocates the next serial and marks it as open. */
-  next(): number {
+  allocate(): number {
     this.lastSerial += 1;
     this.openSerials.add(this.lastSerial);
     return this.lastSerial;
--- a/packages/puffinturn-membership/src/__tests__/unit/Membership.test.ts
+++ b/packages/puffinturn-membership/src/__tests__/unit/Membership.test.ts
@@ -11,7 +11,7 @@
  */
 import fc from 'fast-check';
 import type {DeclarationEntry} from 'puffinturn-ledger';
-import {checkValue, DeclarationSchema} from 'puffinturn-settings';
+import {DeclarationSchema,validateValue} from 'puffinturn-settings';
 import {digestBytes} from 'shared';
 
 import {FailureDetector, FleetConfig, OpenAdmissions} from '../../index';
@@ -23,7 +23,7 @@
     number: index,
     spec: {on: isOn, target: {pool: 'p', upstream: 'u'}},
   };
-  const checked = checkValue(DeclarationSchema, value, 'test');
+  const checked = validateValue(DeclarationSchema, value, 'test');
   const declaration = checked._unsafeUnwrap();
   return {declaration, digest: '', index, operator: 'o', sequence: index};
 }
@@ -57,7 +57,7 @@
       sha256: digestBytes(name),
     }));
     const value = {kind: 'team', name: 't', number: 1, spec: {keys}};
-    const declaration = checkValue(
+    const declaration = validateValue(
       DeclarationSchema,
       value,
       'test',
@@ -70,9 +70,9 @@
       sequence: 1,
     };
     const config = FleetConfig.empty.withEntries([entry], 1);
-    expect(config.teamOf('old')?.name).toBe('t');
-    expect(config.teamOf('new')?.name).toBe('t');
-    expect(config.teamOf('none')).toBeUndefined();
+    expect(config.findTeamByKey('old')?.name).toBe('t');
+    expect(config.findTeamByKey('new')?.name).toBe('t');
+    expect(config.findTeamByKey('none')).toBeUndefined();
   });
 });
 
@@ -86,7 +86,7 @@
         let floor = 0;
         for (const closed of list) {
           if (closed === undefined) {
-            open.add(admissions.next());
+            open.add(admissions.allocate());
           } else {
             admissions.close(closed);
             open.delete(closed);
--- a/packages/puffinturn-membership/src/index.ts
+++ b/packages/puffinturn-membership/src/index.ts
@@ -6,10 +6,10 @@
  */
 
 /** Cluster membership: heartbeats, failure detection and the shared configuration. */
-export type {BoxMemberParts, CrashTelling} from './BoxMember';
+export type {BoxMemberParts, PendingCrashUpdate} from './BoxMember';
 export {BoxMember} from './BoxMember';
 export {FailureDetector} from './FailureDetector';
-export type {Target, Team} from './FleetConfig';
+export type {RequestTarget, Team} from './FleetConfig';
 export {FleetConfig} from './FleetConfig';
 export type {HeartbeatMonitorParts} from './HeartbeatMonitor';
 export {HeartbeatMonitor} from './HeartbeatMonitor';
@@ -17,7 +17,7 @@
   BoxStatus,
   CrashUpdate,
   HeartbeatReply,
-  UpstreamCount,
+  InFlightCount,
 } from './MemberMessages';
 export {CONFIG_LEASE_MS, HEARTBEAT_INTERVAL_MS} from './MembershipConstants';
 export {OpenAdmissions} from './OpenAdmissions';
--- a/packages/puffinturn-orders/src/OrderController.ts
+++ b/packages/puffinturn-orders/src/OrderController.ts
@@ -38,7 +38,7 @@
   readonly client: EngineClient;
   readonly timeline: Timeline;
   /** Time after which a former leader must have stepped down, in ms. */
-  readonly handoverMs: number;
+  readonly leaderHandoverDelayMs: number;
 }
 
 /** Loads and unloads models on engines while this replica is the leader. */
@@ -87,7 +87,7 @@
     const leaderForMs = clock.now() - this.leaderSince;
     if (
       orders === undefined ||
-      (!orders.checksFences && leaderForMs < this.parts.handoverMs)
+      (!orders.checksFences && leaderForMs < this.parts.leaderHandoverDelayMs)
     ) {
       return;
     }
--- a/packages/puffinturn-orders/src/__tests__/unit/Orders.test.ts
+++ b/packages/puffinturn-orders/src/__tests__/unit/Orders.test.ts
@@ -14,7 +14,7 @@
 import {Ledger} from 'puffinturn-ledger';
 import {DEFAULT_TIMING, LogLink, MemoryDisk, Replica} from 'puffinturn-log';
 import type {Declaration} from 'puffinturn-settings';
-import {checkValue, DeclarationSchema} from 'puffinturn-settings';
+import {DeclarationSchema,validateValue} from 'puffinturn-settings';
 import {Timeline} from 'puffinturn-timeline';
 import {ManualClock, Random} from 'shared';
 
@@ -139,7 +139,7 @@
       upstreams,
     },
   };
-  return checkValue(DeclarationSchema, value, 'test')._unsafeUnwrap();
+  return validateValue(DeclarationSchema, value, 'test')._unsafeUnwrap();
 }
 
 async function runController(checksFences: boolean) {
@@ -150,14 +150,14 @@
       box: 'c1',
       clock,
       disk: new MemoryDisk(),
-      incarnation: '1',
+      incarnationId: '1',
       link: new NoPeersLink(),
-      machine: ledger,
+      stateMachine: ledger,
       random: new Random(1),
       timing: DEFAULT_TIMING,
     })
   )._unsafeUnwrap();
-  void replica.takePart(() => ['c1']);
+  void replica.bootstrapOrJoin(() => ['c1']);
   await clock.advance(3_000);
   void replica.propose({
     at: 0,
@@ -171,7 +171,7 @@
   const controller = new OrderController({
     client,
     clock,
-    handoverMs: 7_000,
+    leaderHandoverDelayMs: 7_000,
     ledger,
     replica,
     timeline: new Timeline('c1', clock),
--- a/packages/puffinturn-permits/src/GranterSelector.ts
+++ b/packages/puffinturn-permits/src/GranterSelector.ts
@@ -10,7 +10,7 @@
  * boxes of its region. Boxes that know the same list of boxes select the same granters.
  */
 import {LRUCache} from 'lru-cache';
-import {hashOf, rendezvousWeight} from 'shared';
+import {hash32, rendezvousWeight} from 'shared';
 
 import {MAX_TRACKED_UPSTREAMS} from './PermitConstants';
 import type {RateLimitedUpstream} from './PermitMessages';
@@ -76,7 +76,7 @@
     if (peers !== this.peers) {
       this.peers = peers;
       this.boxes = [this.parts.self, ...peers].map(({box, hall}) => {
-        return {box, hall, hash: hashOf(box)};
+        return {box, hall, hash: hash32(box)};
       });
       this.cache.clear();
     }
@@ -87,7 +87,7 @@
   id: string,
   boxes: readonly RankedBox[],
 ): readonly string[] {
-  const key = hashOf(id);
+  const key = hash32(id);
   const weightOf = ({hash}: RankedBox): number => rendezvousWeight(hash, key);
   return [...boxes]
     .sort((a, b) => weightOf(b) - weightOf(a))
--- a/packages/puffinturn-permits/src/RateLimitTracker.ts
+++ b/packages/puffinturn-permits/src/RateLimitTracker.ts
@@ -7,7 +7,7 @@
 
 /** Tracks, on one box, the limit that one incarnation of an upstream declares. */
 import type {Clock} from 'shared';
-import {decimalOf} from 'shared';
+import {parseDecimal} from 'shared';
 
 import type {UpstreamRateLimit} from './UpstreamRateLimit';
 import {
@@ -46,7 +46,7 @@
    * removes the limit only if the response is not an error. An invalid header is ignored.
    */
   recordResponse({headerValue, sentAt, status}: LimitResponse): boolean {
-    const perSecond = decimalOf(headerValue);
+    const perSecond = parseDecimal(headerValue);
     const isInconclusive =
       headerValue === undefined
         ? status >= MIN_ERROR_STATUS
--- a/packages/puffinturn-policy/src/PolicySet.ts
+++ b/packages/puffinturn-policy/src/PolicySet.ts
@@ -12,8 +12,8 @@
   AllowRule,
   Declaration,
   PolicySpec,
-  Problem,
   RefuseRule,
+  ValidationProblem,
 } from 'puffinturn-settings';
 import type {Failure} from 'shared';
 
@@ -75,7 +75,7 @@
   /** Compiles the policies in `declarations`; skips deleted policies. */
   static compile(
     declarations: readonly Declaration[],
-  ): Result<PolicySet, Problem[]> {
+  ): Result<PolicySet, ValidationProblem[]> {
     const policies = declarations
       .filter((declaration) => declaration.kind === 'policy')
       .filter(({spec}) => spec !== null)
@@ -83,7 +83,7 @@
       .sort(
         (a, b) => a.spec.order - b.spec.order || (a.name < b.name ? -1 : 1),
       );
-    const problems: Problem[] = [];
+    const problems: ValidationProblem[] = [];
     const rules: CompiledRule[] = [];
     for (const {name, spec} of policies) {
       for (const [index, rule] of spec.rules.entries()) {
@@ -126,7 +126,7 @@
 export function checkPolicy(
   declaration: Declaration,
   file: string,
-): readonly Problem[] {
+): readonly ValidationProblem[] {
   return PolicySet.compile([declaration]).match(
     () => [],
     (problems) => problems.map((problem) => ({...problem, file})),
@@ -138,7 +138,7 @@
   constructor(
     private readonly policyName: string,
     private readonly ruleIndex: number,
-    private readonly problems: Problem[],
+    private readonly problems: ValidationProblem[],
   ) {}
 
   /** Compiles the expression of a field; adds a problem if it is invalid. */
--- a/packages/puffinturn-settings/src/ConfigurationFiles.ts
+++ b/packages/puffinturn-settings/src/ConfigurationFiles.ts
@@ -17,20 +17,20 @@
 import {DeclarationFileSchema} from './DeclarationSchema';
 import type {Settings, TlsSettings} from './SettingsSchema';
 import {SettingsSchema} from './SettingsSchema';
-import type {CheckFailure, Problem} from './Validation';
-import {checkFailure, checkValue, parseJson} from './Validation';
+import type {ValidationFailure, ValidationProblem} from './Validation';
+import {createValidationFailure, parseJson,validateValue} from './Validation';
 
 /** A declaration with the file that contains it. */
-export interface DeclarationFile {
+export interface LoadedDeclaration {
   readonly file: string;
   /** Whether the file sets the version number. */
-  readonly numbered: boolean;
+  readonly hasNumber: boolean;
   readonly declaration: Declaration;
 }
 
-function readText(file: string): ResultAsync<string, CheckFailure> {
+function readText(file: string): ResultAsync<string, ValidationFailure> {
   return ResultAsync.fromPromise(readFile(file, 'utf8'), (error) =>
-    checkFailure([
+    createValidationFailure([
       {file, found: describeError(error), path: '/', wanted: 'a readable file'},
     ]),
   );
@@ -39,10 +39,10 @@
 /** Reads a settings file; relative paths in it are resolved against its folder. */
 export function readSettings(
   file: string,
-): ResultAsync<Settings, CheckFailure> {
+): ResultAsync<Settings, ValidationFailure> {
   return readText(file)
     .andThen((text) => parseJson(text, file))
-    .andThen((value) => checkValue(SettingsSchema, value, file))
+    .andThen((value) => validateValue(SettingsSchema, value, file))
     .map((settings) => resolveFilePaths(settings, dirname(resolve(file))));
 }
 
@@ -72,19 +72,19 @@
 /** Reads all declarations in a folder, or in a single file, in order of file name. */
 export function readDeclarations(
   path: string,
-): ResultAsync<DeclarationFile[], CheckFailure> {
+): ResultAsync<LoadedDeclaration[], ValidationFailure> {
   return new ResultAsync(collectDeclarationFiles(path));
 }
 
 async function collectDeclarationFiles(
   path: string,
-): Promise<Result<DeclarationFile[], CheckFailure>> {
+): Promise<Result<LoadedDeclaration[], ValidationFailure>> {
   const paths = await listJsonFiles(path);
   if (paths.isErr()) {
     return err(paths.error);
   }
-  const problems: Problem[] = [];
-  const declarations: DeclarationFile[] = [];
+  const problems: ValidationProblem[] = [];
+  const declarations: LoadedDeclaration[] = [];
   for (const file of paths.value) {
     const result = await readDeclarationFile(file);
     if (result.isErr()) {
@@ -94,10 +94,12 @@
     }
   }
   problems.push(...findDuplicateNames(declarations));
-  return problems.length > 0 ? err(checkFailure(problems)) : ok(declarations);
+  return problems.length > 0
+    ? err(createValidationFailure(problems))
+    : ok(declarations);
 }
 
-function listJsonFiles(path: string): ResultAsync<string[], CheckFailure> {
+function listJsonFiles(path: string): ResultAsync<string[], ValidationFailure> {
   const listPaths = async (): Promise<string[]> => {
     if (!(await stat(path)).isDirectory()) {
       return [path];
@@ -109,7 +111,7 @@
       .map((name) => join(path, name));
   };
   return ResultAsync.fromPromise(listPaths(), (error) =>
-    checkFailure([
+    createValidationFailure([
       {
         file: path,
         found: describeError(error),
@@ -122,34 +124,34 @@
 
 function readDeclarationFile(
   file: string,
-): ResultAsync<DeclarationFile[], CheckFailure> {
+): ResultAsync<LoadedDeclaration[], ValidationFailure> {
   return readText(file)
     .andThen((text) => parseJson(text, file))
     .andThen((value) => {
       const items = Array.isArray(value) ? value : [value];
-      const problems: Problem[] = [];
-      const declarations: DeclarationFile[] = [];
+      const problems: ValidationProblem[] = [];
+      const declarations: LoadedDeclaration[] = [];
       for (const [index, item] of items.entries()) {
         const location = items.length > 1 ? `${file}[${index}]` : file;
-        const result = checkValue(DeclarationFileSchema, item, location);
+        const result = validateValue(DeclarationFileSchema, item, location);
         if (result.isErr()) {
           problems.push(...result.error.problems);
         } else {
-          const numbered = 'number' in item;
-          declarations.push({declaration: result.value, file, numbered});
+          const hasNumber = 'number' in item;
+          declarations.push({declaration: result.value, file, hasNumber});
         }
       }
       return problems.length > 0
-        ? err(checkFailure(problems))
+        ? err(createValidationFailure(problems))
         : ok(declarations);
     });
 }
 
 function findDuplicateNames(
-  declarationFiles: readonly DeclarationFile[],
-): Problem[] {
+  declarationFiles: readonly LoadedDeclaration[],
+): ValidationProblem[] {
   const fileById = new Map<string, string>();
-  const problems: Problem[] = [];
+  const problems: ValidationProblem[] = [];
   for (const {declaration, file} of declarationFiles) {
     const id = `${declaration.kind}/${declaration.name}`;
     const firstFile = fileById.get(id);
--- a/packages/puffinturn-settings/src/DeclarationSchema.ts
+++ b/packages/puffinturn-settings/src/DeclarationSchema.ts
@@ -31,7 +31,7 @@
   .regex(/^[0-9a-f]{64}$/, 'a SHA-256 in lower-case hexadecimal');
 
 /** Schema of an API key, of which only the digest is stored. */
-export const HashedKeySchema = z.strictObject({
+export const HashedApiKeySchema = z.strictObject({
   name: NameSchema,
   sha256: Sha256Schema,
 });
@@ -55,7 +55,7 @@
   );
 
 const TeamSpecSchema = z.strictObject({
-  keys: z.array(HashedKeySchema).max(20),
+  keys: z.array(HashedApiKeySchema).max(20),
   /** Weight in fair sharing between teams when a pool is overloaded. */
   weight: PositiveIntSchema.max(1_000).default(1),
 });
@@ -234,4 +234,4 @@
 /** A server that requests are forwarded to. */
 export type UpstreamSpec = z.output<typeof UpstreamSchema>;
 /** An API key, stored as its digest. */
-export type HashedKey = z.output<typeof HashedKeySchema>;
+export type HashedApiKey = z.output<typeof HashedApiKeySchema>;
--- a/packages/puffinturn-settings/src/Secrets.ts
+++ b/packages/puffinturn-settings/src/Secrets.ts
@@ -13,20 +13,22 @@
 import {err, ok, ResultAsync} from 'neverthrow';
 import {describeError, digestBytes} from 'shared';
 
-import type {HashedKey} from './DeclarationSchema';
-import type {CheckFailure} from './Validation';
-import {checkFailure} from './Validation';
+import type {HashedApiKey} from './DeclarationSchema';
+import type {ValidationFailure} from './Validation';
+import {createValidationFailure} from './Validation';
 
 /** File mode bits that grant access to users other than the owner. */
 const GROUP_AND_OTHER_MODE_BITS = 0o077;
 const MIN_SECRET_LENGTH = 32;
 
 function createSecretFailure(file: string, found: string, wanted: string) {
-  return checkFailure([{file, found, path: '/', wanted}]);
+  return createValidationFailure([{file, found, path: '/', wanted}]);
 }
 
 /** Reads a secret file; fails if users other than the owner have access to it. */
-export function readSecret(file: string): ResultAsync<Buffer, CheckFailure> {
+export function readSecret(
+  file: string,
+): ResultAsync<Buffer, ValidationFailure> {
   const read = Promise.all([stat(file), readFile(file)]);
   return ResultAsync.fromPromise(read, (error) =>
     createSecretFailure(file, describeError(error), 'a readable file'),
@@ -46,7 +48,7 @@
 /** Reads the secret key shared by all boxes of the fleet. */
 export function readFleetKey(
   file: string,
-): ResultAsync<KeyObject, CheckFailure> {
+): ResultAsync<KeyObject, ValidationFailure> {
   return readSecret(file).andThen((content) => {
     const text = content.toString('utf8').trim();
     return text.length < MIN_SECRET_LENGTH
@@ -62,12 +64,12 @@
 }
 
 /** Finds the stored key that matches `presented`; the comparison takes constant time. */
-export function findKey(
-  keys: readonly HashedKey[],
+export function findApiKey(
+  keys: readonly HashedApiKey[],
   presented: string,
-): HashedKey | undefined {
+): HashedApiKey | undefined {
   const digest = Buffer.from(digestBytes(presented), 'hex');
-  let match: HashedKey | undefined;
+  let match: HashedApiKey | undefined;
   for (const key of keys) {
     if (timingSafeEqual(digest, Buffer.from(key.sha256, 'hex'))) {
       match = key;
--- a/packages/puffinturn-settings/src/SettingsSchema.ts
+++ b/packages/puffinturn-settings/src/SettingsSchema.ts
@@ -8,7 +8,7 @@
 /** Schema of the settings file of a box. */
 import {z} from 'zod';
 
-import {HashedKeySchema, NameSchema} from './DeclarationSchema';
+import {HashedApiKeySchema, NameSchema} from './DeclarationSchema';
 
 const AddressSchema = z.strictObject({
   host: z.union([z.ipv4(), z.ipv6()]),
@@ -73,7 +73,7 @@
         level: z.enum(['debug', 'info', 'warn', 'error']).default('info'),
       })
       .prefault({}),
-    operators: ListenSchema.extend({keys: z.array(HashedKeySchema).min(1)}),
+    operators: ListenSchema.extend({keys: z.array(HashedApiKeySchema).min(1)}),
     /** URL of the platform's list of running and draining boxes. */
     platformList: z.url({protocol: /^https?$/}).optional(),
   })
--- a/packages/puffinturn-settings/src/Validation.ts
+++ b/packages/puffinturn-settings/src/Validation.ts
@@ -17,7 +17,7 @@
 const MAX_SHOWN_VALUE_LENGTH = 60;
 
 /** A value that violates the schema, or a file that cannot be read. */
-export interface Problem {
+export interface ValidationProblem {
   /** File name, or another name of the validated value. */
   readonly file: string;
   /** Path of the value in the file, such as `/a/0/b`; `/` is the whole file. */
@@ -29,12 +29,14 @@
 }
 
 /** Validation failed, or a file could not be read. */
-export interface CheckFailure extends Failure<'invalid'> {
-  readonly problems: readonly Problem[];
+export interface ValidationFailure extends Failure<'invalid'> {
+  readonly problems: readonly ValidationProblem[];
 }
 
 /** Creates a failure whose message has one line per problem. */
-export function checkFailure(problems: readonly Problem[]): CheckFailure {
+export function createValidationFailure(
+  problems: readonly ValidationProblem[],
+): ValidationFailure {
   const lines = problems.map(
     ({file, found, path, wanted}) =>
       `${file}: ${path}: found ${found}; wanted ${wanted}`,
@@ -60,11 +62,11 @@
 }
 
 /** Validates a parsed value against a schema. */
-export function checkValue<Schema extends z.ZodType>(
+export function validateValue<Schema extends z.ZodType>(
   schema: Schema,
   value: unknown,
   file: string,
-): Result<z.output<Schema>, CheckFailure> {
+): Result<z.output<Schema>, ValidationFailure> {
   const parsed = schema.safeParse(value);
   if (parsed.success) {
     return ok(parsed.data);
@@ -75,20 +77,22 @@
     path: `/${issue.path.map(String).join('/')}`,
     wanted: issue.message,
   }));
-  return err(checkFailure(problems));
+  return err(createValidationFailure(problems));
 }
 
 /** Parses JSON; `file` names the text in the failure. */
 export function parseJson(
   text: string,
   file: string,
-): Result<unknown, CheckFailure> {
+): Result<unknown, ValidationFailure> {
   try {
     return ok(JSON.parse(text));
   } catch (error) {
     const wanted = `JSON (${describeError(error)})`;
     return err(
-      checkFailure([{file, found: formatValue(text), path: '/', wanted}]),
+      createValidationFailure([
+        {file, found: formatValue(text), path: '/', wanted},
+      ]),
     );
   }
 }
--- a/packages/puffinturn-settings/src/__tests__/unit/Settings.test.ts
+++ b/packages/puffinturn-settings/src/__tests__/unit/Settings.test.ts
@@ -17,18 +17,18 @@
 import {digestBytes} from 'shared';
 
 import {
-  checkValue,
   DeclarationSchema,
-  findKey,
+  findApiKey,
   parseJson,
   readDeclarations,
   readFleetKey,
   SettingsSchema,
+  validateValue,
 } from '../../index';
 
 describe('declarations and settings', () => {
   test('a problem contains the file, the path, and the actual and expected value', () => {
-    const result = checkValue(
+    const result = validateValue(
       DeclarationSchema,
       {
         kind: 'budget',
@@ -50,14 +50,14 @@
   test('unknown fields are rejected', () => {
     const spec = {home: 'north', limit: 5, limmit: 6, team: 't'};
     const value = {kind: 'budget', name: 'b', number: 1, spec};
-    expect(checkValue(DeclarationSchema, value, 'f').isErr()).toBe(true);
+    expect(validateValue(DeclarationSchema, value, 'f').isErr()).toBe(true);
   });
 
   test('validation of any JSON value returns a value or problems and never throws', () => {
     fc.assert(
       fc.property(fc.jsonValue(), (value) => {
         for (const schema of [DeclarationSchema, SettingsSchema]) {
-          const result = checkValue(schema, value, 'f');
+          const result = validateValue(schema, value, 'f');
           expect(result.isOk() || result.error.problems.length > 0).toBe(true);
         }
       }),
@@ -106,8 +106,8 @@
       name,
       sha256: digestBytes(`secret-${name}`),
     }));
-    expect(findKey(keys, 'secret-old')?.name).toBe('old');
-    expect(findKey(keys, 'secret-new')?.name).toBe('new');
-    expect(findKey(keys, 'secret')).toBeUndefined();
+    expect(findApiKey(keys, 'secret-old')?.name).toBe('old');
+    expect(findApiKey(keys, 'secret-new')?.name).toBe('new');
+    expect(findApiKey(keys, 'secret')).toBeUndefined();
   });
 });
--- a/packages/puffinturn-settings/src/index.ts
+++ b/packages/puffinturn-settings/src/index.ts
@@ -6,7 +6,7 @@
  */
 
 /** Validated settings of a box and declarations of operators. */
-export type {DeclarationFile} from './ConfigurationFiles';
+export type {LoadedDeclaration} from './ConfigurationFiles';
 export {readDeclarations, readSettings} from './ConfigurationFiles';
 export type {
   AllowRule,
@@ -14,7 +14,7 @@
   Declaration,
   DeclarationKind,
   DrainSpec,
-  HashedKey,
+  HashedApiKey,
   PolicySpec,
   PoolSpec,
   RefuseRule,
@@ -23,8 +23,8 @@
   UpstreamSpec,
 } from './DeclarationSchema';
 export {DeclarationFileSchema, DeclarationSchema} from './DeclarationSchema';
-export {findKey, readFleetKey, readSecret} from './Secrets';
+export {findApiKey, readFleetKey, readSecret} from './Secrets';
 export type {FleetBox, Settings, TlsSettings} from './SettingsSchema';
 export {SettingsSchema} from './SettingsSchema';
-export type {CheckFailure, Problem} from './Validation';
-export {checkFailure, checkValue, parseJson} from './Validation';
+export type {ValidationFailure, ValidationProblem} from './Validation';
+export {createValidationFailure, parseJson,validateValue} from './Validation';
--- a/packages/puffinturn-stand-in/src/Engine.ts
+++ b/packages/puffinturn-stand-in/src/Engine.ts
@@ -86,9 +86,9 @@
 /** A fake model engine. */
 export class Engine extends StandInServer {
   /** Number of requests that entered a batch. */
-  started = 0;
+  startedRequests = 0;
   /** Total number of generated tokens. */
-  tokens = 0;
+  generatedTokens = 0;
   /** Total number of prompt tokens found in the prefix cache. */
   cachedTokens = 0;
   /** Total number of prompt tokens. */
@@ -127,14 +127,20 @@
   }
 
   private stats() {
-    const {cachedTokens, models, promptTokens, started, tokens} = this;
+    const {
+      cachedTokens,
+      models,
+      promptTokens,
+      startedRequests,
+      generatedTokens,
+    } = this;
     return {
       cachedTokens,
       models: [...models],
       promptTokens,
       running: this.running.length,
-      started,
-      tokens,
+      started: startedRequests,
+      tokens: generatedTokens,
       waiting: this.waiting.length,
     };
   }
@@ -249,7 +255,7 @@
       if (!next.isDisconnected) {
         this.startPrefill(next);
         this.running.push(next);
-        this.started += 1;
+        this.startedRequests += 1;
       }
     }
   }
@@ -293,7 +299,7 @@
     const token = `t${sequence.firstTokenIndex + sequence.generatedTokens} `;
     sequence.generatedTokens += 1;
     sequence.text += token;
-    this.tokens += 1;
+    this.generatedTokens += 1;
     if (sequence.generatedTokens > sequence.dropAfterTokens) {
       response.destroy();
       this.removeFromBatch(sequence);
--- a/packages/puffinturn-stand-in/src/PlainService.ts
+++ b/packages/puffinturn-stand-in/src/PlainService.ts
@@ -19,7 +19,7 @@
   }
 
   /** Total number of executions. */
-  get total(): number {
+  get totalExecutions(): number {
     return [...this.executions.values()].reduce((sum, count) => sum + count, 0);
   }
 
--- a/packages/puffinturn-timeline/src/HybridClock.ts
+++ b/packages/puffinturn-timeline/src/HybridLogicalClock.ts
@@ -9,13 +9,16 @@
 import type {Clock} from 'shared';
 
 /** A hybrid timestamp: wall time in ms, and a counter that orders equal times. */
-export interface Stamp {
+export interface HybridTimestamp {
   readonly wall: number;
   readonly count: number;
 }
 
 /** Compares two timestamps; negative if `a` is earlier. */
-export function compareStamps(a: Stamp, b: Stamp): number {
+export function compareTimestamps(
+  a: HybridTimestamp,
+  b: HybridTimestamp,
+): number {
   return a.wall - b.wall || a.count - b.count;
 }
 
@@ -23,13 +26,13 @@
  * A hybrid logical clock. Its timestamps are close to the wall time, and an event always
  * has a later timestamp than the events that caused it.
  */
-export class HybridClock {
-  private last: Stamp = {count: 0, wall: 0};
+export class HybridLogicalClock {
+  private last: HybridTimestamp = {count: 0, wall: 0};
 
   constructor(private readonly clock: Clock) {}
 
   /** Returns the timestamp of a new event of this process. */
-  tick(): Stamp {
+  tick(): HybridTimestamp {
     const wall = this.clock.wallTime();
     this.last =
       wall > this.last.wall
@@ -39,8 +42,8 @@
   }
 
   /** Advances the clock to a timestamp received from another process, if it is later. */
-  observe(stamp: Stamp): void {
-    if (compareStamps(stamp, this.last) > 0) {
+  observe(stamp: HybridTimestamp): void {
+    if (compareTimestamps(stamp, this.last) > 0) {
       this.last = stamp;
     }
   }
--- a/packages/puffinturn-timeline/src/Timeline.ts
+++ b/packages/puffinturn-timeline/src/Timeline.ts
@@ -8,8 +8,8 @@
 /** Keeps the typed events of one process in a ring buffer. */
 import type {Clock} from 'shared';
 
-import type {Stamp} from './HybridClock';
-import {HybridClock} from './HybridClock';
+import type {HybridTimestamp} from './HybridLogicalClock';
+import {HybridLogicalClock} from './HybridLogicalClock';
 
 /** Kinds of events. */
 export const EVENT_KIND = {
@@ -39,7 +39,7 @@
 export type EventKind = (typeof EVENT_KIND)[keyof typeof EVENT_KIND];
 
 /** Identifiers and details attached to an event. */
-export interface EventSubject {
+export interface EventAttributes {
   readonly request?: string;
   readonly budget?: string;
   readonly upstream?: string;
@@ -49,10 +49,10 @@
 }
 
 /** An event of one process. */
-export interface TimelineEvent extends EventSubject {
+export interface TimelineEvent extends EventAttributes {
   readonly box: string;
   readonly kind: EventKind;
-  readonly stamp: Stamp;
+  readonly stamp: HybridTimestamp;
 }
 
 /** Default maximum number of events kept by one process. */
@@ -61,7 +61,7 @@
 /** The events of one process; the oldest are overwritten when the buffer is full. */
 export class Timeline {
   /** Clock for the timestamps of events and messages. */
-  readonly clock: HybridClock;
+  readonly clock: HybridLogicalClock;
   private readonly ringBuffer: TimelineEvent[] = [];
   private recordedCount = 0;
 
@@ -70,11 +70,11 @@
     clock: Clock,
     private readonly capacity = DEFAULT_CAPACITY,
   ) {
-    this.clock = new HybridClock(clock);
+    this.clock = new HybridLogicalClock(clock);
   }
 
   /** Records an event with the current time. */
-  note(kind: EventKind, subject: EventSubject = {}): void {
+  note(kind: EventKind, subject: EventAttributes = {}): void {
     const event = {...subject, box: this.box, kind, stamp: this.clock.tick()};
     this.ringBuffer[this.recordedCount % this.capacity] = event;
     this.recordedCount += 1;
--- a/packages/puffinturn-timeline/src/Merge.ts
+++ b/packages/puffinturn-timeline/src/TimelineMerge.ts
@@ -6,7 +6,7 @@
  */
 
 /** Merges the timelines of several processes and formats their events. */
-import {compareStamps} from './HybridClock';
+import {compareTimestamps} from './HybridLogicalClock';
 import type {TimelineEvent} from './Timeline';
 
 /** Selects events; an undefined field matches all events. */
@@ -37,7 +37,7 @@
     .filter((event) => matchesFilter(event, filter))
     .sort(
       (a, b) =>
-        compareStamps(a.stamp, b.stamp) ||
+        compareTimestamps(a.stamp, b.stamp) ||
         (a.box < b.box ? -1 : a.box > b.box ? 1 : 0),
     );
 }
--- a/packages/puffinturn-timeline/src/__tests__/unit/Timeline.test.ts
+++ b/packages/puffinturn-timeline/src/__tests__/unit/Timeline.test.ts
@@ -10,29 +10,29 @@
 import {ManualClock} from 'shared';
 
 import {
-  compareStamps,
+  compareTimestamps,
   EVENT_KIND,
   formatEvent,
-  HybridClock,
+  HybridLogicalClock,
   mergeTimelines,
   Timeline,
   toChromeTrace,
 } from '../../index';
 
-describe('HybridClock', () => {
+describe('HybridLogicalClock', () => {
   test('a message has a send timestamp before its receive timestamp despite clock skew', () => {
     const messageLists = fc.array(fc.tuple(fc.nat(2), fc.nat(2), fc.nat(5)));
     fc.assert(
       fc.property(messageLists, (messages) => {
         // The wall clocks of the three processes differ by up to 50 s.
         const clocks = [0, 50_000, 1_000].map(
-          (epoch) => new HybridClock(new ManualClock(epoch)),
+          (epoch) => new HybridLogicalClock(new ManualClock(epoch)),
         );
         for (const [from, to] of messages) {
           const sentAt = clocks[from]?.tick() ?? {count: 0, wall: 0};
           clocks[to]?.observe(sentAt);
           const receivedAt = clocks[to]?.tick() ?? sentAt;
-          expect(compareStamps(sentAt, receivedAt)).toBeLessThan(0);
+          expect(compareTimestamps(sentAt, receivedAt)).toBeLessThan(0);
         }
       }),
       {seed: 1},
--- a/packages/puffinturn-timeline/src/index.ts
+++ b/packages/puffinturn-timeline/src/index.ts
@@ -6,9 +6,9 @@
  */
 
 /** A timeline of the events of all processes. */
-export type {Stamp} from './HybridClock';
-export {compareStamps, HybridClock} from './HybridClock';
-export type {TimelineFilter} from './Merge';
-export {formatEvent, mergeTimelines, toChromeTrace} from './Merge';
-export type {EventKind, EventSubject, TimelineEvent} from './Timeline';
+export type {HybridTimestamp} from './HybridLogicalClock';
+export {compareTimestamps, HybridLogicalClock} from './HybridLogicalClock';
+export type {EventAttributes, EventKind, TimelineEvent} from './Timeline';
 export {EVENT_KIND, Timeline} from './Timeline';
+export type {TimelineFilter} from './TimelineMerge';
+export {formatEvent, mergeTimelines, toChromeTrace} from './TimelineMerge';
--- a/packages/puffinturn-wire/src/Link.ts
+++ b/packages/puffinturn-wire/src/Link.ts
@@ -43,10 +43,10 @@
    * Closes the connections to all other boxes and fails the calls in flight on
    * them. The next call to a box reconnects.
    */
-  redial(): void {}
+  resetConnections(): void {}
 
   /** Bytes sent to each box since start; empty if the link does not count them. */
-  sentByPeer(): ReadonlyMap<string, number> {
+  bytesSentByPeer(): ReadonlyMap<string, number> {
     return new Map();
   }
 
--- a/packages/puffinturn-wire/src/MemoryNetwork.ts
+++ b/packages/puffinturn-wire/src/MemoryNetwork.ts
@@ -23,14 +23,14 @@
 
 /** Range of random message delays. */
 export interface DelayRange {
-  readonly lowMs: number;
-  readonly highMs: number;
+  readonly minMs: number;
+  readonly maxMs: number;
 }
 
 /** Connects the links of all boxes in a test. */
 export class MemoryNetwork {
   /** Each message gets a random delay in this range, so messages may be reordered. */
-  delay: DelayRange = {highMs: 2, lowMs: 1};
+  delayRange: DelayRange = {maxMs: 2, minMs: 1};
   private readonly links = new Map<string, MemoryLink>();
   private readonly blockedRoutes = new Set<string>();
   private readonly stalledRoutes = new Set<string>();
@@ -60,7 +60,7 @@
   }
 
   /** Drops messages in one direction until `heal`. */
-  cut(from: string, to: string): void {
+  dropMessages(from: string, to: string): void {
     this.blockedRoutes.add(`${from}>${to}`);
   }
 
@@ -68,8 +68,8 @@
   partition(left: readonly string[], right: readonly string[]): void {
     for (const leftBox of left) {
       for (const rightBox of right) {
-        this.cut(leftBox, rightBox);
-        this.cut(rightBox, leftBox);
+        this.dropMessages(leftBox, rightBox);
+        this.dropMessages(rightBox, leftBox);
       }
     }
   }
@@ -78,7 +78,7 @@
    * Delays messages in one direction until `heal`, even if the sender has since
    * disconnected. Simulates data in TCP send buffers during a partition.
    */
-  stall(from: string, to: string): void {
+  holdMessages(from: string, to: string): void {
     this.stalledRoutes.add(`${from}>${to}`);
   }
 
@@ -146,9 +146,9 @@
   }
 
   private async sleepForDelay(): Promise<void> {
-    const {highMs, lowMs} = this.delay;
+    const {maxMs, minMs} = this.delayRange;
     const fraction = this.random.fraction();
-    await this.clock.sleep(lowMs + fraction * (highMs - lowMs));
+    await this.clock.sleep(minMs + fraction * (maxMs - minMs));
   }
 
   private async deliver(from: string, to: string): Promise<boolean> {
--- a/packages/puffinturn-wire/src/TcpLink.ts
+++ b/packages/puffinturn-wire/src/TcpLink.ts
@@ -143,7 +143,7 @@
     return new Async(this.callPeer(box, service, body, timeoutMs));
   }
 
-  override sentByPeer(): ReadonlyMap<string, number> {
+  override bytesSentByPeer(): ReadonlyMap<string, number> {
     const sent = new Map(this.closedConnectionBytes);
     for (const connection of this.connections) {
       addBytesSent(sent, connection);
@@ -151,7 +151,7 @@
     return sent;
   }
 
-  override redial(): void {
+  override resetConnections(): void {
     for (const [box, connecting] of this.peerConnections) {
       void connecting.then(
         (peerConnection) =>
--- a/packages/puffinturn-wire/src/__tests__/unit/TcpLink.test.ts
+++ b/packages/puffinturn-wire/src/__tests__/unit/TcpLink.test.ts
@@ -85,13 +85,16 @@
     await using a = await openLink('a', addresses);
     const text = 'x'.repeat(10_000);
     await a.call('b', 'echo', text, 10_000);
-    for (const sent of [a.sentByPeer().get('b'), b.sentByPeer().get('a')]) {
+    for (const sent of [
+      a.bytesSentByPeer().get('b'),
+      b.bytesSentByPeer().get('a'),
+    ]) {
       expect(sent).toBeGreaterThan(10_000);
       expect(sent).toBeLessThan(11_000);
     }
-    const before = a.sentByPeer().get('b') ?? 0;
+    const before = a.bytesSentByPeer().get('b') ?? 0;
     await a[Symbol.asyncDispose]();
-    expect(a.sentByPeer().get('b')).toBe(before);
+    expect(a.bytesSentByPeer().get('b')).toBe(before);
   });
 
   test('reconnects after one call times out on a dead connection', async () => {
--- a/packages/shared/src/Decimal.ts
+++ b/packages/shared/src/Decimal.ts
@@ -11,7 +11,7 @@
 const DECIMAL_PATTERN = /^\d+(?:\.\d+)?$/;
 
 /** Parses a decimal header value; returns undefined if it is not a number. */
-export function decimalOf(value: string | undefined): number | undefined {
+export function parseDecimal(value: string | undefined): number | undefined {
   const text = value?.trim() ?? '';
   const number = Number(text);
   return DECIMAL_PATTERN.test(text) && Number.isFinite(number)
--- a/packages/shared/src/Hash.ts
+++ b/packages/shared/src/Hash.ts
@@ -9,6 +9,6 @@
 import {hash} from 'node:crypto';
 
 /** Returns a 32-bit hash of a text that is the same in every process. */
-export function hashOf(text: string): number {
+export function hash32(text: string): number {
   return hash('md5', text, 'buffer').readUInt32LE(0);
 }
--- a/packages/shared/src/Random.ts
+++ b/packages/shared/src/Random.ts
@@ -40,7 +40,7 @@
  * Selects an item by weight, given a random `fraction` in [0, 1). Returns
  * undefined if all weights are 0.
  */
-export function drawByWeight<Item>(
+export function selectByWeight<Item>(
   items: readonly Item[],
   weightOf: (item: Item) => number,
   fraction: number,
