--- a/packages/shared/src/RetryAfter.ts
+++ b/packages/shared/src/RetryAfter.ts
@@ -6,7 +6,7 @@
  */
 
 /** Parses `Retry-After` headers; only delays in seconds are supported, not dates. */
-import {decimalOf} from './Decimal';
+import {parseDecimal} from './Decimal';
 
 /** Maximum delay, ms; prevents a wrong header from excluding an upstream for good. */
 const MAX_RETRY_AFTER_MS = 3_600_000;
@@ -15,7 +15,7 @@
 const SERVICE_UNAVAILABLE = 503;
 
 /** Returns the delay of a 503 response with a valid `Retry-After`, ms. */
-export function restMsOf(
+export function unavailableRetryAfterMs(
   status: number,
   retryAfter: string | undefined,
 ): number | undefined {
@@ -28,7 +28,7 @@
 export function parseRetryAfterMs(
   value: string | undefined,
 ): number | undefined {
-  const seconds = decimalOf(value);
+  const seconds = parseDecimal(value);
   return seconds === undefined
     ? undefined
     : Math.min(MAX_RETRY_AFTER_MS, seconds * 1_000);
--- a/packages/shared/src/SuspensionWatch.ts
+++ b/packages/shared/src/SuspensionDetector.ts
@@ -20,7 +20,7 @@
 const MIN_SUSPENSION_MS = 1_000;
 
 /** Detects suspensions by comparing the wall clock with the monotonic clock. */
-export class SuspensionWatch implements AsyncDisposable {
+export class SuspensionDetector implements AsyncDisposable {
   private lastOffsetMs: number;
   private readonly tasks = new TaskGroup();
 
@@ -34,7 +34,7 @@
   }
 
   /** Checks for a suspension now; call it before relying on the age of state. */
-  look(): void {
+  check(): void {
     const offset = this.clockOffsetMs();
     const missedMs = offset - this.lastOffsetMs;
     this.lastOffsetMs = offset;
@@ -50,7 +50,7 @@
   private async checkPeriodically(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.clock.sleep(CHECK_INTERVAL_MS, signal);
-      this.look();
+      this.check();
     }
   }
 
--- a/packages/shared/src/Task.ts
+++ b/packages/shared/src/Task.ts
@@ -89,7 +89,7 @@
   }
 
   /** Whether the signal has been aborted. */
-  get ended(): boolean {
+  get isAborted(): boolean {
     return this.controller.signal.aborted;
   }
 
--- a/packages/shared/src/__tests__/unit/SuspensionWatch.test.ts
+++ b/packages/shared/src/__tests__/unit/SuspensionDetector.test.ts
@@ -7,17 +7,17 @@
 
 /** Guards against missed suspensions and false alarms on clock corrections. */
 import {ManualClock} from '../../Clock';
-import {SuspensionWatch} from '../../SuspensionWatch';
+import {SuspensionDetector} from '../../SuspensionDetector';
 
-describe('SuspensionWatch', () => {
+describe('SuspensionDetector', () => {
   let clock: ManualClock;
   let suspensions: number[];
-  let watch: SuspensionWatch;
+  let watch: SuspensionDetector;
 
   beforeEach(() => {
     clock = new ManualClock();
     suspensions = [];
-    watch = new SuspensionWatch(clock, (ms) => suspensions.push(ms));
+    watch = new SuspensionDetector(clock, (ms) => suspensions.push(ms));
   });
 
   afterEach(() => watch[Symbol.asyncDispose]());
@@ -36,8 +36,8 @@
 
   test('reports a suspension immediately on an explicit check', async () => {
     clock.suspend(2_000);
-    watch.look();
-    watch.look();
+    watch.check();
+    watch.check();
     expect(suspensions).toEqual([2_000]);
   });
 
--- a/packages/shared/src/index.ts
+++ b/packages/shared/src/index.ts
@@ -13,16 +13,16 @@
   settleTasks,
   SystemClock,
 } from './Clock';
-export {decimalOf} from './Decimal';
+export {parseDecimal} from './Decimal';
 export {digestBytes, digestValue} from './Digest';
 export type {Failure} from './Failure';
 export {describeError} from './Failure';
-export {hashOf} from './Hash';
+export {hash32} from './Hash';
 export {invariant, InvariantError} from './Invariant';
-export {drawByWeight, Random} from './Random';
+export {Random,selectByWeight} from './Random';
 export {rendezvousWeight} from './Rendezvous';
-export {restMsOf} from './RetryAfter';
-export {SuspensionWatch} from './SuspensionWatch';
+export {unavailableRetryAfterMs} from './RetryAfter';
+export {SuspensionDetector} from './SuspensionDetector';
 export {
   Condition,
   DisposableList,
--- a/scripts/quickstart.mjs
+++ b/scripts/quickstart.mjs
@@ -5,8 +5,12 @@
 import {mkdirSync, readFileSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
 
-import {Daemon, makeLog, waitReady} from 'puffinturn-daemon';
-import {checkValue, DeclarationSchema, readSettings} from 'puffinturn-settings';
+import {Daemon, createLogger, waitUntilReady} from 'puffinturn-daemon';
+import {
+  validateValue,
+  DeclarationSchema,
+  readSettings,
+} from 'puffinturn-settings';
 import {Engine, PlainService} from 'puffinturn-stand-in';
 import {digestBytes} from 'shared';
 import {request} from 'undici';
@@ -93,7 +97,7 @@
     );
     const number = (current?.declaration.number ?? 0) + 1;
     const body = unwrap(
-      checkValue(DeclarationSchema, {...declaration, number}, 'quickstart'),
+      validateValue(DeclarationSchema, {...declaration, number}, 'quickstart'),
     );
     const response = await request(`${baseUrl}/v1/declarations`, {
       body: JSON.stringify(body),
@@ -110,13 +114,13 @@
 const engines = [await new Engine().listen(), await new Engine().listen()];
 const service = await new PlainService().listen();
 const settings = unwrap(await readSettings(writeSettings()));
-const daemon = unwrap(await Daemon.start(settings, makeLog(settings)));
+const daemon = unwrap(await Daemon.start(settings, createLogger(settings)));
 const stopped = new Promise((resolve) => {
   process.once('SIGINT', resolve);
   process.once('SIGTERM', resolve);
 });
 await applyDeclarations(buildDeclarations(engines, service));
-unwrap(await waitReady(daemon, READY_TIMEOUT_MS));
+unwrap(await waitUntilReady(daemon, READY_TIMEOUT_MS));
 
 process.stdout.write(`
 puffinturn is ready: callers on 127.0.0.1:${CALLER_PORT}, operators on 127.0.0.1:${OPERATOR_PORT}
