--- a/packages/puffinturn-log/src/Replica.ts
+++ b/packages/puffinturn-log/src/Replica.ts
@@ -397,7 +397,7 @@
   private append(body: EntryBody): ResultAsync<unknown, ProposalFailure> {
     if (this.tasks.isAborted) {
       return new ResultAsync(
-        Promise.resolve(err({kind: 'stopped', message: 'the replica is stopped'})),
+        Promise.resolve(err({kind: 'stopped', message: 'stopped'})),
       );
     }
     if (this.role !== ROLE.leader) {
@@ -428,7 +428,7 @@
     return {
       kind: 'not-leader',
       leader: this.leaderBox,
-      message: `${this.parts.box} is not the leader`,
+      message: `${this.parts.box} does not lead`,
     };
   }
 
@@ -1181,6 +1181,6 @@
 function leadershipLostFailure(): Failure<'leadership-lost'> {
   return {
     kind: 'leadership-lost',
-    message: 'leadership was lost before the entry was applied',
+    message: 'another replica may lead now',
   };
 }
