--- a/packages/puffinturn-edge/src/NeighbourRecovery.ts
+++ b/packages/puffinturn-edge/src/NeighbourRecovery.ts
@@ -23,7 +23,7 @@
 import type {Clock} from 'shared';
 import {DisposableList, TaskGroup} from 'shared';
 
-/** Probe interval while the control plane is unreachable, ms; well below a restart. */
+/** Probe interval while the control plane is unreachable, ms; shorter than a restart. */
 const OUTAGE_PROBE_INTERVAL_MS = 500;
 
 /** Probe interval while the control plane is reachable, ms. */
--- a/packages/puffinturn-edge/src/__tests__/unit/Allowances.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/Allowances.test.ts
@@ -20,7 +20,9 @@
   TokenFleet,
 } from '../utils/TokenFleet';
 
-/** Stops, crashes and restarts edges at random while the core is unreachable. */
+/**
+ * Stops, crashes and restarts edges at random while the control plane is unreachable.
+ */
 async function runRestartEpisode(random: Random): Promise<void> {
   const randomBelow = (limit: number): number => random.integer(0, limit - 1);
   const pick = (names: readonly string[]): string =>
@@ -34,7 +36,7 @@
   fleet.network.partition(names, [CORE]);
   void edges.get('g1')?.reserve('t', 59_999);
   await fleet.clock.advance(4_000);
-  // Without grants from the core, the total can only shrink.
+  // Without grants from the control plane, the total can only shrink.
   const totalBefore = fleet.totalHeld;
   let lost = 0;
   for (let step = 0; step < 30; step += 1) {
@@ -345,7 +347,7 @@
     const totalHeld = heldTokens(edge) + heldTokens(other);
     const need = heldTokens(edge) + 100;
     const reservation = edge.reserve('t', need);
-    // The request arrives, but its answer is lost.
+    // The request arrives, but its reply is lost.
     await fleet.clock.advance(2);
     fleet.network.partition(['e'], ['f']);
     expect(await fleet.advanceUntilSettled(reservation)).toBe(
@@ -366,7 +368,7 @@
         random.integer(0, limit - 1);
       const prepaid = 60_000;
       const fleet = new TokenFleet(prepaid);
-      // Some delays exceed the timeouts, so that answers are lost.
+      // Some delays exceed the timeouts, so that replies are lost.
       fleet.network.delay = {highMs: 160, lowMs: 1};
       const names = ['g1', 'g2', 'g3', 'h1', 'h2'];
       const edges = await fleet.startAll(names);
@@ -401,7 +403,8 @@
       fleet.network.heal();
       await fleet.advanceUntilSettled(Promise.all(requests));
       await fleet.clock.advance(12_000);
-      // Tokens that are being returned to the core are briefly missing from the sum.
+      // Tokens that are being returned to the control plane are briefly missing from
+      // the sum.
       const sums: number[] = [];
       for (let count = 0; count < 20; count += 1) {
         sums.push(spent + fleet.totalHeld + fleet.coreRemaining);
--- a/packages/puffinturn-edge/src/__tests__/unit/ColdStarts.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ColdStarts.test.ts
@@ -93,7 +93,7 @@
     this.hotPrompt = this.findHotPrompt();
   }
 
-  /** Turns the upstreams of one hall cold, which each edge learns after a random delay. */
+  /** Turns the upstreams of one hall cold; edges are notified after random delays. */
   async run(): Promise<void> {
     await this.clock.advance(10_000);
     const coldUntil = this.clock.now() + COLD_START.durationMs;
@@ -107,7 +107,7 @@
     );
     joined.forEach((edge) => this.turnCold(edge, coldUntil));
     this.edges.push(...joined);
-    // New edges know all others at once; the others learn of them after random delays.
+    // New edges have the full list of boxes; the others receive it after random delays.
     joined.forEach((edge) => (edge.peers = this.peersOf(edge)));
     for (const edge of this.edges) {
       void this.clock
--- a/packages/puffinturn-edge/src/__tests__/unit/NeighbourRecoveryInRegions.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/NeighbourRecoveryInRegions.test.ts
@@ -5,8 +5,8 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-// Guards against neighbours that greet across regions without need, and against a
-// region that cannot recover its state. Hall names alternate between the regions.
+// Guards against edges that probe other regions without need, and against a region
+// that cannot recover its state. Hall names alternate between the regions.
 import type {BoxRecord, EdgeState} from 'puffinturn-fleet';
 import {
   BOX_ROLE,
--- a/packages/puffinturn-edge/src/__tests__/unit/TokenPriority.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/TokenPriority.test.ts
@@ -6,7 +6,7 @@
  */
 
 /**
- * Guards against urgent requests being rejected in a core outage because less urgent
+ * Guards against rejecting urgent requests in a control plane outage because less urgent
  * ones used up the tokens held by the edges.
  */
 import {Random} from 'shared';
@@ -34,7 +34,9 @@
   readonly leastUrgent: RequestCounts;
 }
 
-/** Doubles the load in a core outage; a third of the requests is least urgent. */
+/**
+ * Doubles the load in a control plane outage; a third of the requests is least urgent.
+ */
 async function simulateOutage(
   seed: number,
   isPrioritized: boolean,
--- a/packages/puffinturn-edge/src/__tests__/unit/TokensAfterLoss.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/TokensAfterLoss.test.ts
@@ -181,7 +181,7 @@
       }
       await scenario.runUntil(SCENARIO_S, ALL_RESTARTED_S);
       await clock.advance(SERVICE_TIME_MS);
-      // Smaller balances on the edges must still be enough for core outages.
+      // Smaller balances on the edges must still cover control plane outages.
       expect(
         scenario.servedFraction(FIRST_OUTAGE_S, FIRST_OUTAGE_END_S),
       ).toBeGreaterThanOrEqual(0.95);
--- a/packages/puffinturn-edge/src/__tests__/unit/TokensInRegions.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/TokensInRegions.test.ts
@@ -150,7 +150,10 @@
     60_000,
   );
 
-  /** Cuts the link; the core is in the west. One way loses messages to the east. */
+  /**
+   * Cuts the link; the control plane is in the west. One way loses messages to the
+   * east.
+   */
   function cutLink({network}: TokenFleet, direction: string): void {
     if (direction === 'both ways') {
       network.partition(EAST, [CORE, ...WEST]);
--- a/packages/puffinturn-edge/src/__tests__/utils/LimitedFleet.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/LimitedFleet.ts
@@ -20,7 +20,7 @@
 /** Time from a request to its response, ms. */
 const RESPONSE_MS = 50;
 
-/** Time until the core has propagated a limit to all edges, ms. */
+/** Time until the control plane has propagated a limit to all edges, ms. */
 const PROPAGATION_MS = 100;
 
 /** Time after the first stated limit from which arrivals are checked, ms. */
@@ -54,7 +54,7 @@
   readonly seed: number;
   /** Whether all requests are sent through one edge. */
   readonly usesOneEdge?: boolean;
-  /** Whether a core propagates limits between edges. */
+  /** Whether a control plane propagates limits between edges. */
   readonly hasCore?: boolean;
 }
 
@@ -84,7 +84,7 @@
   readonly arrivals = new Map<string, Arrival[]>();
   served = 0;
   refused = 0;
-  /** Boxes in the list distributed by the core. */
+  /** Boxes in the list distributed by the control plane. */
   private boxRecords: readonly BoxRecord[];
   private readonly peerLists = new Map<string, readonly BoxRecord[]>();
   private readonly firstLimitAt = new Map<string, number>();
@@ -217,7 +217,7 @@
     }
   }
 
-  /** Propagates a limit to all edges through the core. */
+  /** Propagates a limit to all edges through the control plane. */
   private async propagateLimit({id, limits}: EdgeUpstream): Promise<void> {
     const {limit} = limits;
     if (this.options.hasCore === false) {
--- a/packages/puffinturn-edge/src/__tests__/utils/TokenFleet.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/TokenFleet.ts
@@ -24,16 +24,16 @@
 import {Allowances} from '../../index';
 import {makeConfiguration} from './EdgeFixture';
 
-/** Name of the box that runs the core. */
+/** Name of the box that runs the control plane. */
 export const CORE = 'c';
 
 /** Name of the only team. */
 export const TEAM = 't';
 
 /**
- * Test fixture: the token allowances of several edges and of the core, on an
- * in-memory network with a manual clock. Edges can be killed and restarted; the
- * state of the core is kept.
+ * Test fixture: the token allowances of several edges and of the control plane, on an
+ * in-memory network with a manual clock. Edges can be killed and restarted; the state
+ * of the control plane is kept.
  */
 export class TokenFleet {
   readonly clock = new ManualClock();
@@ -56,7 +56,7 @@
     this.startCore();
   }
 
-  /** Tokens that the core can still grant. */
+  /** Tokens that the control plane can still grant. */
   get coreRemaining(): number {
     return this.prepaid - this.machine.grantedTokens(TEAM);
   }
@@ -95,7 +95,7 @@
     }
   }
 
-  /** Connects the core, or reconnects it after a disconnect. */
+  /** Connects the control plane, or reconnects it after a disconnect. */
   startCore(): void {
     this.network
       .connect(CORE)
--- a/packages/puffinturn-edge/src/connections/Exchange.ts
+++ b/packages/puffinturn-edge/src/connections/Exchange.ts
@@ -29,7 +29,7 @@
 /** Outcome of an attempt. */
 export type ExchangeOutcome =
   | ResponseOutcome
-  /** The response says that the upstream did not run the request. */
+  /** The response states that the upstream did not run the request. */
   | {readonly kind: 'rejected'; readonly response: UpstreamResponse}
   /** The connection failed, so nothing was sent. */
   | {readonly kind: 'unsent'; readonly cause: string}
--- a/packages/puffinturn-edge/src/requests/RequestPlan.ts
+++ b/packages/puffinturn-edge/src/requests/RequestPlan.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** What a request is about: its route, team, service and tokens. */
+/** Resolves the route, team, service and tokens of a request before it is forwarded. */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
 import type {Route, Service, Team} from 'puffinturn-fleet';
--- a/packages/puffinturn-edge/src/requests/RequestQuarantine.ts
+++ b/packages/puffinturn-edge/src/requests/RequestQuarantine.ts
@@ -6,7 +6,7 @@
  */
 
 /**
- * Quarantines requests that crash upstreams. Crashes seen by this edge are reported
+ * Quarantines requests that crash upstreams. Crashes observed by this edge are reported
  * to the control boxes and retried until one of them accepts the report.
  */
 import type {DecisionLog} from 'puffinturn-decisions';
@@ -50,7 +50,7 @@
   readonly controlBoxes: () => readonly string[];
 }
 
-/** Quarantine state of this edge, and the reporter of crashes it has seen. */
+/** Quarantine state of this edge, and the reporter of crashes that it observed. */
 export class RequestQuarantine implements AsyncDisposable {
   private readonly localQuarantine: LocalQuarantine;
   private readonly crashDetector: CrashDetector<EdgeUpstream>;
@@ -74,7 +74,7 @@
     return this.adopted;
   }
 
-  /** Whether no request is quarantined or suspected, so that look-ups can be skipped. */
+  /** Whether no request is quarantined or suspected, so that lookups can be skipped. */
   get isEmpty(): boolean {
     return this.localQuarantine.isEmpty;
   }
--- a/packages/puffinturn-edge/src/rollouts/AttemptObserver.ts
+++ b/packages/puffinturn-edge/src/rollouts/AttemptObserver.ts
@@ -52,9 +52,9 @@
   readonly clock: Clock;
   readonly route: string;
   readonly version: string;
-  /** Whether the upstream runs the stable version, whose times set expectations. */
+  /** Whether the upstream runs the stable version, whose latency is the baseline. */
   readonly isStable: boolean;
-  /** Prompt tokens that the upstream reads before the first byte. */
+  /** Prompt tokens that the upstream processes before the first byte. */
   readonly promptTokens: number;
   /** Whether the upstream is cold; its times are then not compared. */
   readonly isCold: boolean;
--- a/packages/puffinturn-edge/src/rollouts/ExposureReporter.ts
+++ b/packages/puffinturn-edge/src/rollouts/ExposureReporter.ts
@@ -29,7 +29,7 @@
 /** Dependencies of an ExposureReporter. */
 export interface ExposureReporterParts {
   readonly box: string;
-  /** Identifies one run of this edge process. */
+  /** Identifies this incarnation of the edge; a restart changes it. */
   readonly incarnationId: string;
   readonly clock: Clock;
   readonly link: Link;
--- a/packages/puffinturn-edge/src/rollouts/ExposureTracker.ts
+++ b/packages/puffinturn-edge/src/rollouts/ExposureTracker.ts
@@ -24,7 +24,10 @@
 /** Consecutive bad responses of the new version after which this edge stops. */
 const MAX_CONSECUTIVE_BAD_RESPONSES = 6;
 
-/** Bad responses needed before their ratio counts, so that chance stops no good version. */
+/**
+ * Minimum number of bad responses before their ratio is checked, so that a few random
+ * failures don't stop a good version.
+ */
 const MIN_BAD_RESPONSES = 8;
 
 /** Ratio of bad responses allowed on top of the scaled ratio of the stable version. */
--- a/packages/puffinturn-edge/src/tokens/Allowances.ts
+++ b/packages/puffinturn-edge/src/tokens/Allowances.ts
@@ -37,7 +37,7 @@
   reserved: 'held',
   /** The remaining budget is too small for the request. */
   exhausted: 'exhausted',
-  /** Too few tokens were found, and not all boxes that may hold some answered. */
+  /** Too few tokens were found, and not all boxes that may hold some replied. */
   unavailable: 'unavailable',
 } as const;
 
@@ -49,7 +49,7 @@
 export interface AllowancesParts {
   readonly box: string;
   readonly hall: string;
-  /** Identifies this run of the edge process; a restart changes it. */
+  /** Identifies this incarnation of the edge; a restart changes it. */
   readonly incarnationId: string;
   readonly clock: Clock;
   readonly link: Link;
@@ -66,8 +66,8 @@
 const SURPLUS_CHECK_INTERVAL_MS = 4_000;
 
 /**
- * Edges of the hall that are asked before this one acts as the holder. The limit
- * keeps requests from waiting for every crashed edge of a large hall.
+ * Maximum number of edges of the hall that are asked before this one acts as the holder.
+ * Keeps requests from waiting for every crashed edge of a large hall.
  */
 const MAX_HOLDERS_ASKED = 2;
 
@@ -75,8 +75,8 @@
 const RESERVE_POLL_INTERVAL_MS = 40;
 
 /**
- * Fraction of the target balance that the least urgent requests may not use while
- * the core can't refill it.
+ * Fraction of the target balance that the least urgent requests may not use while the
+ * control plane can't refill it.
  */
 const URGENT_WITHHELD_FRACTION = 0.75;
 
@@ -94,11 +94,11 @@
  * The prepaid tokens that one edge holds for its teams. A request reserves its
  * maximum cost and settles the actual cost at its end.
  *
- * The core (the control boxes) grants tokens from the budgets of the teams. In each
- * hall one edge, the holder, keeps some seconds of a team's demand for all edges of
- * the hall, so that requests are still served while the core is unreachable. The
- * other edges borrow from the holder and give surplus back. Tokens held by an edge
- * are lost if it crashes, so the amount is kept small.
+ * The control plane grants tokens from the budgets of the teams. In each hall one edge,
+ * the holder, keeps tokens for some seconds of a team's demand on all edges of the
+ * hall, so that requests are still served while the control plane is unreachable. The
+ * other edges borrow from the holder and give surplus back. Tokens held by an edge are
+ * lost if it crashes, so the amount is kept small.
  */
 export class Allowances implements AsyncDisposable {
   private readonly accounts: TokenAccounts;
@@ -169,7 +169,8 @@
 
   /**
    * Reserves tokens; waits briefly for more if too few are free. The least urgent
-   * requests leave a fraction for others while the core can't refill the account.
+   * requests leave a fraction for others while the control plane can't refill the
+   * account.
    */
   async reserve(
     team: string,
@@ -197,9 +198,9 @@
   }
 
   /**
-   * Gives all free tokens away when this edge stops: its own to the holder of the
-   * hall, those held for the hall to the core, or to the next holder if the core is
-   * unreachable. Tokens that no one accepts are lost.
+   * Gives all free tokens away when this edge stops: its own to the holder of the hall,
+   * those held for the hall to the control plane, or to the next holder if the control
+   * plane is unreachable. Tokens that no one accepts are lost.
    */
   async close(): Promise<void> {
     this.isClosing = true;
@@ -239,7 +240,7 @@
     return outcome;
   }
 
-  /** Asks the holder of the hall; acts as the holder if none answers. */
+  /** Asks the holder of the hall; acts as the holder if none replies. */
   private async acquireFromHolders(
     claim: PendingClaim,
   ): Promise<ReserveOutcome> {
@@ -272,8 +273,8 @@
   }
 
   /**
-   * Fraction of the target balance that a claim must leave. It falls to 0 over the
-   * time that the balance should last. It is 0 while the core can grant another
+   * Fraction of the target balance that a claim must leave. It falls to 0 over the time
+   * that the balance should last. It is 0 while the control plane can grant another
    * target balance, and on an edge that isn't the holder.
    */
   private withheldFractionFor(
@@ -296,7 +297,7 @@
 
   /**
    * Borrows the tokens from other edges while the local ones are withheld and the
-   * core is unreachable.
+   * control plane is unreachable.
    */
   private async claimFromLenders({
     account,
@@ -313,7 +314,7 @@
     return isClaimed ? RESERVE_OUTCOME.reserved : RESERVE_OUTCOME.unavailable;
   }
 
-  /** Waits for a grant of the core and borrows from other edges. */
+  /** Waits for a grant of the control plane and borrows from other edges. */
   private async acquireFromCoreOrLenders(
     claim: PendingClaim,
   ): Promise<ReserveOutcome> {
@@ -367,7 +368,7 @@
       : RESERVE_OUTCOME.unavailable;
   }
 
-  /** Whether the missing tokens exceed what the core can still grant. */
+  /** Whether the missing tokens exceed what the control plane can still grant. */
   private exceedsCoreRemaining(account: TokenAccount, tokens: number): boolean {
     return (account.coreRemaining ?? 0) < tokens - account.free;
   }
--- a/packages/puffinturn-edge/src/tokens/CoreExchange.ts
+++ b/packages/puffinturn-edge/src/tokens/CoreExchange.ts
@@ -34,13 +34,15 @@
 /** Other edges report their spending above this fraction of the budget. */
 const REPORT_BUDGET_FRACTION = 0.01;
 
-/** Smallest surplus that is returned to the core, as a fraction of the budget. */
+/**
+ * Smallest surplus that is returned to the control plane, as a fraction of the budget.
+ */
 const MIN_RETURN_BUDGET_FRACTION = 0.002;
 
 /** Dependencies of {@link CoreExchange}. */
 export interface CoreExchangeParts {
   readonly box: string;
-  /** Identifies this run of the edge process; a restart changes it. */
+  /** Identifies this incarnation of the edge; a restart changes it. */
   readonly incarnationId: string;
   readonly clock: Clock;
   readonly link: Link;
@@ -51,9 +53,9 @@
 }
 
 /**
- * Exchanges tokens between one edge and the core: the control boxes, which grant
- * tokens from the budgets and count them as spent from then on. Each exchange has a
- * sequence number, so that one that is sent more than once is applied once.
+ * Exchanges tokens between one edge and the control plane, whose boxes grant tokens
+ * from the budgets and count them as spent from then on. Each exchange has a sequence
+ * number, so that one that is sent more than once is applied once.
  */
 export class CoreExchange {
   private readonly startedAt: number;
@@ -71,12 +73,15 @@
     this.lastAnswerAt = this.startedAt;
   }
 
-  /** Whether the core answered the last attempt. */
+  /** Whether the control plane replied to the last attempt. */
   get isCoreReachable(): boolean {
     return this.isReachable;
   }
 
-  /** Time since the last answer of an unreachable core, ms; 0 if it is reachable. */
+  /**
+   * Time since the last reply of an unreachable control plane, ms; 0 if it is
+   * reachable.
+   */
   get unreachableMs(): number {
     return this.isReachable ? 0 : this.parts.clock.now() - this.lastAnswerAt;
   }
@@ -86,7 +91,7 @@
     return this.sequence;
   }
 
-  /** Whether an exchange with a higher number was answered. */
+  /** Whether an exchange with a higher number got a reply. */
   hasAnsweredSince(afterSequence: number): boolean {
     return this.lastAnsweredSequence > afterSequence;
   }
@@ -230,7 +235,7 @@
     };
   }
 
-  /** Retries an exchange with the same sequence number until it is answered. */
+  /** Retries an exchange with the same sequence number until it gets a reply. */
   private async exchangeUntilAnswered(
     asks: readonly AllowanceAsk[],
     signal: AbortSignal,
--- a/packages/puffinturn-edge/src/tokens/TokenAccount.ts
+++ b/packages/puffinturn-edge/src/tokens/TokenAccount.ts
@@ -24,19 +24,21 @@
   /** Tokens charged since the edge started. */
   charged = 0;
   /**
-   * Tokens reserved since the last exchange with the core, minus those released
-   * unspent.
+   * Tokens reserved since the last exchange with the control plane, minus those
+   * released unspent.
    */
   unreportedSpent = 0;
-  /** Tokens lent minus tokens borrowed since the last exchange with the core. */
+  /**
+   * Tokens lent minus tokens borrowed since the last exchange with the control plane.
+   */
   unreportedLent = 0;
-  /** Tokens that the core could still grant at the last exchange. */
+  /** Tokens that the control plane could still grant at the last exchange. */
   coreRemaining: number | undefined;
-  /** Time of the answer to that exchange. */
+  /** Time of the reply to that exchange. */
   coreRemainingAt: number | undefined;
-  /** Limit of the core for the tokens held here, without the reserved ones. */
+  /** Limit of the control plane for the tokens held here, without the reserved ones. */
   maxHeld = Infinity;
-  /** Whether all free tokens must be returned to the core. */
+  /** Whether all free tokens must be returned to the control plane. */
   isRecalled = false;
   private readonly waitingRequests = new Set<{readonly tokens: number}>();
   /** Exponentially decaying rate of the tokens taken, per second. */
@@ -66,7 +68,7 @@
     return this.waitingRequests.size > 0 ? 0 : Math.max(0, this.free);
   }
 
-  /** Change of the balance that the core has not been told of. */
+  /** Change of the balance not yet reported to the control plane. */
   get unreportedTotal(): number {
     return this.unreportedSpent + this.unreportedLent;
   }
@@ -146,7 +148,7 @@
     return this.demandPerSecond / Math.max(MIN_MEASURED_FRACTION, fraction);
   }
 
-  /** Records that the core and all edges have too few tokens for a request. */
+  /** Records that the control plane and all edges have too few tokens for a request. */
   markExhausted(tokens: number, now: number): void {
     this.exhaustedUntil = now + EXHAUSTED_CACHE_MS;
     this.minExhaustedTokens = tokens;
--- a/packages/puffinturn-edge/src/tokens/TokenGifts.ts
+++ b/packages/puffinturn-edge/src/tokens/TokenGifts.ts
@@ -22,7 +22,7 @@
 /** Surplus is given above this multiple of the target balance. */
 const SURPLUS_THRESHOLD_RATIO = 1.5;
 
-/** Edges that are offered a gift, one after the other. */
+/** Maximum number of edges that are offered a gift, one after the other. */
 const MAX_RECEIVERS_TRIED = 4;
 
 /** Delay before an unanswered gift is sent again, ms. */
@@ -32,30 +32,30 @@
 const MAX_GIFT_ATTEMPTS = 15;
 
 /**
- * Givers whose last gift number is stored. It must exceed the number of givers
- * within the seconds in which a gift is retried.
+ * Maximum number of givers whose last gift number is stored. It must exceed the number
+ * of givers within the time for which a gift is retried.
  */
 const MAX_TRACKED_GIVERS = 10_000;
 
-/** Outcomes of a gift offered to one run of an edge. */
+/** Outcomes of a gift offered to one incarnation of an edge. */
 const OFFER_OUTCOME = {
   taken: 'taken',
   refused: 'refused',
   /** The receiver was restarted before any copy of the gift could arrive. */
   restarted: 'restarted',
-  /** No answer arrived; the gift may have been accepted. */
+  /** No reply arrived; the gift may have been accepted. */
   unknown: 'unknown',
 } as const;
 
 interface OfferResult {
   readonly outcome: (typeof OFFER_OUTCOME)[keyof typeof OFFER_OUTCOME];
-  /** The incarnation ID of the process that answered. */
+  /** The incarnation ID of the process that replied. */
   readonly receiver?: string | undefined;
 }
 
 /** Dependencies of {@link TokenGifts}. */
 export interface TokenGiftsParts {
-  /** Identifies this run of the edge process; a restart changes it. */
+  /** Identifies this incarnation of the edge; a restart changes it. */
   readonly incarnationId: string;
   readonly clock: Clock;
   readonly link: Link;
@@ -69,10 +69,10 @@
  * Gives tokens to other edges: surplus to the holders of the hall, and all free
  * tokens when this edge stops.
  *
- * Each gift has a number that grows per giver, and is retried until it is answered.
+ * Each gift has a number, increasing per giver, and is retried until it gets a reply.
  * Gifts to one edge are sent one at a time, so the receiver detects a retry by its
- * number. A gift is addressed to one run of the receiver, because a restarted
- * process can't know what the former one accepted and spent.
+ * number. A gift is addressed to one incarnation of the receiver, because a restarted
+ * process can't know what the previous one accepted and spent.
  */
 export class TokenGifts implements Disposable {
   private readonly lastNumberByGiver = new LRUCache<string, number>({
@@ -265,7 +265,7 @@
   if (receiver === expectedReceiver) {
     return {outcome: OFFER_OUTCOME.refused};
   }
-  // The former process may have accepted and spent an earlier copy. Keeping the gift
+  // The previous process may have accepted and spent an earlier copy. Keeping the gift
   // here would then count its tokens twice.
   return mayHaveArrived
     ? {outcome: OFFER_OUTCOME.unknown}
--- a/packages/puffinturn-edge/src/tokens/TokenHolders.ts
+++ b/packages/puffinturn-edge/src/tokens/TokenHolders.ts
@@ -10,7 +10,7 @@
 import type {Clock} from 'shared';
 import {hashOf, rendezvousWeight} from 'shared';
 
-/** Time for which an edge that did not answer is skipped, ms. */
+/** Time for which an edge that did not reply is skipped, ms. */
 const SUSPECT_TIMEOUT_MS = 1_500;
 
 interface Candidate {
@@ -19,10 +19,10 @@
 }
 
 /**
- * Selects the edge of each hall that holds a team's tokens, by rendezvous hashing
- * among the edges that answer. Edges with the same list of boxes agree on it; while
- * lists differ, any edge that has tokens can lend them. Halls of the own region are
- * listed first, because links between regions are slow.
+ * Selects the edge of each hall that holds a team's tokens, by rendezvous hashing among
+ * the edges that reply. Edges with the same list of boxes agree on it; while lists
+ * differ, any edge that has tokens can lend them. Halls of the own region are listed
+ * first, because links between regions are slow.
  */
 export class TokenHolders {
   private edgesByHall = new Map<string, Candidate[]>();
@@ -95,7 +95,7 @@
     return found !== undefined && this.isHallInOtherRegion(found.hall);
   }
 
-  /** Skips an edge that did not answer for the duration of the timeout. */
+  /** Skips an edge that did not reply for the duration of the timeout. */
   markSuspect(box: string): void {
     const now = this.clock.now();
     for (const [other, until] of this.suspectedUntil) {
--- a/packages/puffinturn-edge/src/tokens/TokenLoans.ts
+++ b/packages/puffinturn-edge/src/tokens/TokenLoans.ts
@@ -17,16 +17,16 @@
 import type {TokenAccounts} from './TokenAccounts';
 import type {TokenHolders} from './TokenHolders';
 
-/** Edges that are asked for tokens at the same time. */
+/** Maximum number of edges that are asked for tokens at the same time. */
 const MAX_CONCURRENT_LOANS = 3;
 
-/** Outcomes that a lender caches; enough for several seconds of loans. */
+/** Maximum number of outcomes that a lender caches: several seconds of loans. */
 const MAX_CACHED_OUTCOMES = 2_000;
 
 /** Delay before each request for the outcome of a loan, ms. */
 const OUTCOME_RETRY_INTERVAL_MS = 400;
 
-/** Requests for an outcome before the lender is considered dead. */
+/** Number of requests for an outcome before the lender is considered dead. */
 const MAX_OUTCOME_ATTEMPTS = 12;
 
 /** Options of a loan; see {@link BorrowRequest}. */
@@ -47,7 +47,7 @@
 
 /** Dependencies of {@link TokenLoans}. */
 export interface TokenLoansParts {
-  /** Identifies this run of the edge process; a restart changes it. */
+  /** Identifies this incarnation of the edge; a restart changes it. */
   readonly incarnationId: string;
   readonly clock: Clock;
   readonly link: Link;
@@ -57,10 +57,9 @@
 }
 
 /**
- * Loans of tokens between edges. Each loan has a number that is unique per
- * borrower. A loan whose answer is late may have been granted, so the borrower polls
- * its outcome. Only the borrower credits a loan, and only once: no token is lost or
- * counted twice.
+ * Loans of tokens between edges. Each loan has a number that is unique per borrower. A
+ * loan whose reply is late may have been granted, so the borrower polls its outcome.
+ * Only the borrower credits a loan, and only once: no token is lost or counted twice.
  */
 export class TokenLoans implements AsyncDisposable {
   private readonly outcomes = new LRUCache<string, Promise<BorrowReply>>({
@@ -78,8 +77,8 @@
   }
 
   /**
-   * Borrows missing tokens from one edge; returns undefined if it does not answer.
-   * With `gather`, that edge may ask the core and other edges first.
+   * Borrows missing tokens from one edge; returns undefined if it does not reply. With
+   * `gather`, that edge may ask the control plane and other edges first.
    */
   async borrowFrom(
     lender: string,
@@ -173,7 +172,7 @@
     await this.tasks[Symbol.asyncDispose]();
   }
 
-  /** Answers a repeated request with the outcome of the first one. */
+  /** Replies to a repeated request with the outcome of the first one. */
   private handleBorrow(request: BorrowRequest): Promise<BorrowReply> {
     const key = `${request.borrower} ${request.number}`;
     const cached = this.outcomes.get(key);
--- a/packages/puffinturn-edge/src/upstreams/UpstreamPool.ts
+++ b/packages/puffinturn-edge/src/upstreams/UpstreamPool.ts
@@ -141,8 +141,8 @@
 
   /**
    * Whether the upstream is the most recently added one that serves at its address. This
-   * avoids requests to an upstream that crashed and whose address was reused. If the order
-   * was wrong, the first rejected request marks the other one as replaced.
+   * avoids requests to a crashed upstream whose address was reused. If upstreams were
+   * added in the wrong order, the first rejected request marks the other as replaced.
    */
   private isLatestAtAddress(upstream: EdgeUpstream): boolean {
     const siblings = this.byAddress.get(upstream.record.address) ?? [];
--- a/packages/puffinturn-fleet/src/AllowanceLedger.ts
+++ b/packages/puffinturn-fleet/src/AllowanceLedger.ts
@@ -34,8 +34,8 @@
 const FAIR_SHARE_MULTIPLE = 1.5;
 
 /**
- * One ask gets at most this fraction of the tokens that holders may still take, unless
- * its waiting requests need more.
+ * Maximum grant per AllowanceAsk, as a fraction of the tokens that holders may still
+ * take. Tokens needed by waiting requests are granted beyond it.
  */
 const MAX_GRANT_FRACTION = 1 / 2;
 
--- a/packages/puffinturn-fleet/src/AnswerTotals.ts
+++ b/packages/puffinturn-fleet/src/AnswerTotals.ts
@@ -7,10 +7,12 @@
 
 import type {VersionTally} from './Rollouts';
 
-/** Answers of one version on one route, with a histogram of times as in VersionTally. */
+/**
+ * Responses of one version on one route, with a histogram of times as in VersionTally.
+ */
 export type AnswerCounts = Pick<VersionTally, 'answers' | 'failures' | 'times'>;
 
-/** Counts without any answers. */
+/** Counts without any responses. */
 export const NO_ANSWERS: AnswerCounts = {answers: 0, failures: 0, times: []};
 
 /** Mutable, to avoid allocations when many edges report many routes. */
@@ -22,7 +24,7 @@
   failures: number;
 }
 
-/** Sums the answers of all edges by route and version. */
+/** Sums the responses of all edges by route and version. */
 export class AnswerTotals {
   private readonly totals = new Map<string, Total>();
 
--- a/packages/puffinturn-fleet/src/BoxList.ts
+++ b/packages/puffinturn-fleet/src/BoxList.ts
@@ -14,7 +14,7 @@
  */
 const BOX_TIMEOUT_MS = 15_000;
 
-/** Most removed boxes that are still reported as gone; the oldest are dropped first. */
+/** Maximum number of removals kept for box changes; the oldest are dropped first. */
 const MAX_TOMBSTONES = 1_000;
 
 /** Difference between two revisions of a box list. */
--- a/packages/puffinturn-fleet/src/ExposureLedger.ts
+++ b/packages/puffinturn-fleet/src/ExposureLedger.ts
@@ -119,7 +119,7 @@
     return granted;
   }
 
-  /** Answers of all incarnations by route and version. */
+  /** Responses of all incarnations by route and version. */
   get tallies(): VersionTally[] {
     return this.answers.tallies;
   }
@@ -152,7 +152,8 @@
   }
 
   /**
-   * Ignores tallies with fewer answers than known: counts only grow, so they are older.
+   * Ignores tallies with fewer responses than known: counts only grow, so they are
+   * older.
    */
   private recordTallies(
     known: Map<string, VersionTally>,
--- a/packages/puffinturn-fleet/src/FleetControl.ts
+++ b/packages/puffinturn-fleet/src/FleetControl.ts
@@ -6,9 +6,10 @@
  */
 
 /**
- * Control plane of a fleet: accepts configuration changes and heartbeats, answers watch
- * requests, and grants token allowances through the replicated log. Any control box
- * accepts any call and forwards it to the leader where only the leader can handle it.
+ * Control plane of a fleet: accepts configuration changes and heartbeats, replies to
+ * watch requests, and grants token allowances through the replicated log. Any control
+ * box accepts any call and forwards it to the leader where only the leader can handle
+ * it.
  */
 import type {DecisionLog} from 'puffinturn-decisions';
 import type {Replica} from 'puffinturn-log';
--- a/packages/puffinturn-fleet/src/FleetMessages.ts
+++ b/packages/puffinturn-fleet/src/FleetMessages.ts
@@ -50,7 +50,7 @@
   readonly hall: string;
   /** The region of the hall; missing in records of older software versions. */
   readonly region?: string | undefined;
-  /** Identifies one run of the process. */
+  /** Identifies one incarnation of the process; a restart changes it. */
   readonly incarnation: string;
 }
 
--- a/packages/puffinturn-fleet/src/RolloutConstants.ts
+++ b/packages/puffinturn-fleet/src/RolloutConstants.ts
@@ -56,34 +56,34 @@
 /** Minimum duration of the canary phase, as a fraction of the rollout duration. */
 export const MIN_CANARY_FRACTION = 0.6;
 
-/** Fraction of the rollout duration after which fewer answers and slots suffice. */
+/** Fraction of the rollout duration after which fewer responses and slots suffice. */
 export const LATE_CANARY_FRACTION = 0.8;
 
 /**
- * Minimum answered fraction of the new version's requests, relative to the stable
- * version. Slow answers arrive late and would otherwise be missed.
+ * Minimum fraction of the new version's requests with a response, relative to the
+ * stable version. Slow responses arrive late and would otherwise be missed.
  */
 export const MIN_ANSWERED_RATIO = 0.6;
 
 /**
  * Fraction of the rollout duration after which the canary phase starts without a warm
- * upstream. Cold upstreams give slow answers, but waiting longer would leave no time.
+ * upstream. Cold upstreams give slow responses, but waiting longer would leave no time.
  */
 export const MAX_WARMUP_FRACTION = 0.25;
 
 /** Maximum number of routes in the record of a verdict, to limit its size. */
 export const MAX_REPORTED_ROUTES = 8;
 
-/** Minimum answers of the new version before the shift. */
+/** Minimum responses of the new version before the shift. */
 export const MIN_ANSWERS = 25;
 
-/** Minimum answers of the new version late in the canary phase, for low traffic. */
+/** Minimum responses of the new version late in the canary phase, for low traffic. */
 export const MIN_ANSWERS_LATE = 8;
 
-/** Minimum answers of the new version per main route before the shift. */
+/** Minimum responses of the new version per main route before the shift. */
 export const MIN_ANSWERS_PER_ROUTE = 8;
 
-/** Minimum fraction of a service's answers for a route to count as a main route. */
+/** Minimum fraction of a service's responses for a route to count as a main route. */
 export const MAIN_ROUTE_FRACTION = 0.05;
 
 /**
@@ -111,7 +111,7 @@
  */
 export const FORCED_SHIFT_BEFORE_DEADLINE_MS = 1_500;
 
-/** Latest start of the shift before the deadline, ms; edges need time to learn of it. */
+/** Latest start of the shift before the deadline, ms; edges must be notified first. */
 export const LATEST_SHIFT_BEFORE_DEADLINE_MS = 750;
 
 /**
@@ -149,24 +149,24 @@
 export const FAILURE_RATE_INCREASE = 0.1;
 
 /**
- * Lower limit of the baseline rate of slow answers; the new version starts with a cold
- * prompt cache.
+ * Lower limit of the baseline rate of slow responses; the new version starts with a
+ * cold prompt cache.
  */
 export const MIN_BASELINE_SLOW_RATE = 0.05;
 
-/** Increase over the baseline rate of slow answers that marks a bad version. */
+/** Increase over the baseline rate of slow responses that marks a bad version. */
 export const SLOW_RATE_INCREASE = 0.25;
 
-/** Factor on the observed baseline rate, because it is estimated from few answers. */
+/** Factor on the observed baseline rate, because it is estimated from few responses. */
 export const BASELINE_MARGIN = 1.5;
 
-/** Weight of the lower limit in the estimate of the baseline rate, in answers. */
+/** Weight of the lower limit in the estimate of the baseline rate, in responses. */
 export const PRIOR_ANSWERS = 50;
 
 /** Maximum raised rate that is tested; above it, good and bad versions look alike. */
 export const MAX_TESTABLE_RATE = 0.9;
 
-/** Minimum ratio of actual to expected time for a slow answer. */
+/** Minimum ratio of actual to expected time for a slow response. */
 export const MIN_SLOW_RATIO = 2;
 
 /** Number of recent steps from which the baseline rate is estimated. */
@@ -174,7 +174,7 @@
 
 /**
  * Log-likelihood ratio at which a version is bad. A version at the baseline rate
- * exceeds it less than once in 10,000 answers.
+ * exceeds it less than once in 10,000 responses.
  */
 export const BAD_THRESHOLD = Math.log(10_000);
 
--- a/packages/puffinturn-fleet/src/RolloutControl.ts
+++ b/packages/puffinturn-fleet/src/RolloutControl.ts
@@ -40,7 +40,7 @@
   /** Undefined if rollouts are disabled. */
   readonly exposure?: ExposureBound | undefined;
   readonly clock: Clock;
-  /** Notified of every state machine change that boxes must learn of. */
+  /** Notified of every state machine change that is sent to boxes. */
   readonly onChange: Condition;
   readonly leader: LeaderCalls;
   readonly link: Link;
--- a/packages/puffinturn-fleet/src/RolloutEvaluator.ts
+++ b/packages/puffinturn-fleet/src/RolloutEvaluator.ts
@@ -61,7 +61,7 @@
   }
 
   /**
-   * Compares the answers reported since the last call. Returns a verdict if there is
+   * Compares the responses reported since the last call. Returns a verdict if there is
    * one.
    */
   evaluate(input: EvaluationInput): RolloutVerdict | undefined {
@@ -104,7 +104,7 @@
     return hasWarmUpstream || elapsedMs >= MAX_WARMUP_FRACTION * durationMs;
   }
 
-  /** Answer counts for the record of a verdict. */
+  /** Response counts for the record of a verdict. */
   summarize(): VersionAnswers[] {
     return this.comparison.summarize();
   }
@@ -120,7 +120,7 @@
   }
 
   /**
-   * The fractions may be too high, as answers to requests from before the order are
+   * The fractions may be too high, as responses to requests from before the order are
    * included.
    */
   private answeredFractions() {
--- a/packages/puffinturn-fleet/src/RolloutRegistry.ts
+++ b/packages/puffinturn-fleet/src/RolloutRegistry.ts
@@ -63,7 +63,7 @@
   readonly cause: string;
   /** Time since the order, ms. */
   readonly elapsedMs: number;
-  /** Answer counts on which the verdict is based. */
+  /** Response counts on which the verdict is based. */
   readonly figures: readonly VersionAnswers[];
 }
 
@@ -139,7 +139,7 @@
   private cachedRollouts: Rollouts | undefined;
 
   /**
-   * `onChange` is called after every change that boxes must learn of; `isService` tells
+   * `onChange` is called after every change that is sent to boxes; `isService` returns
    * whether the configuration contains a service.
    */
   constructor(
--- a/packages/puffinturn-fleet/src/RolloutVerdict.ts
+++ b/packages/puffinturn-fleet/src/RolloutVerdict.ts
@@ -29,7 +29,7 @@
   noEvidence: 'no-evidence',
   /** The deadline was reached with too few ready upstreams of the new version. */
   noUpstreams: 'no-upstreams',
-  /** Enough answers, and the version is not suspect. */
+  /** Enough responses, and the version is not suspect. */
   good: 'good',
   /** The deadline was reached and the version is suspect. */
   suspect: 'suspect',
@@ -57,12 +57,12 @@
   readonly badCause: BadVersionCause | undefined;
   /** Whether the new version may be bad, but the evidence is not sufficient yet. */
   readonly isSuspect: boolean;
-  /** Answers of the new version. */
+  /** Responses of the new version. */
   readonly targetAnswers: number;
-  /** Fraction of each version's requests that have been answered. */
+  /** Fraction of each version's requests that have a response. */
   readonly targetAnsweredFraction: number;
   readonly stableAnsweredFraction: number;
-  /** Answers of the new version on the main route with the fewest of them. */
+  /** Responses of the new version on the main route with the fewest of them. */
   readonly minMainRouteAnswers: number;
   /** Whether the exposure bound covers all requests until the deadline. */
   readonly canExposeRemaining: boolean;
@@ -130,7 +130,7 @@
 }
 
 /**
- * Whether the shift may start. It must leave time for edges to learn of it, and the bound
+ * Whether the shift may start. It must leave time to notify all edges, and the bound
  * must cover all remaining requests unless the deadline forces the shift.
  */
 function canShiftNow(input: VerdictInput): boolean {
--- a/packages/puffinturn-fleet/src/Rollouts.ts
+++ b/packages/puffinturn-fleet/src/Rollouts.ts
@@ -61,18 +61,18 @@
   /** Additional requests beyond the share. */
   readonly extra: number;
   /**
-   * Time limit from the 50th bad answer of a version until it receives no more
+   * Time limit from the 50th bad response of a version until it receives no more
    * requests, ms. Verdicts come well within it, so no timer uses it.
    */
   readonly rollbackMs: number;
 }
 
-/** Answers of one version on one route, as counted by one edge. */
+/** Responses of one version on one route, as counted by one edge. */
 export interface VersionTally {
   readonly route: string;
   readonly version: string;
   readonly answers: number;
-  /** Failures caused by the upstream, including broken and lost answers. */
+  /** Failures caused by the upstream, including broken and lost responses. */
   readonly failures: number;
   /**
    * Histogram of the ratio of actual to expected time, with the buckets of
--- a/packages/puffinturn-fleet/src/SequentialTest.ts
+++ b/packages/puffinturn-fleet/src/SequentialTest.ts
@@ -20,7 +20,7 @@
   private cumulativeSum = 0;
   private isRaised = false;
 
-  /** Adds the answers of one step, of which `positives` count towards the rate. */
+  /** Adds the responses of one step, of which `positives` count towards the rate. */
   addSample(
     positives: number,
     answers: number,
--- a/packages/puffinturn-fleet/src/UpstreamTable.ts
+++ b/packages/puffinturn-fleet/src/UpstreamTable.ts
@@ -128,7 +128,7 @@
     return changed;
   }
 
-  /** Merges a received record; returns true if other boxes need to know the change. */
+  /** Merges a received record; returns true if other boxes must be notified. */
   merge(record: UpstreamRecord, now: number): boolean {
     const entry = this.entries.get(record.id);
     if (entry === undefined) {
--- a/packages/puffinturn-fleet/src/VersionComparison.ts
+++ b/packages/puffinturn-fleet/src/VersionComparison.ts
@@ -25,7 +25,7 @@
 import {TIME_RATIO_BOUNDS} from './Rollouts';
 import {SequentialTest} from './SequentialTest';
 
-/** Route name under which the answers of all routes are compared. */
+/** Route name under which the responses of all routes are compared. */
 export const ALL_ROUTES = '*';
 
 /** Why a version is bad. */
@@ -39,7 +39,7 @@
 class RouteComparison {
   private readonly failureTest = new SequentialTest();
   private readonly slowTest = new SequentialTest();
-  /** Newest steps in which the stable version had answers. */
+  /** Newest steps in which the stable version had responses. */
   private readonly recentStableSteps: AnswerCounts[] = [];
   private stable: AnswerCounts = NO_ANSWERS;
   private target: AnswerCounts = NO_ANSWERS;
@@ -65,17 +65,17 @@
     return this.failureTest.isRateSuspect || this.slowTest.isRateSuspect;
   }
 
-  /** Answers of the new version. */
+  /** Responses of the new version. */
   get targetAnswers(): number {
     return this.target.answers;
   }
 
-  /** Answers of the stable version. */
+  /** Responses of the stable version. */
   get stableAnswers(): number {
     return this.stable.answers;
   }
 
-  /** Answers of both versions. */
+  /** Responses of both versions. */
   get answers(): number {
     return this.stable.answers + this.target.answers;
   }
@@ -150,7 +150,8 @@
   }
 
   /**
-   * Returns the first histogram bucket above which the stable version has few answers.
+   * Returns the first histogram bucket above which the stable version has few
+   * responses.
    */
   private firstSlowBucket(): number | undefined {
     const firstCandidate = TIME_RATIO_BOUNDS.findIndex(
@@ -182,7 +183,7 @@
 /**
  * Compares the new version of a service with the stable one over the same period, for
  * each route and for all routes together. It compares failure rates and rates of slow
- * answers.
+ * responses.
  */
 export class VersionComparison {
   private readonly routes = new Map<string, RouteComparison>();
@@ -215,18 +216,18 @@
     return [...this.routes.values()].some(({isSuspect}) => isSuspect);
   }
 
-  /** Answers of the new version on all routes. */
+  /** Responses of the new version on all routes. */
   get targetAnswers(): number {
     return this.routes.get(ALL_ROUTES)?.targetAnswers ?? 0;
   }
 
-  /** Answers of the stable version on all routes. */
+  /** Responses of the stable version on all routes. */
   get stableAnswers(): number {
     return this.routes.get(ALL_ROUTES)?.stableAnswers ?? 0;
   }
 
   /**
-   * Returns the answers of the new version on the main route with the fewest of them.
+   * Returns the responses of the new version on the main route with the fewest of them.
    */
   minMainRouteAnswers(mainRouteFraction: number): number {
     const all = this.routes.get(ALL_ROUTES)?.answers ?? 0;
@@ -238,7 +239,7 @@
 
   /**
    * Returns the counts per route and version: routes with a bad version first, then by
-   * number of answers.
+   * number of responses.
    */
   summarize(): VersionAnswers[] {
     const routes = [...this.routes].sort(
--- a/packages/puffinturn-fleet/src/__tests__/unit/ExposureLedger.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/ExposureLedger.test.ts
@@ -34,6 +34,8 @@
   return {answers, failures: 0, route: 'r', times: [answers], version: 'v2'};
 }
 
+// Guards against granting more exposure than the bound allows, also if reports are
+// repeated, delayed or from earlier incarnations.
 describe('The exposure ledger', () => {
   test('counts duplicate and delayed reports once', () => {
     const ledger = new ExposureLedger(EXPOSURE_BOUND, EMPTY_BASELINE);
--- a/packages/puffinturn-fleet/src/__tests__/unit/FleetMachine.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/FleetMachine.test.ts
@@ -63,6 +63,8 @@
   return outcome.grants[0]?.granted ?? 0;
 }
 
+// Guards against granting more tokens than the budget, applying an exchange twice, and
+// losing state in a snapshot.
 describe('FleetMachine', () => {
   test('keeps the highest version and acknowledges lower ones', () => {
     const machine = machineWithBudget(100, 5);
--- a/packages/puffinturn-fleet/src/__tests__/unit/FleetPropagation.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/FleetPropagation.test.ts
@@ -238,6 +238,8 @@
   return delaysMs;
 }
 
+// Guards against acknowledged changes that don't reach every edge, or reach it late, and
+// against changes that are accepted without a quorum.
 describe('Fleet propagation', () => {
   test('accepts a change at any control box and sends it to edges without delay', async () => {
     const {clock, control, startWatch} = await startFleet();
--- a/packages/puffinturn-fleet/src/__tests__/unit/RolloutClock.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/RolloutClock.test.ts
@@ -45,6 +45,8 @@
   });
 }
 
+// Guards against rollouts that restart or exceed their time after a change of leader, a
+// restart or a change of the wall clock.
 describe('The rollout clock', () => {
   test('measures the time since the order, and returns undefined without one', async () => {
     const clock = new ManualClock();
--- a/packages/puffinturn-fleet/src/__tests__/unit/RolloutControl.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/RolloutControl.test.ts
@@ -56,6 +56,7 @@
   );
 }
 
+// Guards against completing a rollout to a bad version, and missing its deadline.
 describe('A rollout', () => {
   test('of a good version is completed before its deadline', async () => {
     const fleet = await startRollout();
@@ -206,6 +207,7 @@
   });
 });
 
+// Guards against orders that are lost, applied twice or accepted without a quorum.
 describe('An order', () => {
   test('is accepted by any control box, also if repeated during the rollout', async () => {
     const fleet = await startRollout();
@@ -280,6 +282,7 @@
   });
 });
 
+// Guards against taking a version that has just started to register for the stable one.
 describe('The stable version', () => {
   test('is that of most upstreams after they had time to register', async () => {
     const fleet = new RolloutFleet();
@@ -303,6 +306,7 @@
   });
 });
 
+// Guards against rollouts that stall or exceed the exposure bound with a new leader.
 describe('A rollout whose leader fails', () => {
   test('is completed soon if the leader fails at the start of the shift', async () => {
     const fleet = await startRollout();
@@ -425,6 +429,7 @@
   );
 });
 
+// Guards against delayed or repeated updates, and updates to boxes with older software.
 describe('Updates about rollouts', () => {
   async function callWatch(fleet: RolloutFleet, fields: Partial<WatchRequest>) {
     const request: WatchRequest = {
--- a/packages/puffinturn-fleet/src/__tests__/unit/RolloutRegistry.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/RolloutRegistry.test.ts
@@ -75,6 +75,8 @@
   return machine.getVersions('s')?.rollout?.state;
 }
 
+// Guards against replicas that disagree on a rollout, and against repeated or late
+// records that change its outcome.
 describe('The rollout registry', () => {
   test('keeps the first stable version', () => {
     const machine = createMachine();
--- a/packages/puffinturn-fleet/src/__tests__/unit/VersionComparison.test.ts
+++ b/packages/puffinturn-fleet/src/__tests__/unit/VersionComparison.test.ts
@@ -13,10 +13,10 @@
 
 // Guards against completing the rollout of a bad version and rolling back a good one.
 
-/** Rates of bad answers of a version. */
+/** Rates of bad responses of a version. */
 interface Rates {
   readonly failures: number;
-  /** Rate of answers that take about three times as long as expected. */
+  /** Rate of responses that take about three times as long as expected. */
   readonly slow: number;
 }
 
@@ -50,7 +50,7 @@
     private readonly random: Random,
   ) {}
 
-  /** Draws and counts an answer. Returns whether it is bad. */
+  /** Draws and counts a response. Returns whether it is bad. */
   recordAnswer({failures, slow}: Rates): boolean {
     const isFailed = this.random.fraction() < failures;
     const isSlow = this.random.fraction() < slow;
@@ -69,7 +69,7 @@
 
 interface Outcome {
   readonly isBad: boolean;
-  /** Bad answers of the new version until it was detected as bad. */
+  /** Bad responses of the new version until it was detected as bad. */
   readonly badAnswers: number;
 }
 
@@ -130,6 +130,8 @@
   );
 }
 
+// Guards against good versions that are detected as bad, and bad ones that are detected
+// late.
 describe('The comparison of versions', () => {
   test.each<[string, Partial<Scenario>]>([
     ['with the rates of the stable one', {target: NORMAL_RATES}],
--- a/packages/puffinturn-fleet/src/__tests__/utils/RolloutFleet.ts
+++ b/packages/puffinturn-fleet/src/__tests__/utils/RolloutFleet.ts
@@ -59,10 +59,10 @@
 /** Number of recent requests from which the load of a version is measured. */
 const LOAD_WINDOW_REQUESTS = 60;
 
-/** How one version answers on one route. */
+/** How one version responds on one route. */
 export interface Behaviour {
   readonly failureRate: number;
-  /** Fraction of answers that take three times the expected time. */
+  /** Fraction of responses that take three times the expected time. */
   readonly slowRate: number;
 }
 
@@ -73,13 +73,13 @@
   now: number,
 ) => Behaviour;
 
-/** Almost all answers are good. */
+/** Almost all responses are good. */
 export const GOOD: Behaviour = {failureRate: 0.005, slowRate: 0.01};
 
-/** Some answers fail. */
+/** Some responses fail. */
 export const FAILING: Behaviour = {failureRate: 0.4, slowRate: 0.01};
 
-/** Some answers take three times the expected time. */
+/** Some responses take three times the expected time. */
 export const SLOW: Behaviour = {failureRate: 0.005, slowRate: 0.6};
 
 interface ControlBox {
@@ -122,18 +122,18 @@
 /**
  * A simulated fleet for rollout tests: control boxes with disks that may lose unsynced
  * data, and edges that send requests to two versions of one service and report the
- * answers. Runs on a manual clock.
+ * responses. Runs on a manual clock.
  */
 export class RolloutFleet {
   readonly clock = new ManualClock();
   readonly network: MemoryNetwork;
   readonly logs = new Map<string, KeptDecisionLog>();
   readonly random = new Random(5);
-  /** Time until an answer arrives, ms. */
+  /** Time until a response arrives, ms. */
   answerDelayMs = 300;
   getBehaviour: GetBehaviour = () => GOOD;
   traffic: Traffic = {requestsPerSecond: 200, routes: [['r', 1]]};
-  /** Bad answers of the new version so far. */
+  /** Bad responses of the new version so far. */
   badAnswers = 0;
   /** Maximum of exposure minus bound during the canary phase. */
   maxOvershoot = -Infinity;
@@ -355,7 +355,7 @@
     return this.call(control, FLEET_SERVICE.watch, request);
   }
 
-  /** Advances the clock while edges send requests, receive answers and report. */
+  /** Advances the clock while edges send requests, receive responses and report. */
   async run(ms: number, stopAt?: () => boolean): Promise<void> {
     const until = this.clock.now() + ms;
     while (this.clock.now() < until && !(stopAt?.() ?? false)) {
--- a/packages/puffinturn-quarantine/src/CrashDetector.ts
+++ b/packages/puffinturn-quarantine/src/CrashDetector.ts
@@ -34,7 +34,7 @@
   readonly isSuperseded: boolean;
 }
 
-/** Dependencies of a CrashWatch. */
+/** Dependencies of a CrashDetector. */
 export interface CrashDetectorParts<Upstream extends WatchedUpstream> {
   readonly clock: Clock;
   /** Called for each detected crash. */
