--- a/packages/puffinturn-bench/src/BudgetsBench.ts
+++ b/packages/puffinturn-bench/src/BudgetsBench.ts
@@ -26,9 +26,9 @@
   readonly way: string;
   readonly asked: number;
   readonly served: number;
-  /** Rejected for the budget although a region had enough units left. */
+  /** Rejected for the budget although the unsettled units covered the price. */
   readonly falseRefusals: number;
-  /** Rejected for the budget when too few units were left. */
+  /** Rejected for the budget when the unsettled units did not cover the price. */
   readonly rightRefusals: number;
   /** Rejected or failed for another reason. */
   readonly otherRefusals: number;
--- a/packages/puffinturn-bench/src/FaultsBench.ts
+++ b/packages/puffinturn-bench/src/FaultsBench.ts
@@ -21,9 +21,9 @@
   readonly gapP50: number;
   readonly gapMax: number;
   readonly orders: number;
-  /** Orders rejected without execution although the budget had units left. */
+  /** Orders that were not executed, according to the response. */
   readonly refused: number;
-  /** Orders whose outcome the caller did not learn. */
+  /** Orders whose outcome the caller does not know. */
   readonly unknown: number;
   /** Orders executed more than once; must be 0. */
   readonly doubled: number;
--- a/packages/puffinturn-bench/src/RoutingExperiment.ts
+++ b/packages/puffinturn-bench/src/RoutingExperiment.ts
@@ -83,10 +83,13 @@
 export interface RoutingResult {
   readonly firstToken: ReturnType<LatencyHistogram['summary']>;
   readonly betweenTokens: ReturnType<LatencyHistogram['summary']>;
+  /** Requests of the workload. */
   readonly asked: number;
+  /** Completed responses. */
   readonly whole: number;
   /** Completed responses whose first token met the latency target. */
   readonly inTarget: number;
+  /** Requests that got no slot on an engine. */
   readonly refused: number;
   readonly failed: number;
   /** Share of prompt blocks found in the prefix caches. */
--- a/packages/puffinturn-cli/src/Limits.ts
+++ b/packages/puffinturn-cli/src/Limits.ts
@@ -15,11 +15,11 @@
   readonly perSecond: number;
   /** Time of the latest log line about the limit, in milliseconds since the epoch. */
   readonly time: number;
-  /** Names of the boxes that know of a limit, sorted. */
+  /** Names of the boxes that apply a limit, sorted. */
   readonly boxes: readonly string[];
 }
 
-/** A log line about the limit that a box knows. Without a rate there is no limit. */
+/** A log line about the rate limit that a box applies; without a rate there is none. */
 interface LimitLine extends LogLine {
   readonly upstream: string;
   readonly limitPerS?: number;
@@ -51,7 +51,7 @@
     .sort((a, b) => a.upstream.localeCompare(b.upstream));
 }
 
-/** Returns the latest limit of one upstream, or nothing if no box knows of one. */
+/** Returns the latest limit of one upstream; empty if no box applies one. */
 function latestLimit(lines: readonly LimitLine[]): UpstreamLimit[] {
   const limited = lines
     .filter((line) => requestRate(line) !== undefined)
--- a/packages/puffinturn-decisions/src/Decision.ts
+++ b/packages/puffinturn-decisions/src/Decision.ts
@@ -24,11 +24,11 @@
   readonly reserved: number;
   /** Edge that holds the team's tokens for this hall. */
   readonly holder: string;
-  /** Tokens that the core could still grant at this edge's last exchange with it. */
+  /** Tokens that the control plane could still grant at the last exchange with it. */
   readonly left: number | undefined;
   /** Time since that exchange. */
   readonly leftAgeMs: number | undefined;
-  /** Whether the core responded to the last attempted exchange. */
+  /** Whether the control plane replied in the last attempted exchange. */
   readonly coreAnswers: boolean;
 }
 
@@ -136,7 +136,7 @@
   readonly amount: number;
   readonly held: number;
   readonly reserved: number;
-  /** Tokens that the core could still grant at the last exchange with it. */
+  /** Tokens that the control plane could still grant at the last exchange with it. */
   readonly left: number | undefined;
   /** Incarnation of the other edge in a transfer between edges. */
   readonly peer?: string | undefined;
@@ -180,7 +180,7 @@
   readonly amount: number;
 }
 
-/** Tokens that the core has granted from a team's budget. */
+/** Tokens that the control plane has granted from a team's budget. */
 export interface TeamGrants {
   readonly team: string;
   readonly prepaid: number;
--- a/packages/puffinturn-fuzz/src/FakeUpstreams.ts
+++ b/packages/puffinturn-fuzz/src/FakeUpstreams.ts
@@ -30,7 +30,7 @@
   crash: 'crash',
   /** Executes the request and never responds. */
   hang: 'hang',
-  /** Rejects requests with a header that says that it is draining. */
+  /** Rejects requests with the header of a draining upstream. */
   leaving: 'leaving',
   /** Executes the request and announces a rate limit shared by all boxes. */
   limited: 'limited',
--- a/packages/puffinturn-gateway/src/Admission.ts
+++ b/packages/puffinturn-gateway/src/Admission.ts
@@ -85,7 +85,7 @@
       }
       const plan = planner();
       if (plan.isErr()) {
-        // Do not reject a request because of an outdated configuration.
+        // The configuration of this box may be outdated: plan again with a newer one.
         if (tryIndex === 0 && (await this.parts.member.refresh())) {
           continue;
         }
--- a/packages/puffinturn-gateway/src/AttemptRunner.ts
+++ b/packages/puffinturn-gateway/src/AttemptRunner.ts
@@ -569,7 +569,7 @@
     return this.fail(createFailure('outcome_unknown', message));
   }
 
-  /** Bills the usage of a response that nobody reads any more. */
+  /** Bills the usage so far; releases the attempt if no upstream can have run it. */
   private async closeAbandoned(): Promise<void> {
     if (this.mayHaveRun) {
       const charge = this.usage.computeCharge();
--- a/packages/puffinturn-gateway/src/AttemptSettler.ts
+++ b/packages/puffinturn-gateway/src/AttemptSettler.ts
@@ -44,7 +44,7 @@
 
   constructor(private readonly parts: AttemptSettlerParts) {}
 
-  /** Number of attempts being closed, without an outcome so far. */
+  /** Number of attempts whose settlement or release has no outcome yet. */
   get pendingCount(): number {
     return this.unresolvedCount;
   }
--- a/packages/puffinturn-gateway/src/Gateway.ts
+++ b/packages/puffinturn-gateway/src/Gateway.ts
@@ -63,7 +63,7 @@
 
 /** A response that may still be in progress. */
 export interface CallerResponse {
-  /** Identifies the request in logs and on the time line. */
+  /** Identifies the request in logs and on the timeline. */
   readonly requestId: string;
   readonly response: BufferedResponse;
 }
@@ -142,7 +142,7 @@
     this.isStopping = true;
   }
 
-  /** Handles one request; rejections are recorded on the time line. */
+  /** Handles one request; rejections are recorded on the timeline. */
   async handle(
     request: CallerRequest,
   ): Promise<Result<CallerResponse, GatewayFailure>> {
--- a/packages/puffinturn-gateway/src/GatewayMetrics.ts
+++ b/packages/puffinturn-gateway/src/GatewayMetrics.ts
@@ -77,7 +77,7 @@
     name: 'puffinturn_running_answers',
     registers: [this.registry],
   });
-  /** Attempts being closed, without an outcome so far. */
+  /** Attempts whose settlement or release has no outcome yet. */
   readonly unsettledAttempts = new Gauge({
     help: 'Attempts whose settlement has no outcome yet',
     name: 'puffinturn_unsettled_attempts',
--- a/packages/puffinturn-gateway/src/PoolRegistry.ts
+++ b/packages/puffinturn-gateway/src/PoolRegistry.ts
@@ -138,7 +138,7 @@
     this.updateLeaving();
   }
 
-  /** Applies the state of the other boxes from a heartbeat reply. */
+  /** Applies the box count, in-flight counts and leaving upstreams of a heartbeat reply. */
   applyHeartbeatReply(reply: HeartbeatReply): void {
     this.liveBoxes = Math.max(1, reply.boxes.length);
     this.leavingInFleet = new Set(reply.leaving);
--- a/packages/puffinturn-gateway/src/PromptTokenBound.ts
+++ b/packages/puffinturn-gateway/src/PromptTokenBound.ts
@@ -16,7 +16,7 @@
 /** The ratio of shorter prompts is not representative. */
 const MIN_PROMPT_BYTES = 200;
 
-/** Learns the ratio of bytes to tokens of one pool. */
+/** Estimates the ratio of bytes to tokens of one pool. */
 export class PromptTokenBound {
   private sampleCount = 0;
   private minBytesPerToken = Infinity;
--- a/packages/puffinturn-gateway/src/RequestForwarder.ts
+++ b/packages/puffinturn-gateway/src/RequestForwarder.ts
@@ -8,7 +8,7 @@
 /**
  * Forwards at-most-once requests to the home region of their budget, the only
  * one that stores their keys. The keys make it safe to send a request again.
- * If the region is unreachable, the request did not run or its outcome is unknown.
+ * If the region is unreachable, the outcome is unknown unless no call was sent.
  */
 import type {Result} from 'neverthrow';
 import {err, ok} from 'neverthrow';
--- a/packages/puffinturn-gateway/src/RequestQuarantine.ts
+++ b/packages/puffinturn-gateway/src/RequestQuarantine.ts
@@ -25,7 +25,7 @@
 import type {CallerRequest} from './RequestPlan';
 import type {UpstreamClient} from './UpstreamClient';
 
-/** Dependencies of CrashingRequests. */
+/** Dependencies of RequestQuarantine. */
 export interface RequestQuarantineParts {
   readonly box: string;
   readonly client: UpstreamClient;
--- a/packages/puffinturn-gateway/src/UpstreamCall.ts
+++ b/packages/puffinturn-gateway/src/UpstreamCall.ts
@@ -59,7 +59,7 @@
   readonly client: UpstreamClient;
   readonly clock: Clock;
   readonly onLeaving: (pool: string, upstream: string) => void;
-  /** Called when an upstream requests no further requests for this time. */
+  /** Called when an upstream asks with Retry-After for no requests during this time. */
   readonly onRetryAfter: (upstream: string, retryAfterMs: number) => void;
   /** Called when the rate limit announced by an upstream has changed. */
   readonly onRateLimitChange: (upstream: Upstream) => void;
--- a/packages/puffinturn-gateway/src/UpstreamClient.ts
+++ b/packages/puffinturn-gateway/src/UpstreamClient.ts
@@ -17,7 +17,7 @@
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string | Uint8Array | undefined;
-  /** Whether to use a new connection: a stale one would make the outcome unclear. */
+  /** Whether to use a new connection: if a reused one breaks, the outcome is unknown. */
   readonly useNewConnection: boolean;
   readonly signal: AbortSignal;
 }
--- a/packages/puffinturn-ledger/src/BudgetAccount.ts
+++ b/packages/puffinturn-ledger/src/BudgetAccount.ts
@@ -17,10 +17,13 @@
 export interface GrantTally {
   /** Number of the last grant. */
   grants: number;
-  /** Units of the last grant, returned when its request is repeated. */
+  /** Units of the last grant, for a repeated request of it. */
   lastGrant: number;
+  /** Units of all grants. */
   granted: number;
+  /** Number of the last return. */
   returns: number;
+  /** Units of all returns. */
   returned: number;
 }
 
@@ -34,10 +37,15 @@
   settled: number;
   reserved: number;
   regions: Record<string, GrantTally>;
+  /** Units of all grants received from the home region. */
   received: number;
+  /** Number of the last grant received. */
   receipts: number;
+  /** Units of all returns to the home region. */
   returned: number;
+  /** Number of the last return. */
   returns: number;
+  /** Units of the last return, sent again when it is repeated. */
   lastReturn: number;
 }
 
@@ -130,7 +138,7 @@
 
 /**
  * Grants up to `amount` units and returns the units granted. A repeated number
- * returns the last amount; any other unexpected number undefined.
+ * returns the last amount; any other unexpected number returns undefined.
  */
 export function issueGrant(
   budget: BudgetState,
--- a/packages/puffinturn-ledger/src/LedgerOutcomes.ts
+++ b/packages/puffinturn-ledger/src/LedgerOutcomes.ts
@@ -109,7 +109,7 @@
   /** The engine has an open order. */
   | {readonly kind: 'busy'; readonly open: OpenOrder};
 
-/** An order that was neither answered nor abandoned. */
+/** An order to an engine that is neither completed nor abandoned. */
 export interface OpenOrder {
   readonly upstream: string;
   readonly action: 'load' | 'unload';
--- a/packages/puffinturn-ledger/src/LedgerRecords.ts
+++ b/packages/puffinturn-ledger/src/LedgerRecords.ts
@@ -28,7 +28,7 @@
 /** One of REQUEST_STATE. */
 export type RequestState = (typeof REQUEST_STATE)[keyof typeof REQUEST_STATE];
 
-/** A response that is stored to answer retries of the request. */
+/** A response that is stored for retries of the request. */
 export interface StoredResponse {
   readonly status: number;
   readonly contentType: string;
@@ -207,7 +207,7 @@
   readonly at: number;
 }
 
-/** Closes an order that was answered or abandoned. */
+/** Closes an order that was completed or abandoned. */
 export interface OrderDoneRecord {
   readonly kind: 'order-done';
   readonly upstream: string;
--- a/packages/puffinturn-ledger/src/RequestTable.ts
+++ b/packages/puffinturn-ledger/src/RequestTable.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-/** The requests that a region knows, by team and key. */
+/** The requests of a region, by team and key. */
 import {EXPIRY_BUCKET_MS} from './LedgerConstants';
 import type {RequestState, StoredResponse} from './LedgerRecords';
 import {REQUEST_STATE} from './LedgerRecords';
--- a/packages/puffinturn-ledger/src/__tests__/unit/ControlClient.test.ts
+++ b/packages/puffinturn-ledger/src/__tests__/unit/ControlClient.test.ts
@@ -5,6 +5,10 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against losing records when a box cannot reach the leader, and against
+ * relays that forward them to the leader of another region.
+ */
 import {MemoryNetwork} from 'puffinturn-wire';
 import {ManualClock, Random} from 'shared';
 
@@ -29,8 +33,6 @@
 }
 
 describe('ControlClient', () => {
-  // Guards against losing records when a box cannot reach the leader, and against
-  // relays that forward them to the leader of another region.
   test('relays a record through another box to the leader of its own region', async () => {
     const {clock, createClient, network} = createFixture();
     const askedLeaders: string[] = [];
--- a/packages/puffinturn-ledger/src/__tests__/unit/Ledger.test.ts
+++ b/packages/puffinturn-ledger/src/__tests__/unit/Ledger.test.ts
@@ -5,6 +5,10 @@
  * LICENSE file in the root directory of this source tree.
  */
 
+/**
+ * Guards against double billing, overspent budgets, and replicas that diverge when
+ * records are repeated, delayed or restored from a snapshot.
+ */
 import fc from 'fast-check';
 import type {Declaration} from 'puffinturn-settings';
 
@@ -124,7 +128,7 @@
     expect(fixture.budget).toMatchObject({reserved: 0, settled: 7});
   });
 
-  // Guards against a delayed admission that nobody would settle.
+  // Guards against a delayed admission that no process would settle.
   test('an admission below the floor is refused', () => {
     const fixture = new Fixture();
     fixture.apply({
--- a/packages/puffinturn-log/src/LogConstants.ts
+++ b/packages/puffinturn-log/src/LogConstants.ts
@@ -31,7 +31,7 @@
 export const MAX_APPEND_ENTRIES = 2_000;
 
 /**
- * Maximum size of the entries in one append request, so that it arrives within
+ * Maximum size of the entries in one append request, bytes, so that it arrives within
  * the call timeout. A single entry may be larger.
  */
 export const MAX_APPEND_BYTES = 256 * 1024;
@@ -45,14 +45,14 @@
  */
 export const TRAILING_ENTRIES = 5_000;
 
-/** Size of one chunk of a snapshot transfer. */
+/** Size of one chunk of a snapshot transfer, bytes. */
 export const SNAPSHOT_CHUNK_BYTES = 256 * 1024;
 
 /** Maximum lag at which a learner may be promoted to a voter. */
 export const MAX_LEARNER_LAG_ENTRIES = 100;
 
 /**
- * A voter that has not answered for this many election timeouts is replaced by
+ * A voter that has not replied for this many election timeouts is replaced by
  * a learner that has caught up. Kept short so that the group regains its fault
  * tolerance within seconds.
  */
--- a/packages/puffinturn-log/src/LogMessages.ts
+++ b/packages/puffinturn-log/src/LogMessages.ts
@@ -105,6 +105,7 @@
 /** Reply to an IdentityRequest. */
 export interface IdentityReply {
   readonly replica: ReplicaId;
+  /** Whether the replica belongs to a group. */
   readonly founded: boolean;
   /** Voters known to the replica; one of them may be the leader. */
   readonly voters: readonly ReplicaId[];
--- a/packages/puffinturn-log/src/Replica.ts
+++ b/packages/puffinturn-log/src/Replica.ts
@@ -114,7 +114,7 @@
   readonly id: ReplicaId;
   nextIndex: number;
   matchIndex: number;
-  /** When the latest request that the peer answered was sent. */
+  /** Send time of the latest request with a reply, or start of the leadership, ms. */
   ackedAt: number;
   readonly addedAt: number;
 }
@@ -267,7 +267,7 @@
   }
 
   /**
-   * Waits until a quorum has confirmed, by answering requests sent after the
+   * Waits until a quorum has confirmed, by replies to requests sent after the
    * call, that this replica is still the leader, and until all entries committed
    * before the call are applied. Reads after it are linearizable.
    */
@@ -670,7 +670,7 @@
     return maxVoters !== undefined && this.members.voters.length >= maxVoters;
   }
 
-  /** Milliseconds since the last answered request was sent or the peer added. */
+  /** Milliseconds since the latest request with a reply was sent or the peer was added. */
   private msSinceContactWith(id: ReplicaId): number {
     const peer = this.peers.get(id);
     return peer === undefined
@@ -678,7 +678,7 @@
       : this.parts.clock.now() - Math.max(peer.ackedAt, peer.addedAt);
   }
 
-  /** As leader, replaces voters that no longer answer by learners. */
+  /** As leader, replaces voters that no longer reply by learners. */
   private async runVoterReplacement(signal: AbortSignal): Promise<void> {
     const {clock, timing} = this.parts;
     while (!signal.aborted) {
@@ -769,7 +769,7 @@
     }
   }
 
-  /** Steps down if a quorum has not answered for two election timeouts. */
+  /** Steps down if a quorum has not replied for two election timeouts. */
   private checkQuorum(): void {
     const msSinceQuorumContact =
       this.parts.clock.now() - this.lastQuorumContactAt();
@@ -1016,7 +1016,7 @@
     return term === this.term;
   }
 
-  /** The latest time such that a quorum has answered requests sent since. */
+  /** The latest time such that a quorum has replied to requests sent since then. */
   private lastQuorumContactAt(): number {
     const now = this.parts.clock.now();
     const ackTimes = this.members.voters.map((voter) =>
--- a/packages/puffinturn-log/src/__tests__/utils/ReplicaFixture.ts
+++ b/packages/puffinturn-log/src/__tests__/utils/ReplicaFixture.ts
@@ -70,7 +70,7 @@
     readonly boxes: readonly string[],
     private readonly snapshotEvery = 1_000,
     private readonly breakage?: ReplicaBreakage,
-    /** Boxes that every box knows when it starts; all boxes by default. */
+    /** Configured boxes that may bootstrap the group; all boxes by default. */
     private readonly seeds: readonly string[] = boxes,
     private readonly maxVoters?: number,
   ) {
--- a/packages/puffinturn-membership/src/BoxMember.ts
+++ b/packages/puffinturn-membership/src/BoxMember.ts
@@ -87,7 +87,7 @@
   private isRegistered = false;
   private configLeaseEndsAt = -Infinity;
   private leader: string | undefined;
-  /** Heartbeats that the leader did not answer; selects the next control box. */
+  /** Number of heartbeats without a reply of the leader; selects the next control box. */
   private tries = 0;
   private readonly tasks = new TaskGroup();
 
--- a/packages/puffinturn-orders/src/EngineClient.ts
+++ b/packages/puffinturn-orders/src/EngineClient.ts
@@ -21,7 +21,7 @@
 export type EngineFailure =
   /** The engine has already accepted a higher fencing token. */
   | Failure<'old-fence'>
-  /** No valid reply; the order may or may not have been executed. */
+  /** No valid response; the order may or may not have been executed. */
   | Failure<'unreachable'>;
 
 /** An order as sent to an engine. `fence` is its fencing token. */
--- a/packages/puffinturn-orders/src/OrderPlan.ts
+++ b/packages/puffinturn-orders/src/OrderPlan.ts
@@ -13,7 +13,7 @@
   readonly hall: string;
   /** A draining engine gets no orders and its models do not count as copies. */
   readonly isDraining: boolean;
-  /** Loaded models; undefined if the engine does not answer. */
+  /** Loaded models; undefined if the engine does not respond. */
   readonly models: readonly string[] | undefined;
 }
 
--- a/packages/puffinturn-stand-in/src/Faults.ts
+++ b/packages/puffinturn-stand-in/src/Faults.ts
@@ -19,7 +19,7 @@
   fail: number;
   /** Accepts requests and never responds. */
   hang: boolean;
-  /** Rejects new requests with a header that says that it is draining. */
+  /** Rejects new requests with the header of a draining upstream. */
   leaving: boolean;
   /** Reports a load of zero. */
   hidesLoad: boolean;
--- a/packages/puffinturn-wire/src/Link.ts
+++ b/packages/puffinturn-wire/src/Link.ts
@@ -13,9 +13,9 @@
 export type LinkFailure =
   /** Never sent; the peer has not processed the request. */
   | Failure<'not-sent'>
-  /** Sent, but no response arrived; the peer may have processed the request. */
+  /** Sent, but no reply arrived; the peer may have processed the request. */
   | Failure<'no-answer'>
-  /** The peer responded that its handler failed. */
+  /** The peer replied that its handler failed. */
   | Failure<'peer-failed'>;
 
 /** Handles the calls of one service; `from` is the name of the calling box. */
--- a/packages/puffinturn-wire/src/TcpLink.ts
+++ b/packages/puffinturn-wire/src/TcpLink.ts
@@ -71,7 +71,7 @@
 interface PeerConnection {
   readonly connection: Connection;
   readonly pendingCalls: Map<number, CompleteCall>;
-  /** Number of frames received; shows whether the peer still responds. */
+  /** Number of frames received; shows whether the peer still sends. */
   framesReceived: number;
 }
 
--- a/packages/shared/src/RetryAfter.ts
+++ b/packages/shared/src/RetryAfter.ts
@@ -8,7 +8,7 @@
 /** Parses `Retry-After` headers; only delays in seconds are supported, not dates. */
 import {decimalOf} from './Decimal';
 
-/** Maximum delay, ms; prevents a wrong header from excluding an upstream for good. */
+/** Maximum delay, ms; bounds how long a wrong header excludes an upstream. */
 const MAX_RETRY_AFTER_MS = 3_600_000;
 
 /** HTTP status of an upstream that is temporarily overloaded. */
