--- a/packages/puffinturn-bench/src/RoutingExperiment.ts
+++ b/packages/puffinturn-bench/src/RoutingExperiment.ts
@@ -355,12 +355,8 @@
       startedAt,
     );
     const winner = await Promise.race([
-      primary.firstTokenReceived.then((succeeded) =>
-        succeeded ? primary : hedge,
-      ),
-      hedge.firstTokenReceived.then((succeeded) =>
-        succeeded ? hedge : primary,
-      ),
+      primary.firstTokenReceived.then((ok) => (ok ? primary : hedge)),
+      hedge.firstTokenReceived.then((ok) => (ok ? hedge : primary)),
     ]);
     (winner === primary ? hedge : primary).cancel();
     return winner.completed;
