--- a/packages/puffinturn-cli/src/ApplyCommand.ts
+++ b/packages/puffinturn-cli/src/ApplyCommand.ts
@@ -8,7 +8,7 @@
 /** Commands that check, compare and apply files of declarations. */
 import type {DeclareOutcome, DeclareReply} from 'puffinturn-ledger';
 import {checkPolicy} from 'puffinturn-policy';
-import type {DeclarationKind,LoadedDeclaration} from 'puffinturn-settings';
+import type {DeclarationKind, LoadedDeclaration} from 'puffinturn-settings';
 import {readDeclarations, readSettings} from 'puffinturn-settings';
 
 import type {Comparison} from './Comparison';
--- a/packages/puffinturn-edge/src/__tests__/unit/ColdStarts.test.ts
+++ b/packages/puffinturn-edge/src/__tests__/unit/ColdStarts.test.ts
@@ -12,7 +12,7 @@
 import {NoopDecisionLog} from 'puffinturn-decisions';
 import type {BoxRecord} from 'puffinturn-fleet';
 import {MemoryNetwork} from 'puffinturn-wire';
-import {ManualClock, Random,selectByWeight} from 'shared';
+import {ManualClock, Random, selectByWeight} from 'shared';
 
 import type {PromptPart} from '../../callers/CallerProtocol';
 import {EdgeUpstream} from '../../upstreams/EdgeUpstream';
--- a/packages/puffinturn-edge/src/__tests__/utils/SingleRegionReference.ts
+++ b/packages/puffinturn-edge/src/__tests__/utils/SingleRegionReference.ts
@@ -11,7 +11,7 @@
  */
 import type {Service} from 'puffinturn-fleet';
 import type {Random} from 'shared';
-import {hash32, rendezvousWeight,selectByWeight} from 'shared';
+import {hash32, rendezvousWeight, selectByWeight} from 'shared';
 
 import type {PromptPart} from '../../callers/CallerProtocol';
 import type {EdgeUpstream} from '../../upstreams/EdgeUpstream';
--- a/packages/puffinturn-edge/src/upstreams/LoadBalancer.ts
+++ b/packages/puffinturn-edge/src/upstreams/LoadBalancer.ts
@@ -8,7 +8,7 @@
 /** Load balancers, which choose the upstream of a request. */
 import type {Service} from 'puffinturn-fleet';
 import type {Random} from 'shared';
-import {hash32, rendezvousWeight,selectByWeight} from 'shared';
+import {hash32, rendezvousWeight, selectByWeight} from 'shared';
 
 import type {PromptPart} from '../callers/CallerProtocol';
 import {MAX_LOAD_FACTOR} from '../EdgeConstants';
--- a/packages/puffinturn-fleet/src/AllowanceLedger.ts
+++ b/packages/puffinturn-fleet/src/AllowanceLedger.ts
@@ -5,7 +5,7 @@
  * LICENSE file in the root directory of this source tree.
  */
 
-import type {TeamGrantCounts,TeamTokenAmount} from 'puffinturn-decisions';
+import type {TeamGrantCounts, TeamTokenAmount} from 'puffinturn-decisions';
 
 /** Maximum number of incarnations kept; the least recently used is evicted. */
 const MAX_INCARNATIONS = 4_000;
--- a/packages/puffinturn-fuzz/src/FuzzDeclarations.ts
+++ b/packages/puffinturn-fuzz/src/FuzzDeclarations.ts
@@ -7,7 +7,7 @@
 
 /** The configuration that every run starts with, and the changes that steps make to it. */
 import type {Declaration} from 'puffinturn-settings';
-import {DeclarationSchema,validateValue} from 'puffinturn-settings';
+import {DeclarationSchema, validateValue} from 'puffinturn-settings';
 import {digestBytes, invariant} from 'shared';
 
 import {ENGINE_URLS, SERVICE_URLS} from './Step';
--- a/packages/puffinturn-membership/src/__tests__/unit/Membership.test.ts
+++ b/packages/puffinturn-membership/src/__tests__/unit/Membership.test.ts
@@ -11,7 +11,7 @@
  */
 import fc from 'fast-check';
 import type {DeclarationEntry} from 'puffinturn-ledger';
-import {DeclarationSchema,validateValue} from 'puffinturn-settings';
+import {DeclarationSchema, validateValue} from 'puffinturn-settings';
 import {digestBytes} from 'shared';
 
 import {FailureDetector, FleetConfig, OpenAdmissions} from '../../index';
--- a/packages/puffinturn-orders/src/__tests__/unit/Orders.test.ts
+++ b/packages/puffinturn-orders/src/__tests__/unit/Orders.test.ts
@@ -14,7 +14,7 @@
 import {Ledger} from 'puffinturn-ledger';
 import {DEFAULT_TIMING, LogLink, MemoryDisk, Replica} from 'puffinturn-log';
 import type {Declaration} from 'puffinturn-settings';
-import {DeclarationSchema,validateValue} from 'puffinturn-settings';
+import {DeclarationSchema, validateValue} from 'puffinturn-settings';
 import {Timeline} from 'puffinturn-timeline';
 import {ManualClock, Random} from 'shared';
 
--- a/packages/puffinturn-settings/src/ConfigurationFiles.ts
+++ b/packages/puffinturn-settings/src/ConfigurationFiles.ts
@@ -18,7 +18,7 @@
 import type {Settings, TlsSettings} from './SettingsSchema';
 import {SettingsSchema} from './SettingsSchema';
 import type {ValidationFailure, ValidationProblem} from './Validation';
-import {createValidationFailure, parseJson,validateValue} from './Validation';
+import {createValidationFailure, parseJson, validateValue} from './Validation';
 
 /** A declaration with the file that contains it. */
 export interface LoadedDeclaration {
--- a/packages/puffinturn-settings/src/index.ts
+++ b/packages/puffinturn-settings/src/index.ts
@@ -27,4 +27,4 @@
 export type {FleetBox, Settings, TlsSettings} from './SettingsSchema';
 export {SettingsSchema} from './SettingsSchema';
 export type {ValidationFailure, ValidationProblem} from './Validation';
-export {createValidationFailure, parseJson,validateValue} from './Validation';
+export {createValidationFailure, parseJson, validateValue} from './Validation';
--- a/packages/shared/src/index.ts
+++ b/packages/shared/src/index.ts
@@ -19,7 +19,7 @@
 export {describeError} from './Failure';
 export {hash32} from './Hash';
 export {invariant, InvariantError} from './Invariant';
-export {Random,selectByWeight} from './Random';
+export {Random, selectByWeight} from './Random';
 export {rendezvousWeight} from './Rendezvous';
 export {unavailableRetryAfterMs} from './RetryAfter';
 export {SuspensionDetector} from './SuspensionDetector';
